--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/chaos_test.go
@@ -304,6 +304,7 @@
 			t.Fatalf("%v\n%s", err, text)
 		}
 		var log bytes.Buffer
+		s.Trace = traceFor(t)
 		bad, err := s.Run(&log)
 		if err != nil && !strings.Contains(err.Error(), "no machine") {
 			t.Fatalf("%v\n%s", err, text)
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -77,6 +77,8 @@
 	initial []*args
 	steps   []step
 	expects []expect
+
+	Trace *Trace // records what controllers send; may be nil
 }
 
 type step struct {
@@ -150,6 +152,7 @@
 // rules first.
 func (s *Scenario) Run(log io.Writer) ([]string, error) {
 	w := newWorld(s.seed, log)
+	w.trace = s.Trace
 	cfg := config.Settings{Size: s.nodes, Teams: s.teams, Zones: []string{"a", "b"}}
 	cfg.Workers.ReportS, cfg.Workers.LeaseS, cfg.Workers.CancelS = s.set.num("report", 3), s.set.num("lease", 22), s.set.num("cancel", 47)
 	cfg.State.RPS, cfg.State.WriteRPS, cfg.State.ValueKB, cfg.State.TxnOps = 250, s.set.num("writes", 25), s.set.num("value", 4), int(s.set.num("ops", 12))
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -38,6 +38,7 @@
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
+	s.Trace = traceFor(t)
 	bad, err := s.Run(log)
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
--- /dev/null
+++ b/internal/simulator/trace_test.go
@@ -0,0 +1,87 @@
+package simulator
+
+import (
+	"bufio"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"frostdock.example/frostdock/internal/core"
+	"frostdock.example/frostdock/internal/peer"
+	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// traceFor returns the trace that tools/behavior-trace asks for with TRACE_DIR: the digest of the
+// test's day is written there, and with TRACE_LINES also a line for each effect. Without TRACE_DIR
+// there is none.
+func traceFor(t *testing.T) *Trace {
+	t.Helper()
+	dir := os.Getenv("TRACE_DIR")
+	if dir == "" {
+		return nil
+	}
+	day := filepath.Join(dir, strings.ReplaceAll(t.Name(), "/", "-"))
+	trace := NewTrace(nil)
+	if os.Getenv("TRACE_LINES") != "" {
+		file, err := os.Create(day + ".lines")
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines := bufio.NewWriter(file)
+		trace = NewTrace(lines)
+		t.Cleanup(func() {
+			if err := lines.Flush(); err != nil {
+				t.Error(err)
+			}
+			if err := file.Close(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+	t.Cleanup(func() {
+		if err := os.WriteFile(day+".digest", []byte(trace.String()+"\n"), 0o644); err != nil {
+			t.Error(err)
+		}
+	})
+	return trace
+}
+
+// TestTraceTellsEffectsApart shows that each part of an effect enters the trace, and that what only
+// matches calls to answers does not.
+func TestTraceTellsEffectsApart(t *testing.T) {
+	digest := func(now units.Micros, controller string, e core.Effect) string {
+		trace := NewTrace(nil)
+		trace.record(now, controller, e)
+		return trace.String()
+	}
+	commit := func(id uint64, value string) core.Effect {
+		op := state.Op{Set: "k/a", Value: []byte(value), Permit: 3}
+		return core.StateCall{ID: id, Req: state.Request{Kind: state.Commit, Txn: &state.Txn{Apply: []state.Op{op}}}}
+	}
+	beat := func(member string, heard int64) core.Effect {
+		return core.SendHeartbeat{Beat: peer.Heartbeat{Member: member, Heard: map[string]int64{"n-1": heard, "n-2": 5}}}
+	}
+	base := digest(1, "node0", commit(1, `{"a":1}`))
+	different := map[string]string{
+		"time":       digest(2, "node0", commit(1, `{"a":1}`)),
+		"controller": digest(1, "node1", commit(1, `{"a":1}`)),
+		"value":      digest(1, "node0", commit(1, `{"a":2}`)),
+		"kind":       digest(1, "node0", core.StateCall{Req: state.Request{Kind: state.Get, Key: "k/a"}}),
+	}
+	for what, other := range different {
+		if other == base {
+			t.Errorf("another %s gives the same digest", what)
+		}
+	}
+	if digest(1, "node0", commit(9, `{"a":1}`)) != base {
+		t.Error("the number that matches an answer to its call enters the digest")
+	}
+	if digest(1, "node0", beat("a", 7)) != digest(1, "node0", beat("a", 7)) {
+		t.Error("two digests of one heartbeat differ")
+	}
+	if digest(1, "node0", beat("a", 7)) == digest(1, "node0", beat("a", 8)) {
+		t.Error("another heartbeat gives the same digest")
+	}
+}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -55,6 +55,7 @@
 	names   []string // workers in order of creation
 	users   *users
 	Rules   *Checker
+	trace   *Trace
 
 	cuts  []*cut
 	flaky float64 // chance that an answer is lost, or a request is carried out late
@@ -344,6 +345,7 @@
 
 func (n *controller) effect(e core.Effect) {
 	w, gen := n.w, n.gen
+	w.trace.record(w.now, n.name, e)
 	mine := func(m core.Msg) {
 		if n.gen == gen && n.up {
 			n.post(m)
