--- a/cmd/frostdock/main.go
+++ b/cmd/frostdock/main.go
@@ -18,7 +18,7 @@
 	"github.com/spf13/pflag"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/node"
+	"frostdock.example/frostdock/internal/server"
 	"frostdock.example/frostdock/internal/policy"
 )
 
@@ -85,7 +85,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	log.Info("start", "node", cfg.Member, "version", version, "inc", inc)
-	return node.New(cfg, pol, log, inc).Run(ctx)
+	return server.New(cfg, pol, log, inc).Run(ctx)
 }
 
 func logger(w io.Writer) *slog.Logger {
--- a/internal/limit/limit.go
+++ b/internal/admission/limit.go
@@ -2,7 +2,7 @@
 // measured times: it shrinks when requests take much longer than they do at
 // rest, and grows again while they do not. Polls may use only a part of it, so
 // that they never starve submissions and cancellations.
-package limit
+package admission
 
 import (
 	"sync"
--- a/internal/limit/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -1,4 +1,4 @@
-package limit
+package admission
 
 import (
 	"bufio"
--- a/internal/workers/wire.go
+++ b/internal/agent/wire.go
@@ -1,5 +1,5 @@
 // Package workers holds the messages between workers and controllers.
-package workers
+package agent
 
 // Task states and causes as the workers name them.
 const (
--- a/internal/intake/submission.go
+++ b/internal/api/submission.go
@@ -1,5 +1,5 @@
 // Package intake reads and checks what users send.
-package intake
+package api
 
 import (
 	"bytes"
@@ -11,9 +11,9 @@
 	"regexp"
 	"slices"
 
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // MaxBody is the largest request body.
@@ -58,7 +58,7 @@
 // Parse decodes a submission. When the body is malformed but its id can be
 // read, the id is returned with the error: a repeat of a known job is answered
 // by its id whatever else the body says.
-func Parse(body []byte) (*state.Job, string, error) {
+func Parse(body []byte) (*schema.Job, string, error) {
 	if len(body) > MaxBody {
 		return nil, "", errors.New("body over 64 KiB")
 	}
@@ -88,7 +88,7 @@
 	return j, id, nil
 }
 
-func (w *wire) job() (*state.Job, error) {
+func (w *wire) job() (*schema.Job, error) {
 	var bad error
 	fail := func(field, why string) {
 		if bad == nil {
@@ -121,7 +121,7 @@
 		}
 		return *v
 	}
-	j := &state.Job{
+	j := &schema.Job{
 		ID: *w.ID, Class: str("lot", w.Class), Team: str("crew", w.Team), Image: str("pattern", w.Image),
 		CPUs: num("cpus", w.CPUs, 0, false), GPUs: num("cards", w.GPUs, 0, false), MemGB: num("memoryGb", w.MemGB, 0, false),
 		ImageGB: num("sizeGb", w.ImageGB, 0, false), EstS: num("sawS", w.EstS, 0, false),
@@ -184,17 +184,17 @@
 }
 
 // Fits reports whether one task of j can ever be on a machine of type t.
-func Fits(j *state.Job, t *provision.Type) bool {
+func Fits(j *schema.Job, t *cloud.Type) bool {
 	return TypeAllowed(j, t.Name) && j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemGB <= t.MemGB
 }
 
 // TypeAllowed reports whether the job names the type, or none at all.
-func TypeAllowed(j *state.Job, name string) bool {
+func TypeAllowed(j *schema.Job, name string) bool {
 	return len(j.Types) == 0 || slices.Contains(j.Types, name)
 }
 
 // Feasible returns why a job can never run, or nil.
-func Feasible(j *state.Job, teams []config.Team, types []provision.Type) error {
+func Feasible(j *schema.Job, teams []config.Team, types []cloud.Type) error {
 	var team *config.Team
 	for i := range teams {
 		if teams[i].Name == j.Team {
--- a/internal/provision/wire.go
+++ b/internal/cloud/wire.go
@@ -1,5 +1,5 @@
 // Package provision holds the messages between controllers and the cloud.
-package provision
+package cloud
 
 // Type is a machine type of the catalog.
 type Type struct {
--- a/internal/core/arrays.go
+++ b/internal/controller/arrays.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/placement"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/fairshare"
 	"frostdock.example/frostdock/internal/policy"
 	"frostdock.example/frostdock/internal/units"
 )
@@ -69,14 +69,14 @@
 		}
 	}
 	c.updateClassAverages()
-	list := make([]placement.Job, 0, len(active))
+	list := make([]fairshare.Job, 0, len(active))
 	byID := map[string]*job{}
 	for _, j := range active {
 		average := c.observed(j)
 		if average == 0 {
 			average = c.borrowedAverage(j)
 		}
-		list = append(list, placement.Job{
+		list = append(list, fairshare.Job{
 			ID: j.id, Total: j.spec.Tasks, Unfinished: j.spec.Tasks - j.doneCount(), Average: average,
 			Capacity: max(c.capacityFor(j, slice)/len(active), 1),
 			Age:      max(0, c.wall-j.since()), PerTask: j.spec.CPUs, Share: j.share, Weight: c.weight(j),
@@ -84,7 +84,7 @@
 		byID[j.id] = j
 	}
 	var order []*job
-	for _, r := range placement.Shares(list, room) {
+	for _, r := range fairshare.Shares(list, room) {
 		j := byID[r.ID]
 		j.share = r.Share
 		if c.now >= j.retryAt {
@@ -98,7 +98,7 @@
 func (c *Core) capacityFor(j *job, machines map[string]int) int {
 	capacity := 0
 	for i := range c.cloud.types {
-		if t := &c.cloud.types[i]; machines[t.Name] > 0 && intake.Fits(&j.spec, t) {
+		if t := &c.cloud.types[i]; machines[t.Name] > 0 && api.Fits(&j.spec, t) {
 			capacity += machines[t.Name] * int(t.CPUs/j.spec.CPUs)
 		}
 	}
@@ -176,7 +176,7 @@
 	var best *draft
 	for _, d := range b.drafts {
 		t := c.machineType(d.m.doc.Type)
-		if d.gd.own && d.usable && b.o.reservedFor[d.m.name].job == "" && t != nil && intake.Fits(&j.spec, t) && c.allowed(j, d.m) && (best == nil || d.cpus > best.cpus) {
+		if d.gd.own && d.usable && b.o.reservedFor[d.m.name].job == "" && t != nil && api.Fits(&j.spec, t) && c.allowed(j, d.m) && (best == nil || d.cpus > best.cpus) {
 			best = d
 		}
 	}
--- a/internal/core/audit.go
+++ b/internal/controller/audit.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"context"
@@ -6,9 +6,10 @@
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // audit counts decisions by their reasons between two lines of the log, and violations of
@@ -98,7 +99,7 @@
 
 // cleared gives the orders that may leave for a machine: the last look at them, whatever path
 // they come by. ok is false if nothing may be said to the machine at all.
-func (c *Core) cleared(m *machine, orders []workers.Order) (out []workers.Order, ok bool) {
+func (c *Core) cleared(m *machine, orders []agent.Order) (out []agent.Order, ok bool) {
 	right := c.rightsOver(m)
 	if !right.commands {
 		c.violated(invariantCommand, "machine", m.name, "partition", m.g.part)
@@ -112,14 +113,14 @@
 		t, entered := entries[orderKey{o.Task, o.Attempt}]
 		facts := c.taskFactsOf(t)
 		switch o.Op {
-		case workers.Launch:
+		case agent.Launch:
 			refusal := facts.mayStart(right)
 			if !entered || refusal != startAllowed {
 				c.violated(invariantStart, "task", o.Task, "attempt", o.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
 				continue
 			}
 			c.audit.starts++
-		case workers.Kill:
+		case agent.Kill:
 			reason := stopUnlisted
 			if entered {
 				reason = facts.mustStop()
@@ -138,7 +139,7 @@
 const stopUnlisted stopReason = "not entered there"
 
 // tellOrders writes the ids of what a machine is told, and the proof that it rests on.
-func (c *Core) tellOrders(m *machine, orders []workers.Order) {
+func (c *Core) tellOrders(m *machine, orders []agent.Order) {
 	attrs := append(c.proof(), "machine", m.name, "token", c.token(m), "session", m.rt.session)
 	for _, o := range orders {
 		attrs = append(attrs, slog.Group(o.Op+" "+o.Task, "attempt", o.Attempt))
@@ -153,8 +154,8 @@
 }
 
 // entriesByOrder are a machine's entries by what orders call them.
-func (m *machine) entriesByOrder() map[orderKey]state.Task {
-	out := make(map[orderKey]state.Task, len(m.doc.Tasks))
+func (m *machine) entriesByOrder() map[orderKey]schema.Task {
+	out := make(map[orderKey]schema.Task, len(m.doc.Tasks))
 	for _, t := range m.doc.Tasks {
 		out[orderKey{keyOf(t).task(), t.Attempt}] = t
 	}
@@ -200,7 +201,7 @@
 		for _, id := range slices.Sorted(maps.Keys(b.cleared[s])) {
 			j := b.c.replica.jobs[id]
 			_, stored := b.c.replica.finals.get(id)
-			written := slices.ContainsFunc(b.finals, func(op state.Op) bool { return op.Set == state.Finals+id })
+			written := slices.ContainsFunc(b.finals, func(op kv.Op) bool { return op.Set == schema.Finals+id })
 			if !stored && !written && (j == nil || !j.marked) {
 				b.c.violated(invariantForget, "job", id)
 				delete(b.cleared[s], id)
--- a/internal/core/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"bytes"
@@ -7,9 +7,10 @@
 	"strings"
 	"testing"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // TestMayStart, TestMayRelease and TestMayForget look at each reason, and at what lacks just one
@@ -86,8 +87,8 @@
 func TestInvariantsFire(t *testing.T) {
 	c, o, _ := foreignJob(t)
 	m := c.replica.machines["n-000001"]
-	entry := state.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-	launch := []workers.Order{{Op: workers.Launch, Task: "j-000001/0", Attempt: entry.Attempt}}
+	entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
+	launch := []agent.Order{{Op: agent.Launch, Task: "j-000001/0", Attempt: entry.Attempt}}
 	fired := func(invariant string, want bool) {
 		t.Helper()
 		if got := c.audit.violations[invariant] > 0; got != want {
@@ -104,14 +105,14 @@
 		t.Error("what is entered is not started")
 	}
 	fired(invariantStart, false)
-	c.apply(state.Cancels+"j-000001", []byte(`{}`), o.rev+2, false)
+	c.apply(schema.Cancels+"j-000001", []byte(`{}`), o.rev+2, false)
 	if out, _ := c.cleared(m, launch); len(out) > 0 {
 		t.Error("a task of a cancelled job is started")
 	}
 	fired(invariantStart, true)
 
 	gd := &shardDraft{c: c, g: m.g, own: true, moveTo: -1, drafts: []*draft{{m: m}}}
-	m.rt.pieces[keyOf(entry)] = workers.Piece{Task: "j-000001/0", Attempt: entry.Attempt, State: workers.Running}
+	m.rt.pieces[keyOf(entry)] = agent.Piece{Task: "j-000001/0", Attempt: entry.Attempt, State: agent.Running}
 	gd.auditReleases()
 	if len(gd.drafts[0].keep) != 1 {
 		t.Error("an entry is freed while its task runs")
@@ -128,7 +129,7 @@
 	}
 	fired(invariantForget, true)
 
-	c.learnEnd("j-000001", state.Final{Stage: Cancelled})
+	c.learnEnd("j-000001", schema.Final{Stage: Cancelled})
 	if st := c.auditAnswer(&Status{ID: "j-000001", Stage: Pending}); st.Stage != Cancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
@@ -156,8 +157,8 @@
 	for range 80 {
 		step()
 	}
-	entry := state.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-	step(o.news(state.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}))
+	entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
+	step(o.news(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}))
 	for range 80 {
 		step()
 	}
--- a/internal/core/claims.go
+++ b/internal/controller/claims.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
@@ -6,7 +6,8 @@
 	"strconv"
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -40,18 +41,18 @@
 func (c *Core) register() {
 	c.alive = false
 	retry := func() { c.after(300*units.Millisecond, c.register) }
-	c.callState(state.Request{Kind: state.Grant, TTLMs: registrationTTL.Milliseconds()}, func(r state.Response) {
+	c.callState(kv.Request{Kind: kv.Grant, TTLMs: registrationTTL.Milliseconds()}, func(r kv.Response) {
 		if r.Status != 200 || r.Permit == 0 {
 			retry()
 			return
 		}
 		c.leaseID = r.Permit
-		key := state.NodeKey(c.cfg.Member, c.incarnation)
-		txn := &state.Txn{
-			Guards: []state.Guard{{Key: key}},
-			Apply:  []state.Op{{Set: key, Value: encode(state.Registration{Incarnation: c.incarnation, Format: knownFormat}), Permit: c.leaseID}},
+		key := schema.NodeKey(c.cfg.Member, c.incarnation)
+		txn := &kv.Txn{
+			Guards: []kv.Guard{{Key: key}},
+			Apply:  []kv.Op{{Set: key, Value: encode(schema.Registration{Incarnation: c.incarnation, Format: knownFormat}), Permit: c.leaseID}},
 		}
-		c.callState(state.Request{Kind: state.Commit, Txn: txn}, func(r state.Response) {
+		c.callState(kv.Request{Kind: kv.Commit, Txn: txn}, func(r kv.Response) {
 			if r.Status != 200 {
 				// Perhaps entered, perhaps not: a new incarnation is always safe.
 				c.reincarnate()
@@ -80,7 +81,7 @@
 
 func (c *Core) renew() {
 	leaseID := c.leaseID
-	c.callState(state.Request{Kind: state.Renew, Permit: leaseID}, func(r state.Response) {
+	c.callState(kv.Request{Kind: kv.Renew, Permit: leaseID}, func(r kv.Response) {
 		switch r.Status {
 		case 200:
 			c.after(registrationTTL/5, c.renew)
@@ -162,14 +163,14 @@
 func (c *Core) living() []string {
 	var out []string
 	for key := range c.replica.nodes {
-		out = append(out, strings.TrimPrefix(key, state.Nodes))
+		out = append(out, strings.TrimPrefix(key, schema.Nodes))
 	}
 	sort.Strings(out)
 	return out
 }
 
 func (c *Core) ownerAlive(p *part) bool {
-	_, ok := c.replica.nodes[state.NodeKey(p.doc.Member, p.doc.Inc)]
+	_, ok := c.replica.nodes[schema.NodeKey(p.doc.Member, p.doc.Inc)]
 	return ok
 }
 
@@ -221,9 +222,9 @@
 // surely dead, so their partitions need not wait for the lease.
 func (c *Core) dropOldSelves() {
 	for _, l := range c.living() {
-		key := state.Nodes + l
-		if strings.HasPrefix(l, c.cfg.Member+"/") && key != state.NodeKey(c.cfg.Member, c.incarnation) {
-			txn := &state.Txn{Guards: []state.Guard{{Key: key, Stamp: c.replica.stamps[key]}}, Apply: []state.Op{{Delete: key}}}
+		key := schema.Nodes + l
+		if strings.HasPrefix(l, c.cfg.Member+"/") && key != schema.NodeKey(c.cfg.Member, c.incarnation) {
+			txn := &kv.Txn{Guards: []kv.Guard{{Key: key, Stamp: c.replica.stamps[key]}}, Apply: []kv.Op{{Delete: key}}}
 			c.commit(txn, "", func(outcome, uint64, []string) {})
 			return
 		}
@@ -232,24 +233,24 @@
 
 func (c *Core) claim(n int, who string) {
 	member, incarnation, _ := strings.Cut(who, "/")
-	key := state.PartKey(n)
+	key := schema.PartKey(n)
 	mark := c.mark()
-	doc := state.Part{Epoch: 1, Member: member, Inc: incarnation, Mark: mark}
-	self := state.NodeKey(c.cfg.Member, c.incarnation)
-	txn := &state.Txn{Guards: []state.Guard{{Key: self, Stamp: c.replica.stamps[self]}}}
+	doc := schema.Part{Epoch: 1, Member: member, Inc: incarnation, Mark: mark}
+	self := schema.NodeKey(c.cfg.Member, c.incarnation)
+	txn := &kv.Txn{Guards: []kv.Guard{{Key: self, Stamp: c.replica.stamps[self]}}}
 	if p := c.replica.parts[n]; p != nil {
 		doc.Epoch = p.doc.Epoch + 1
-		txn.Guards = append(txn.Guards, state.Guard{Key: key, Stamp: p.stamp})
-		if old := state.NodeKey(p.doc.Member, p.doc.Inc); old != self {
-			txn.Guards = append(txn.Guards, state.Guard{Key: old})
+		txn.Guards = append(txn.Guards, kv.Guard{Key: key, Stamp: p.stamp})
+		if old := schema.NodeKey(p.doc.Member, p.doc.Inc); old != self {
+			txn.Guards = append(txn.Guards, kv.Guard{Key: old})
 		}
-		if target := state.NodeKey(member, incarnation); target != self {
-			txn.Guards = append(txn.Guards, state.Guard{Key: target, Stamp: c.replica.stamps[target]})
+		if target := schema.NodeKey(member, incarnation); target != self {
+			txn.Guards = append(txn.Guards, kv.Guard{Key: target, Stamp: c.replica.stamps[target]})
 		}
 	} else {
-		txn.Guards = append(txn.Guards, state.Guard{Key: key})
+		txn.Guards = append(txn.Guards, kv.Guard{Key: key})
 	}
-	txn.Apply = []state.Op{{Set: key, Value: encode(doc), Permit: 0}}
+	txn.Apply = []kv.Op{{Set: key, Value: encode(doc), Permit: 0}}
 	given := c.owned[n] // when it is given away
 	if given != nil {
 		given.inflight++
@@ -281,7 +282,7 @@
 // has lived long enough to be trusted with one.
 func (c *Core) giveAway(load map[string]int, me string) {
 	for _, l := range c.living() {
-		if c.now-c.replica.nodes[state.Nodes+l] < 8*units.Second {
+		if c.now-c.replica.nodes[schema.Nodes+l] < 8*units.Second {
 			continue
 		}
 		for _, p := range c.ownedParts() {
--- a/internal/core/cloud.go
+++ b/internal/controller/cloud.go
@@ -1,21 +1,21 @@
-package core
+package controller
 
 import (
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/provision"
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/units"
 )
 
 // cloudState is what this node knows of the cloud. One node at a time rents and
 // returns: the owner of partition 0.
 type cloudState struct {
-	types    []provision.Type
+	types    []cloud.Type
 	typesAt  units.Micros
 	asking   bool
 	listing  bool
-	listed   map[string]provision.Listed
+	listed   map[string]cloud.Listed
 	listAt   units.Micros // when the last complete list was asked for
 	hires    map[string]*rental
 	hireN    int
@@ -28,7 +28,7 @@
 }
 
 func newCloudState() cloudState {
-	return cloudState{listed: map[string]provision.Listed{}, hires: map[string]*rental{}, cool: map[string]units.Micros{},
+	return cloudState{listed: map[string]cloud.Listed{}, hires: map[string]*rental{}, cool: map[string]units.Micros{},
 		strayAt: map[string]units.Micros{}}
 }
 
@@ -80,7 +80,7 @@
 	}
 	keeper := c.owned[0] != nil && c.usable(0) && len(k.types) > 0
 	if !k.listing && (keeper || c.now-k.doubtAt < 10*units.Second && k.doubtAt > 0) && c.every("list", 4*units.Second) {
-		c.list("", map[string]provision.Listed{}, c.now)
+		c.list("", map[string]cloud.Listed{}, c.now)
 	}
 	if !keeper {
 		k.chargeAt = 0
@@ -89,7 +89,7 @@
 	if k.chargeAt == 0 {
 		k.chargeAt = c.now
 		k.hires = map[string]*rental{}
-		k.listed, k.listAt = map[string]provision.Listed{}, 0
+		k.listed, k.listAt = map[string]cloud.Listed{}, 0
 	}
 	if look {
 		c.settleHires()
@@ -112,7 +112,7 @@
 }
 
 // list reads the cloud's machines, page by page.
-func (c *Core) list(since string, got map[string]provision.Listed, started units.Micros) {
+func (c *Core) list(since string, got map[string]cloud.Listed, started units.Micros) {
 	k := &c.cloud
 	k.listing = true
 	c.callCloud(CloudCall{Op: CloudList, Since: since}, func(d CloudDone) {
@@ -144,7 +144,7 @@
 		l, m := k.listed[name], c.replica.machines[name]
 		if m != nil {
 			delete(k.strayAt, name)
-			if l.State == provision.Failed && m.rt != nil && c.now-m.rt.heardAt > c.cfg.Settings.Report()*2 {
+			if l.State == cloud.Failed && m.rt != nil && c.now-m.rt.heardAt > c.cfg.Settings.Report()*2 {
 				c.giveUp("failed in the list", m)
 			}
 			continue
@@ -156,12 +156,12 @@
 		if t := c.machineType(l.Type); t != nil {
 			boot = t.BootS
 		}
-		if l.State == provision.Failed || l.AgeS > 3*boot+15 && !c.heardLately(name) {
+		if l.State == cloud.Failed || l.AgeS > 3*boot+15 && !c.heardLately(name) {
 			if _, ok := k.strayAt[name]; !ok {
 				k.strayAt[name] = c.now
 			}
 			// Up and silent, or never up. The list lags, so look twice.
-			if l.State == provision.Failed || c.now-k.strayAt[name] > units.FromSeconds(2*c.cfg.Settings.Cloud.ListLagS) {
+			if l.State == cloud.Failed || c.now-k.strayAt[name] > units.FromSeconds(2*c.cfg.Settings.Cloud.ListLagS) {
 				stray = append(stray, name)
 			}
 		}
@@ -178,7 +178,7 @@
 		stray = stray[:mostDeletes]
 	}
 	c.log.Info("return machines that never reported", "machines", stray)
-	c.callCloud(CloudCall{Op: CloudDelete, Names: provision.Names{Machines: stray}}, func(d CloudDone) {
+	c.callCloud(CloudCall{Op: CloudDelete, Names: cloud.Names{Machines: stray}}, func(d CloudDone) {
 		if d.Status == 200 {
 			for _, n := range stray {
 				delete(k.listed, n)
--- a/internal/core/commands.go
+++ b/internal/controller/commands.go
@@ -1,26 +1,26 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 
-	"frostdock.example/frostdock/internal/state"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // wanted reports whether a task in the machine's document should run there.
-func (c *Core) wanted(t state.Task) bool { return c.taskFactsOf(t).mustStop() == keepRunning }
+func (c *Core) wanted(t schema.Task) bool { return c.taskFactsOf(t).mustStop() == keepRunning }
 
 // releasable reports whether a task in the document is certainly not, or no
 // longer, active on the machine, so that its entry may go.
-func (c *Core) releasable(m *machine, t state.Task) bool {
+func (c *Core) releasable(m *machine, t schema.Task) bool {
 	return c.taskFactsOf(t).mayRelease(c.machineFactsOf(m, t)) != keepEntry
 }
 
 // orders compares what should be on the machine with what it reported.
-func (c *Core) orders(m *machine) []workers.Order {
+func (c *Core) orders(m *machine) []agent.Order {
 	rt := m.rt
-	out := []workers.Order{}
+	out := []agent.Order{}
 	if rt.heardAt == 0 {
 		return out
 	}
@@ -30,14 +30,14 @@
 	right := c.rightsOver(m)
 	listed := make(map[taskKey]bool, len(m.doc.Tasks))
 	// Whatever is entered may be waiting for room: what ranks higher has it first.
-	grade := func(t state.Task) int {
+	grade := func(t schema.Task) int {
 		if j := c.replica.jobs[t.Job]; j != nil {
 			return j.spec.Grade
 		}
 		return 0
 	}
 	tasks := slices.Clone(m.doc.Tasks)
-	slices.SortStableFunc(tasks, func(a, b state.Task) int {
+	slices.SortStableFunc(tasks, func(a, b schema.Task) int {
 		return cmp.Or(cmp.Compare(grade(b), grade(a)), cmp.Compare(a.Attempt, b.Attempt))
 	})
 	for _, t := range tasks {
@@ -49,19 +49,19 @@
 			// One that is being given up must not be launched again meanwhile: the
 			// same write may have put it elsewhere.
 			if !there && !rt.leaving[k] && facts.mayStart(right) == startAllowed && room.take(&c.replica.jobs[t.Job].spec) {
-				out = append(out, workers.Order{Op: workers.Launch, Task: k.task(), Attempt: t.Attempt})
+				out = append(out, agent.Order{Op: agent.Launch, Task: k.task(), Attempt: t.Attempt})
 			}
 			continue
 		}
 		j := c.replica.jobs[t.Job]
 		if j != nil && j.known && !j.done.Has(t.Num) {
 			listed[k] = true // not to be reaped before its end is stored
-			if there && p.State != workers.Ended {
+			if there && p.State != agent.Ended {
 				grace := 0.0
-				if t.Stop == state.StopSave {
+				if t.Stop == schema.StopSave {
 					grace = j.spec.SaveS
 				}
-				out = append(out, workers.Order{Op: workers.Kill, Task: k.task(), Attempt: t.Attempt, GraceS: grace})
+				out = append(out, agent.Order{Op: agent.Kill, Task: k.task(), Attempt: t.Attempt, GraceS: grace})
 			}
 		}
 	}
@@ -72,12 +72,12 @@
 			continue
 		}
 		switch {
-		case p.State != workers.Ended:
-			out = append(out, workers.Order{Op: workers.Kill, Task: k.task(), Attempt: k.attempt})
+		case p.State != agent.Ended:
+			out = append(out, agent.Order{Op: agent.Kill, Task: k.task(), Attempt: k.attempt})
 		case settled:
 			// Once reaped, a late launch would start the attempt anew: reap only
 			// when no such command can be under way.
-			out = append(out, workers.Order{Op: workers.Reap, Task: k.task(), Attempt: k.attempt})
+			out = append(out, agent.Order{Op: agent.Reap, Task: k.task(), Attempt: k.attempt})
 		}
 	}
 	return out
@@ -122,7 +122,7 @@
 		c.dirty = true
 		c.log.Info("direct command unanswered, fencing", "machine", m.name, "token", tok)
 	}
-	c.out = append(c.out, WorkerCall{ID: id, Addr: m.doc.Addr, Cmd: &workers.Command{Token: tok, Session: sess, Orders: orders}})
+	c.out = append(c.out, WorkerCall{ID: id, Addr: m.doc.Addr, Cmd: &agent.Command{Token: tok, Session: sess, Orders: orders}})
 }
 
 // sendPokes tells the machines whose entries have changed. That waits until a step has read all
--- a/internal/core/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -1,12 +1,13 @@
-package core
+package controller
 
 import (
 	"testing"
 
+	"frostdock.example/frostdock/internal/agent"
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // foreignJob is a controller that commands n-000001, beside another that owns the partition of
@@ -19,14 +20,14 @@
 	s.State.StateLimits = config.StateLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	c := quietCore(cfg)
-	o := &outside{keys: map[string]state.Item{}, asked: map[state.Kind]int{}}
+	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
 	layout := c.replica.layout
-	layout.Format = state.FormatChains
-	o.put(state.LayoutOf, layout)
-	o.put(state.NodeKey("b", "1"), state.Registration{Incarnation: "1", Format: state.FormatChains})
-	o.put(state.PartKey(1), state.Part{Epoch: 1, Member: "b", Inc: "1"})
-	job := state.Job{ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, MemGB: 1}
-	o.put(state.JobShardKey(state.JobShardOf(job.ID, layout.Shelves)), state.JobShard{Jobs: []state.Job{job}})
+	layout.Format = schema.FormatChains
+	o.put(schema.LayoutOf, layout)
+	o.put(schema.NodeKey("b", "1"), schema.Registration{Incarnation: "1", Format: schema.FormatChains})
+	o.put(schema.PartKey(1), schema.Part{Epoch: 1, Member: "b", Inc: "1"})
+	job := schema.Job{ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, MemGB: 1}
+	o.put(schema.JobShardKey(schema.JobShardOf(job.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{job}})
 	o.put(shardOfMachine(layout), machineWith())
 	now := units.Second
 	var msgs []Msg
@@ -48,33 +49,33 @@
 	return c, o, step
 }
 
-func shardOfMachine(layout state.Layout) string {
-	return state.MachineShardKey(state.MachineShardOf("n-000001", layout.Groups))
+func shardOfMachine(layout schema.Layout) string {
+	return schema.MachineShardKey(schema.MachineShardOf("n-000001", layout.Groups))
 }
 
 // machineWith is the document of n-000001 with some tasks.
-func machineWith(tasks ...state.Task) state.MachineShard {
-	m := state.Machine{Name: "n-000001", Addr: "n-000001", MachineKind: state.MachineKind{Type: "big", Zone: "a"}, Tasks: tasks}
-	return state.MachineShard{Machines: []state.Machine{m}}
+func machineWith(tasks ...schema.Task) schema.MachineShard {
+	m := schema.Machine{Name: "n-000001", Addr: "n-000001", MachineKind: schema.MachineKind{Type: "big", Zone: "a"}, Tasks: tasks}
+	return schema.MachineShard{Machines: []schema.Machine{m}}
 }
 
 // launches counts the starts that are ordered by effects.
 func launches(effects []Effect) int {
 	n := 0
 	for _, e := range effects {
-		var orders []workers.Order
+		var orders []agent.Order
 		switch e := e.(type) {
 		case WorkerCall:
 			if e.Cmd != nil {
 				orders = e.Cmd.Orders
 			}
 		case Reply:
-			if a, ok := e.Body.(workers.Answer); ok {
+			if a, ok := e.Body.(agent.Answer); ok {
 				orders = a.Orders
 			}
 		}
 		for _, order := range orders {
-			if order.Op == workers.Launch {
+			if order.Op == agent.Launch {
 				n++
 			}
 		}
@@ -83,16 +84,16 @@
 }
 
 // news is the answer to the open watch.
-func (o *outside) news(events ...state.Event) Msg {
+func (o *outside) news(events ...kv.Event) Msg {
 	watch := o.waits[len(o.waits)-1]
 	o.waits = o.waits[:len(o.waits)-1]
 	for _, e := range events {
 		o.rev = max(o.rev, e.Stamp)
 		if e.Set != "" {
-			o.keys[e.Set] = state.Item{Key: e.Set, Value: e.Value, Stamp: e.Stamp}
+			o.keys[e.Set] = kv.Item{Key: e.Set, Value: e.Value, Stamp: e.Stamp}
 		}
 	}
-	return StateDone{ID: watch.ID, Resp: state.Response{Status: 200, Rev: o.rev, News: events}}
+	return StateDone{ID: watch.ID, Resp: kv.Response{Status: 200, Rev: o.rev, News: events}}
 }
 
 // TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered
@@ -102,12 +103,12 @@
 	for name, cancelled := range map[string]bool{"accepted": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
 			c, o, step := foreignJob(t)
-			entry := state.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-			events := []state.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}}
+			entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
+			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}}
 			if cancelled {
 				events = append(events,
-					state.Event{Set: state.Cancels + entry.Job, Value: encode(map[string]string{"w": "x"}), Stamp: o.rev + 2},
-					state.Event{Set: state.Finals + entry.Job, Value: encode(state.Final{Stage: Cancelled}), Stamp: o.rev + 2})
+					kv.Event{Set: schema.Cancels + entry.Job, Value: encode(map[string]string{"w": "x"}), Stamp: o.rev + 2},
+					kv.Event{Set: schema.Finals + entry.Job, Value: encode(schema.Final{Stage: Cancelled}), Stamp: o.rev + 2})
 			}
 			got := launches(step(o.news(events...)))
 			for range 40 {
--- a/internal/core/commit.go
+++ b/internal/controller/commit.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"bytes"
@@ -6,7 +6,8 @@
 	"fmt"
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -94,7 +95,7 @@
 // first copy may still be applied late, and whichever comes second fails on
 // the guards. When a repeat fails, the mark tells whether the first copy had
 // been applied. So done is called exactly once, with the truth.
-func (c *Core) commit(txn *state.Txn, mark string, done func(outcome, uint64, []string)) {
+func (c *Core) commit(txn *kv.Txn, mark string, done func(outcome, uint64, []string)) {
 	c.tokens -= float64(len(txn.Apply))
 	c.spent += len(txn.Apply)
 	for _, op := range txn.Apply {
@@ -116,7 +117,7 @@
 		done(committed, rev, nil)
 	}
 	try = func() {
-		c.callState(state.Request{Kind: state.Commit, Txn: txn}, func(r state.Response) {
+		c.callState(kv.Request{Kind: kv.Commit, Txn: txn}, func(r kv.Response) {
 			switch {
 			case r.Status == 200:
 				settle(r.Rev)
@@ -166,7 +167,7 @@
 
 // kindOf is what a key holds, as the log calls it.
 func kindOf(key string) string {
-	for prefix, kind := range map[string]string{state.MachineShards: "machine_shards", state.JobShards: "job_shards", state.Progress: "progress", state.Finals: "ends"} {
+	for prefix, kind := range map[string]string{schema.MachineShards: "machine_shards", schema.JobShards: "job_shards", schema.Progress: "progress", schema.Finals: "ends"} {
 		if strings.HasPrefix(key, prefix) {
 			return kind
 		}
@@ -175,7 +176,7 @@
 }
 
 // look reads whether a transaction whose fate was unclear has been applied.
-func (c *Core) look(txn *state.Txn, mark string, done func(bool, uint64)) {
+func (c *Core) look(txn *kv.Txn, mark string, done func(bool, uint64)) {
 	key := ""
 	for _, op := range txn.Apply {
 		if op.Set != "" {
@@ -189,10 +190,10 @@
 	}
 	var try func()
 	try = func() {
-		c.callState(state.Request{Kind: state.Get, Key: key}, func(r state.Response) {
+		c.callState(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
 			switch r.Status {
 			case 200:
-				done(bytes.Contains(state.Plain(r.Value), []byte(`"`+mark+`"`)), r.Stamp)
+				done(bytes.Contains(schema.Plain(r.Value), []byte(`"`+mark+`"`)), r.Stamp)
 			case 404:
 				done(false, 0)
 			default:
@@ -251,7 +252,7 @@
 	c.confirmAt = c.now
 	c.confirms++
 	sent := c.now
-	c.callState(state.Request{Kind: state.Get, Key: state.Root + "none"}, func(r state.Response) {
+	c.callState(kv.Request{Kind: kv.Get, Key: schema.Root + "none"}, func(r kv.Response) {
 		c.confirms--
 		for _, w := range batch {
 			if r.Status != 404 || r.Rev == 0 {
--- a/internal/core/core.go
+++ b/internal/controller/core.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -8,11 +8,11 @@
 	"strconv"
 	"strings"
 
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/peer"
 	"frostdock.example/frostdock/internal/policy"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -30,7 +30,7 @@
 	dirty   bool
 
 	nextID     uint64
-	stateCalls map[uint64]func(state.Response)
+	stateCalls map[uint64]func(kv.Response)
 	cloudCalls map[uint64]func(CloudDone)
 	cmdCalls   map[uint64]func(WorkerDone)
 	timers     []timer
@@ -106,7 +106,7 @@
 func New(cfg *config.Config, pol *policy.Policy, log *slog.Logger, incarnation string) *Core {
 	c := &Core{
 		cfg: cfg, pol: pol, log: log.With("node", cfg.Member),
-		stateCalls: map[uint64]func(state.Response){}, cloudCalls: map[uint64]func(CloudDone){}, cmdCalls: map[uint64]func(WorkerDone){},
+		stateCalls: map[uint64]func(kv.Response){}, cloudCalls: map[uint64]func(CloudDone){}, cmdCalls: map[uint64]func(WorkerDone){},
 		processID: incarnation, incarnation: incarnation, owned: map[int]*ownedPartition{}, writing: map[string]bool{},
 		open: map[uint64]units.Micros{}, peers: map[string]peerState{}, heard: map[string]units.Micros{}, entering: map[string]*newMachine{}, zones: map[string]zoneState{}, written: map[string]int{},
 		cloud: newCloudState(), lastAt: map[string]units.Micros{}, classAverage: map[string]units.Micros{},
@@ -255,7 +255,7 @@
 	return c.nextID
 }
 
-func (c *Core) callState(req state.Request, done func(state.Response)) {
+func (c *Core) callState(req kv.Request, done func(kv.Response)) {
 	id := c.id()
 	c.stateCalls[id] = done
 	c.out = append(c.out, StateCall{id, req})
@@ -363,7 +363,7 @@
 	return nil
 }
 
-func (c *Core) machineType(name string) *provision.Type {
+func (c *Core) machineType(name string) *cloud.Type {
 	for i := range c.cloud.types {
 		if c.cloud.types[i].Name == name {
 			return &c.cloud.types[i]
--- a/internal/core/decisions.go
+++ b/internal/controller/decisions.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import (
-	"frostdock.example/frostdock/internal/state"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // What may be started, stopped, released, forgotten and answered is decided here and nowhere
@@ -20,7 +20,7 @@
 }
 
 // taskFactsOf gathers the facts of an entry.
-func (c *Core) taskFactsOf(t state.Task) taskFacts {
+func (c *Core) taskFactsOf(t schema.Task) taskFacts {
 	j := c.replica.jobs[t.Job]
 	if j == nil || !j.known {
 		return taskFacts{}
@@ -100,10 +100,10 @@
 }
 
 // machineFactsOf gathers them for an entry of a machine that this controller commands.
-func (c *Core) machineFactsOf(m *machine, t state.Task) machineFacts {
+func (c *Core) machineFactsOf(m *machine, t schema.Task) machineFacts {
 	piece, there := m.rt.pieces[keyOf(t)]
 	return machineFacts{
-		reported: there && m.rt.heardAt > 0, ended: piece.State == workers.Ended, tokenSeen: m.rt.seen == c.token(m),
+		reported: there && m.rt.heardAt > 0, ended: piece.State == agent.Ended, tokenSeen: m.rt.seen == c.token(m),
 		leaseOver: c.now > m.rt.leaseEnd, settled: c.settled(m), machineGone: m.gone,
 	}
 }
@@ -155,7 +155,7 @@
 	completed bool // all of its tasks are
 }
 
-func (j *job) facts(final state.Final) jobFacts {
+func (j *job) facts(final schema.Final) jobFacts {
 	return jobFacts{
 		cancelled: j.cancelled(), marked: j.marked, derived: j.chain.Because() != "" || final.Because != "",
 		entered: len(j.bound) > 0, completed: j.doneCount() == j.spec.Tasks,
@@ -208,4 +208,4 @@
 }
 
 // contradicts reports whether an answer is older than an end that is stored.
-func (st *Status) contradicts(end state.Final) bool { return st.Stage != end.Stage }
+func (st *Status) contradicts(end schema.Final) bool { return st.Stage != end.Stage }
--- a/internal/core/demand.go
+++ b/internal/controller/demand.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strconv"
 
-	"frostdock.example/frostdock/internal/provision"
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -127,7 +127,7 @@
 func (c *Core) overlooked(j *job) bool { return c.waitedFor(j) > 5*units.Second }
 
 // roomOn is what the tasks bound to a machine leave of it.
-func (c *Core) roomOn(m *machine, t *provision.Type) *resources {
+func (c *Core) roomOn(m *machine, t *cloud.Type) *resources {
 	g := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
 		if j := c.live(task); j != nil {
--- a/internal/core/draft.go
+++ b/internal/controller/draft.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -24,7 +24,7 @@
 	mark      string
 	moveTo    int // partition that it is handed to, or -1
 	drafts    []*draft
-	entries   []state.Machine // newcomers
+	entries   []schema.Machine // newcomers
 }
 
 // draft is a machine's entry in the making.
@@ -32,8 +32,8 @@
 	m         *machine
 	gd        *shardDraft
 	resources // free room
-	keep      []state.Task
-	added     []state.Task
+	keep      []schema.Task
+	added     []schema.Task
 	usable    bool
 	fence     bool
 	retire    bool
@@ -60,8 +60,8 @@
 }
 
 // doc is the machine shard as it is to be stored.
-func (gd *shardDraft) doc() *state.MachineShard {
-	doc := &state.MachineShard{Part: gd.g.part, Handover: gd.g.handover, Spread: gd.g.spread, Mark: gd.mark, Machines: slices.Clone(gd.entries)}
+func (gd *shardDraft) doc() *schema.MachineShard {
+	doc := &schema.MachineShard{Part: gd.g.part, Handover: gd.g.handover, Spread: gd.g.spread, Mark: gd.mark, Machines: slices.Clone(gd.entries)}
 	if gd.moveTo >= 0 {
 		doc.Part = gd.moveTo
 		doc.Handover++
@@ -88,14 +88,14 @@
 		}
 		doc.Machines = append(doc.Machines, m)
 	}
-	slices.SortFunc(doc.Machines, func(a, b state.Machine) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(doc.Machines, func(a, b schema.Machine) int { return strings.Compare(a.Name, b.Name) })
 	return doc
 }
 
 // ran is how the end of a task that its commander saw complete is written down
 // beside it; zero if there is nothing to tell. It frees the task's part of its team's
 // limit, and tells the job's owner if that is another.
-func (c *Core) ran(m *machine, t *state.Task) int {
+func (c *Core) ran(m *machine, t *schema.Task) int {
 	j := c.replica.jobs[t.Job]
 	if j == nil || !j.known || m.rt == nil || !j.unstoredDone[t.Num] {
 		return 0
@@ -108,7 +108,7 @@
 
 // mustRecordEnd reports whether the end of a task must be written down for another
 // controller, which owns its job, or since its team is at its limit.
-func (c *Core) mustRecordEnd(m *machine, t *state.Task, using map[string]*usage) bool {
+func (c *Core) mustRecordEnd(m *machine, t *schema.Task, using map[string]*usage) bool {
 	if t.Ran > 0 || c.ran(m, t) == 0 {
 		return false
 	}
@@ -261,12 +261,12 @@
 			}
 			e := c.entering[name]
 			r := &e.q.Report
-			doc := state.Machine{Name: name, Addr: r.Addr, MachineKind: state.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
+			doc := schema.Machine{Name: name, Addr: r.Addr, MachineKind: schema.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
 			// A machine that had an entry before may have seen higher tokens.
 			if seen := e.token >> 31; seen >= gd.g.handover {
 				doc.Handover = seen - gd.g.handover + 1
 			}
-			gd.bytes -= state.StoredCost(len(encode(doc)))
+			gd.bytes -= schema.StoredCost(len(encode(doc)))
 			gd.entries = append(gd.entries, doc)
 			b.touch(gd)
 			c.log.Info("enter a machine", "machine", name, "type", r.Type, "spot", r.Spot, "partition", gd.g.part)
--- a/internal/core/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -15,7 +15,7 @@
 	c.now = units.Second
 	add := func(id, class string, estimateS float64, averageS float64) *job {
 		j := c.replica.job(id)
-		j.known, j.spec = true, state.Job{ID: id, Class: class, EstS: estimateS}
+		j.known, j.spec = true, schema.Job{ID: id, Class: class, EstS: estimateS}
 		if averageS > 0 {
 			j.avg, j.avgOf = units.FromSeconds(averageS), 10
 		}
--- a/internal/core/finals.go
+++ b/internal/controller/finals.go
@@ -1,21 +1,21 @@
-package core
+package controller
 
-import "frostdock.example/frostdock/internal/state"
+import "frostdock.example/frostdock/internal/schema"
 
 // finals remembers how jobs ended, the latest ones only: the state service
 // holds them all.
 type finals struct {
 	most int
-	m    map[string]state.Final
+	m    map[string]schema.Final
 	ring []string
 	at   int
 }
 
 func newFinals(most int) *finals {
-	return &finals{most: most, m: map[string]state.Final{}}
+	return &finals{most: most, m: map[string]schema.Final{}}
 }
 
-func (f *finals) put(id string, v state.Final) {
+func (f *finals) put(id string, v schema.Final) {
 	if _, ok := f.m[id]; ok {
 		return // an end never changes
 	}
@@ -29,7 +29,7 @@
 	f.m[id] = v
 }
 
-func (f *finals) get(id string) (state.Final, bool) {
+func (f *finals) get(id string) (schema.Final, bool) {
 	v, ok := f.m[id]
 	return v, ok
 }
--- a/internal/core/finish.go
+++ b/internal/controller/finish.go
@@ -1,10 +1,11 @@
-package core
+package controller
 
 import (
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -18,7 +19,7 @@
 func (c *Core) finishJobs(b *batch, jobs []*job) {
 	least := b.joint() - b.joint()/2 // the rest is for what waits to start
 	for _, j := range jobs {
-		if c.writing[state.Finals+j.id] {
+		if c.writing[schema.Finals+j.id] {
 			continue
 		}
 		final, _ := c.replica.finals.get(j.id)
@@ -29,15 +30,15 @@
 		c.audit.forgets[reason]++
 		switch reason {
 		case forgetCancelled:
-			key := state.Cancels + j.id
+			key := schema.Cancels + j.id
 			b.clear(j)
-			b.op(state.Op{Delete: key}, c.replica.stamps[key])
+			b.op(kv.Op{Delete: key}, c.replica.stamps[key])
 		case forgetDerived:
 			b.endDerived(j)
 		case forgetCompleted:
-			f := state.Final{Stage: Done, Done: j.spec.Tasks, At: int64(c.wall), Mark: b.mark}
+			f := schema.Final{Stage: Done, Done: j.spec.Tasks, At: int64(c.wall), Mark: b.mark}
 			// Whoever writes the end first decides between done and cancelled.
-			b.op(state.Op{Set: state.Finals + j.id, Value: encode(f)}, 0)
+			b.op(kv.Op{Set: schema.Finals + j.id, Value: encode(f)}, 0)
 			b.clear(j)
 		}
 	}
@@ -80,16 +81,16 @@
 func (b *batch) flush(j *job) {
 	set := j.done.Union(j.merged)
 	avg, of := j.average()
-	if !b.packs.put(j, state.Done{Ranges: set.String(), AvgS: avg.Seconds(), Of: of}) {
+	if !b.packs.put(j, schema.Done{Ranges: set.String(), AvgS: avg.Seconds(), Of: of}) {
 		return
 	}
 	j.flushAt = b.c.now
 	b.saved = append(b.saved, savedRuns{j, j.runSum, j.runCount})
 }
 
-func (b *batch) op(op state.Op, stamp uint64) {
+func (b *batch) op(op kv.Op, stamp uint64) {
 	b.finals = append(b.finals, op)
-	b.guards = append(b.guards, state.Guard{Key: op.Set + op.Delete, Stamp: stamp})
+	b.guards = append(b.guards, kv.Guard{Key: op.Set + op.Delete, Stamp: stamp})
 	b.spendJoint(1)
 	b.size -= len(op.Value) + 100
 }
@@ -124,24 +125,24 @@
 // Only the partition's owner writes them, so a job may stand in any of them.
 type packing struct {
 	b     *batch
-	edits map[string]map[string]state.Done
+	edits map[string]map[string]schema.Done
 	sizes map[string]int
 	moved map[string]string // jobs that were entered in another document, and in which
 }
 
 func newPacking(b *batch) *packing {
-	return &packing{b: b, edits: map[string]map[string]state.Done{}, sizes: map[string]int{}, moved: map[string]string{}}
+	return &packing{b: b, edits: map[string]map[string]schema.Done{}, sizes: map[string]int{}, moved: map[string]string{}}
 }
 
 // edited reports whether the document of the job's progress is written anyway.
 func (p *packing) edited(j *job) bool { return j.pack != nil && p.edits[j.pack.key] != nil }
 
 // edit gives the contents of a document to be changed.
-func (p *packing) edit(key string) map[string]state.Done {
+func (p *packing) edit(key string) map[string]schema.Done {
 	if e := p.edits[key]; e != nil {
 		return e
 	}
-	e := map[string]state.Done{}
+	e := map[string]schema.Done{}
 	if old := p.b.c.replica.packs[key]; old != nil {
 		p.sizes[key] = old.size
 		for id, d := range old.jobs {
@@ -160,7 +161,7 @@
 
 // put enters a job's progress, in another document than before if that one is
 // full. It reports whether the batch had room for it.
-func (p *packing) put(j *job, d state.Done) bool {
+func (p *packing) put(j *job, d schema.Done) bool {
 	b := p.b
 	cost := len(d.Ranges) + len(j.id) + 60
 	if key, ok := p.moved[j.id]; ok { // by this batch
@@ -218,7 +219,7 @@
 		}
 	}
 	for n := 0; ; n++ {
-		key := state.ProgressKey(p.b.o.n, n)
+		key := schema.ProgressKey(p.b.o.n, n)
 		if p.b.c.writing[key] || p.edits[key] != nil {
 			continue
 		}
@@ -238,6 +239,6 @@
 
 func (p *packing) changedKeys() []string { return slices.Sorted(maps.Keys(p.edits)) }
 
-func (p *packing) doc(key string) *state.Pack {
-	return &state.Pack{Jobs: p.edits[key], Mark: p.b.mark}
+func (p *packing) doc(key string) *schema.Pack {
+	return &schema.Pack{Jobs: p.edits[key], Mark: p.b.mark}
 }
--- a/internal/core/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -10,21 +10,22 @@
 	"strings"
 	"testing"
 
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/policy"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // outside answers what a core asks, at once and without a fault, and counts it.
 type outside struct {
-	keys    map[string]state.Item
+	keys    map[string]kv.Item
 	rev     uint64
 	waits   []StateCall // open watches
 	seq     uint64
-	asked   map[state.Kind]int
+	asked   map[kv.Kind]int
 	workers int
 
 	guarded bool // conditions of transactions are checked
@@ -35,7 +36,7 @@
 }
 
 // tooLarge notes a transaction that the state service would not take.
-func (o *outside) tooLarge(txn *state.Txn) {
+func (o *outside) tooLarge(txn *kv.Txn) {
 	if o.mostOps == 0 {
 		return
 	}
@@ -50,7 +51,7 @@
 }
 
 // failedGuards lists the conditions of a transaction that do not hold.
-func (o *outside) failedGuards(txn *state.Txn) []string {
+func (o *outside) failedGuards(txn *kv.Txn) []string {
 	var failed []string
 	for _, g := range txn.Guards {
 		if o.guarded && o.keys[g.Key].Stamp != g.Stamp {
@@ -85,11 +86,11 @@
 
 func (o *outside) put(key string, doc any) {
 	o.rev++
-	o.keys[key] = state.Item{Key: key, Value: encode(doc), Stamp: o.rev}
+	o.keys[key] = kv.Item{Key: key, Value: encode(doc), Stamp: o.rev}
 }
 
-func (o *outside) list(q state.Request) state.Response {
-	r := state.Response{Status: 200, Rev: o.rev}
+func (o *outside) list(q kv.Request) kv.Response {
+	r := kv.Response{Status: 200, Rev: o.rev}
 	var names []string
 	for k := range o.keys {
 		if strings.HasPrefix(k, q.Key) && k > q.Since {
@@ -114,41 +115,41 @@
 	switch e := e.(type) {
 	case StateCall:
 		o.asked[e.Req.Kind]++
-		r := state.Response{Status: 200, Rev: o.rev}
+		r := kv.Response{Status: 200, Rev: o.rev}
 		switch e.Req.Kind {
-		case state.Get:
+		case kv.Get:
 			it, ok := o.keys[e.Req.Key]
 			r.Status, r.Key, r.Value, r.Stamp = 200, it.Key, it.Value, it.Stamp
 			if !ok {
 				r.Status = 404
 			}
-		case state.List:
+		case kv.List:
 			r = o.list(e.Req)
-		case state.Grant:
+		case kv.Grant:
 			r.Permit = 1
-		case state.Watch:
+		case kv.Watch:
 			if e.Req.Rev >= o.rev {
 				o.waits = append(o.waits, e)
 				return nil
 			}
-		case state.Commit:
+		case kv.Commit:
 			o.tooLarge(e.Req.Txn)
 			if failed := o.failedGuards(e.Req.Txn); len(failed) > 0 {
-				return []Msg{StateDone{ID: e.ID, Resp: state.Response{Status: 409, Rev: o.rev, Failed: failed}}}
+				return []Msg{StateDone{ID: e.ID, Resp: kv.Response{Status: 409, Rev: o.rev, Failed: failed}}}
 			}
 			o.changes += len(e.Req.Txn.Apply)
 			o.rev++
 			r.Rev = o.rev
 			for _, op := range e.Req.Txn.Apply {
 				if op.Set != "" {
-					o.keys[op.Set] = state.Item{Key: op.Set, Value: op.Value, Stamp: o.rev}
+					o.keys[op.Set] = kv.Item{Key: op.Set, Value: op.Value, Stamp: o.rev}
 				} else {
 					delete(o.keys, op.Delete)
 				}
 			}
 			out := []Msg{StateDone{ID: e.ID, Resp: r}}
 			for _, w := range o.waits { // the core has applied its own commit already
-				out = append(out, StateDone{ID: w.ID, Resp: state.Response{Status: 200, Rev: o.rev}})
+				out = append(out, StateDone{ID: w.ID, Resp: kv.Response{Status: 200, Rev: o.rev}})
 			}
 			o.waits = nil
 			return out
@@ -158,13 +159,13 @@
 		d := CloudDone{ID: e.ID, Status: 503}
 		if e.Op == CloudCatalog {
 			d.Status = 200
-			d.Catalog.Types = []provision.Type{{Name: "big", CPUs: 32, MemGB: 256, FetchGBs: 1, Price: 1, BootS: 30, Zones: []string{"a"}}}
+			d.Catalog.Types = []cloud.Type{{Name: "big", CPUs: 32, MemGB: 256, FetchGBs: 1, Price: 1, BootS: 30, Zones: []string{"a"}}}
 		}
 		return []Msg{d}
 	case WorkerCall:
 		o.workers++
 		o.seq++
-		r := &workers.Report{Machine: e.Addr, Addr: e.Addr, Type: "big", Zone: "a", Session: 1, Seq: o.seq}
+		r := &agent.Report{Machine: e.Addr, Addr: e.Addr, Type: "big", Zone: "a", Session: 1, Seq: o.seq}
 		if e.Cmd != nil {
 			r.Token = e.Cmd.Token
 		}
@@ -194,7 +195,7 @@
 			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 			s.Cloud.RPS, s.Cloud.ListLagS = 10, 8
 			c := quietCore(cfg)
-			o := &outside{keys: map[string]state.Item{}, asked: map[state.Kind]int{}}
+			o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
 			fill(o, c, tc.machines, tc.tasks, tc.jobs, 400)
 
 			bytes := 0
@@ -214,14 +215,14 @@
 			if !c.usable(0) || len(c.replica.machines) != tc.machines {
 				t.Fatalf("owns %v, knows %d machines", c.ownedParts(), len(c.replica.machines))
 			}
-			if most := bytes/pageBytes + 1; o.asked[state.List] > most {
-				t.Errorf("%d pages of %d KB", o.asked[state.List], bytes>>10)
+			if most := bytes/pageBytes + 1; o.asked[kv.List] > most {
+				t.Errorf("%d pages of %d KB", o.asked[kv.List], bytes>>10)
 			}
 			asked := 0
 			for _, n := range o.asked {
 				asked += n
 			}
-			if asked > o.asked[state.List]+10 {
+			if asked > o.asked[kv.List]+10 {
 				t.Errorf("%d requests before it commands: %v", asked, o.asked)
 			}
 			for range 80 { // two seconds: every machine is asked, and told the new token
@@ -244,7 +245,7 @@
 			}
 			m := c.sortedMachines()[7]
 			o.seq++
-			c.handle(ReportReq{Report: workers.Report{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Session: 1, Seq: o.seq, Token: c.token(m)}})
+			c.handle(ReportReq{Report: agent.Report{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Session: 1, Seq: o.seq, Token: c.token(m)}})
 			if after := kept(); after < before-1 {
 				t.Errorf("one report dropped the views of %d machines", before-after)
 			}
@@ -275,21 +276,21 @@
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 8
 	c := quietCore(cfg)
-	o := &outside{keys: map[string]state.Item{}, asked: map[state.Kind]int{}}
-	layout := state.Layout{Groups: 48, Shelves: 24}
-	o.put(state.LayoutOf, layout)
+	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
+	layout := schema.Layout{Groups: 48, Shelves: 24}
+	o.put(schema.LayoutOf, layout)
 	c.replica.layOut(layout)
 	fill(o, c, machines, 8, jobs, 1) // no task waits
-	pack := state.Pack{Jobs: map[string]state.Done{}}
+	pack := schema.Pack{Jobs: map[string]schema.Done{}}
 	for j := range 40 {
-		pack.Jobs[fmt.Sprintf("j-%06d", j*577)] = state.Done{Ranges: longRanges, AvgS: 7, Of: 40}
+		pack.Jobs[fmt.Sprintf("j-%06d", j*577)] = schema.Done{Ranges: longRanges, AvgS: 7, Of: 40}
 	}
-	o.put(state.ProgressKey(0, 0), pack)
+	o.put(schema.ProgressKey(0, 0), pack)
 	o.most, o.mostOps = int(s.State.ValueKB*1024), s.State.TxnOps
 	step := o.stepper(c)
 	long := func() (n int) {
 		for key, it := range o.keys {
-			if strings.HasPrefix(key, state.Active) && len(it.Value) > int(valueKB*1024) {
+			if strings.HasPrefix(key, schema.Active) && len(it.Value) > int(valueKB*1024) {
 				n++
 			}
 		}
@@ -331,47 +332,47 @@
 // seldom together.
 func fill(o *outside, c *Core, machines, tasks, jobs, tasksOfJob int) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	groups := make([]state.MachineShard, len(c.replica.machineShards))
+	groups := make([]schema.MachineShard, len(c.replica.machineShards))
 	for i := range machines {
 		name := fmt.Sprintf("n-%06d", i)
-		m := state.Machine{Name: name, Addr: name, MachineKind: state.MachineKind{Type: "big", Zone: "a", Spot: i%4 == 0}}
+		m := schema.Machine{Name: name, Addr: name, MachineKind: schema.MachineKind{Type: "big", Zone: "a", Spot: i%4 == 0}}
 		for range tasks {
 			j := rng.IntN(jobs)
-			m.Tasks = append(m.Tasks, state.Task{Job: fmt.Sprintf("j-%06d", j*577), Num: rng.IntN(400), Attempt: 3<<28 | uint64(rng.IntN(9000))})
+			m.Tasks = append(m.Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", j*577), Num: rng.IntN(400), Attempt: 3<<28 | uint64(rng.IntN(9000))})
 		}
 		g := c.replica.machineShardOf(name)
 		groups[g.n].Machines = append(groups[g.n].Machines, m)
 	}
 	for n, g := range groups {
-		o.put(state.MachineShardKey(n), g)
+		o.put(schema.MachineShardKey(n), g)
 	}
-	shelves := make([]state.JobShard, len(c.replica.jobShards))
+	shelves := make([]schema.JobShard, len(c.replica.jobShards))
 	for j := range jobs {
 		id := fmt.Sprintf("j-%06d", j*577)
-		n := state.JobShardOf(id, len(shelves))
-		shelves[n].Jobs = append(shelves[n].Jobs, state.Job{ID: id, Class: "some-class", Team: "red", Tasks: tasksOfJob, CPUs: 2, MemGB: 7.4, Spot: true,
+		n := schema.JobShardOf(id, len(shelves))
+		shelves[n].Jobs = append(shelves[n].Jobs, schema.Job{ID: id, Class: "some-class", Team: "red", Tasks: tasksOfJob, CPUs: 2, MemGB: 7.4, Spot: true,
 			Image: fmt.Sprintf("img-%02d", rng.IntN(18)), ImageGB: float64(rng.IntN(300)) / 100, EstS: float64(rng.IntN(90000)) / 1000, At: 1e15 + rng.Int64N(5e8)})
 	}
 	for n, s := range shelves {
-		o.put(state.JobShardKey(n), s)
+		o.put(schema.JobShardKey(n), s)
 	}
 }
 
 // TestFleetWorkMeasures shows that the bounds on documents are real: plain ones of
 // the same fleet would not fit.
 func TestFleetWorkMeasures(t *testing.T) {
-	var m []state.Machine
+	var m []schema.Machine
 	for i := range 21 {
-		m = append(m, state.Machine{Name: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000"})
+		m = append(m, schema.Machine{Name: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000"})
 		for k := range 10 {
-			m[i].Tasks = append(m[i].Tasks, state.Task{Job: fmt.Sprintf("j-%06d", i*k*31), Num: k * 7, Attempt: 3<<28 | uint64(i*k)})
+			m[i].Tasks = append(m[i].Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", i*k*31), Num: k * 7, Attempt: 3<<28 | uint64(i*k)})
 		}
 	}
-	raw, err := json.Marshal(state.MachineShard{Machines: m})
+	raw, err := json.Marshal(schema.MachineShard{Machines: m})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain := state.Plain(raw); len(plain) < 4096 || len(raw) > 3600 {
+	if plain := schema.Plain(raw); len(plain) < 4096 || len(raw) > 3600 {
 		t.Errorf("%d bytes, plain %d", len(raw), len(plain))
 	}
 }
--- a/internal/core/format_test.go
+++ b/internal/controller/format_test.go
@@ -1,17 +1,17 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // TestRegistrations raises the format only when every configured member is registered with it
 // and no process with an earlier one is.
 func TestRegistrations(t *testing.T) {
-	const now, before = state.FormatChains, state.FormatBefore
+	const now, before = schema.FormatChains, schema.FormatBefore
 	for name, tc := range map[string]struct {
 		formats map[string]int // by member and incarnation
 		want    bool
@@ -29,7 +29,7 @@
 		stamp := uint64(10)
 		for key, format := range tc.formats {
 			stamp++
-			c.apply(state.Nodes+key, encode(state.Registration{Incarnation: "x", Format: format}), stamp, false)
+			c.apply(schema.Nodes+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
 		}
 		guards, ok := c.registrations()
 		if ok != tc.want || ok && len(guards) != len(tc.formats) {
@@ -51,14 +51,14 @@
 		cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 100
 		c := quietCore(cfg)
 		of := len(c.replica.machineShards)
-		whole := state.MachineShard{}
-		shelf := state.JobShard{}
+		whole := schema.MachineShard{}
+		shelf := schema.JobShard{}
 		for i := range 6 {
-			whole.Machines = append(whole.Machines, state.Machine{Name: fmt.Sprintf("n-%06d", 3+i*of), Addr: "x", Tasks: state.Tasks{{Job: "j-000001", Num: i, Attempt: 7}}})
-			shelf.Jobs = append(shelf.Jobs, state.Job{ID: fmt.Sprintf("j-%06d", 5+i*len(c.replica.jobShards)), Tasks: 1})
+			whole.Machines = append(whole.Machines, schema.Machine{Name: fmt.Sprintf("n-%06d", 3+i*of), Addr: "x", Tasks: schema.Tasks{{Job: "j-000001", Num: i, Attempt: 7}}})
+			shelf.Jobs = append(shelf.Jobs, schema.Job{ID: fmt.Sprintf("j-%06d", 5+i*len(c.replica.jobShards)), Tasks: 1})
 		}
-		c.apply(state.MachineShardKey(3), encode(whole), 10, false)
-		c.apply(state.JobShardKey(5), encode(shelf), 11, false)
+		c.apply(schema.MachineShardKey(3), encode(whole), 10, false)
+		c.apply(schema.JobShardKey(5), encode(shelf), 11, false)
 		known := map[string]*machine{}
 		for name, m := range c.replica.machines {
 			known[name] = m
@@ -111,22 +111,22 @@
 			cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 100
 			c := quietCore(cfg)
 			of := len(c.replica.jobShards)
-			job := func(n int) state.Job { return state.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
+			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
 			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
-			c.apply(state.JobShardKey(5), encode(state.JobShard{Jobs: []state.Job{stays, moves, movesTwice}}), 10, false)
+			c.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
 			docs := []struct {
 				key   string
-				doc   state.JobShard
+				doc   schema.JobShard
 				stamp uint64
 			}{
-				{state.JobShardKey(5), state.JobShard{Spread: 2 * of, Jobs: []state.Job{stays}}, 20},
-				{state.JobShardKey(5 + of), state.JobShard{Spread: 4 * of, Jobs: []state.Job{moves}}, 30},
-				{state.JobShardKey(5 + 3*of), state.JobShard{Spread: 4 * of, Jobs: []state.Job{movesTwice}}, 30},
+				{schema.JobShardKey(5), schema.JobShard{Spread: 2 * of, Jobs: []schema.Job{stays}}, 20},
+				{schema.JobShardKey(5 + of), schema.JobShard{Spread: 4 * of, Jobs: []schema.Job{moves}}, 30},
+				{schema.JobShardKey(5 + 3*of), schema.JobShard{Spread: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
 			}
 			for _, i := range order {
 				c.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
 			}
-			for _, want := range []state.Job{stays, moves, movesTwice} {
+			for _, want := range []schema.Job{stays, moves, movesTwice} {
 				if j := c.replica.jobs[want.ID]; j == nil || !j.known || j.chain == nil {
 					t.Errorf("%s is lost", want.ID)
 				}
--- a/internal/core/guarantee.go
+++ b/internal/controller/guarantee.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"math"
--- a/internal/core/job.go
+++ b/internal/controller/job.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import (
-	"frostdock.example/frostdock/internal/chain"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/dag"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -11,8 +11,8 @@
 type job struct {
 	id           string
 	known        bool
-	spec         state.Job
-	done         state.Set
+	spec         schema.Job
+	done         schema.Set
 	pack         *progressPack // where its progress is stored, if any is
 	avg          units.Micros  // stored average of finished tasks
 	avgOf        int           // and of how many
@@ -22,12 +22,12 @@
 	holding      int           // of bound, those whose end is not stored; counted with live
 	recordedDone map[int]bool  // of bound, those whose end stands beside them in their machine's entry
 	part         int
-	chain        *chain.Node // which jobs it waits for; nil: none was ever named
-	gapsMost     *int        // gaps that its stored progress may have; nil: the usual number
+	chain        *dag.Node // which jobs it waits for; nil: none was ever named
+	gapsMost     *int      // gaps that its stored progress may have; nil: the usual number
 
 	// The owner's own knowledge, lost with it.
 	unstoredDone map[int]bool // known to be done, not yet stored
-	merged       state.Set    // done, and what is not stored yet
+	merged       schema.Set   // done, and what is not stored yet
 	runSum       units.Micros // lengths of those
 	runCount     int
 	share        float64
--- a/internal/core/layout_test.go
+++ b/internal/controller/layout_test.go
@@ -1,10 +1,11 @@
-package core
+package controller
 
 import (
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // TestLayout starts controllers on stores that were laid out before. A controller with
@@ -13,15 +14,15 @@
 func TestLayout(t *testing.T) {
 	const valueKB = 8
 	limited, open := []config.Team{{Name: "red", CPUsMax: 1000}}, []config.Team{{Name: "red"}}
-	narrow, wide := state.LayoutFor(valueKB, 1000), state.LayoutFor(valueKB, 0)
+	narrow, wide := schema.LayoutFor(valueKB, 1000), schema.LayoutFor(valueKB, 0)
 	if narrow == wide {
 		t.Fatal("the limit makes no difference")
 	}
 	for name, tc := range map[string]struct {
 		teams  []config.Team
-		stored *state.Layout
+		stored *schema.Layout
 		groups bool // of a store from before layouts
-		want   state.Layout
+		want   schema.Layout
 	}{
 		"new store, limited":     {teams: limited, want: narrow},
 		"new store, not limited": {teams: open, want: wide},
@@ -35,12 +36,12 @@
 			s.Size, s.Teams = 1, tc.teams
 			s.State.ValueKB, s.State.TxnOps, s.State.RPS, s.State.WriteRPS = valueKB, 12, 350, 35
 			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
-			o := &outside{keys: map[string]state.Item{}, asked: map[state.Kind]int{}}
+			o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
 			if tc.stored != nil {
-				o.put(state.LayoutOf, tc.stored)
+				o.put(schema.LayoutOf, tc.stored)
 			}
 			if tc.groups {
-				o.put(state.MachineShardKey(wide.Groups-1), state.MachineShard{Machines: []state.Machine{{Name: "n-000047", Addr: "x"}}})
+				o.put(schema.MachineShardKey(wide.Groups-1), schema.MachineShard{Machines: []schema.Machine{{Name: "n-000047", Addr: "x"}}})
 			}
 			c := quietCore(cfg)
 			step := o.stepper(c)
@@ -50,13 +51,13 @@
 			if !c.replica.synced {
 				t.Fatal("not loaded")
 			}
-			if got := (state.Layout{Groups: len(c.replica.machineShards), Shelves: len(c.replica.jobShards)}); got != tc.want {
+			if got := (schema.Layout{Groups: len(c.replica.machineShards), Shelves: len(c.replica.jobShards)}); got != tc.want {
 				t.Errorf("%+v, want %+v", got, tc.want)
 			}
 			if tc.groups && c.replica.machines["n-000047"] == nil {
 				t.Error("the machine is not found")
 			}
-			if _, ok := o.keys[state.LayoutOf]; !ok {
+			if _, ok := o.keys[schema.LayoutOf]; !ok {
 				t.Error("the layout is not stored")
 			}
 		})
--- a/internal/core/limits.go
+++ b/internal/controller/limits.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import "frostdock.example/frostdock/internal/config"
 
--- a/internal/core/load.go
+++ b/internal/controller/load.go
@@ -1,13 +1,14 @@
-package core
+package controller
 
 import (
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
-// load reads everything under state.Active, then watches. It is the way in at
+// load reads everything under schema.Active, then watches. It is the way in at
 // the start and whenever the watch has lost its place (410).
 func (c *Core) load() {
 	c.replica.synced = false
@@ -16,7 +17,7 @@
 	var base uint64
 	var page func(since string)
 	page = func(since string) {
-		c.callState(state.Request{Kind: state.List, Key: state.Active, Since: since}, func(resp state.Response) {
+		c.callState(kv.Request{Kind: kv.List, Key: schema.Active, Since: since}, func(resp kv.Response) {
 			if resp.Status != 200 {
 				c.after(300*units.Millisecond, func() { page(since) })
 				return
@@ -59,10 +60,10 @@
 
 // newLayout is the layout of a store that has none yet: one that fits what the state service
 // will allow.
-func (c *Core) newLayout() state.Layout {
+func (c *Core) newLayout() schema.Layout {
 	settings := &c.cfg.Settings
 	tighter := settings.State.Tighter(settings.NextState())
-	return state.LayoutFor(tighter.ValueKB, settings.MostCPUs())
+	return schema.LayoutFor(tighter.ValueKB, settings.MostCPUs())
 }
 
 // writeLayout settles the layout of a store that has none. If another was first, or the
@@ -70,22 +71,22 @@
 func (c *Core) writeLayout(rev uint64) {
 	layout := c.newLayout()
 	for key := range c.replica.stamps {
-		if strings.HasPrefix(key, state.MachineShards) {
-			layout = state.LayoutBefore(c.cfg.Settings.State.ValueKB)
+		if strings.HasPrefix(key, schema.MachineShards) {
+			layout = schema.LayoutBefore(c.cfg.Settings.State.ValueKB)
 		}
 	}
 	c.log.Info("lay out the store", "machine_shards", layout.Groups, "job_shards", layout.Shelves)
-	txn := &state.Txn{
-		Guards: []state.Guard{{Key: state.LayoutOf}},
-		Apply:  []state.Op{{Set: state.LayoutOf, Value: encode(layout)}},
+	txn := &kv.Txn{
+		Guards: []kv.Guard{{Key: schema.LayoutOf}},
+		Apply:  []kv.Op{{Set: schema.LayoutOf, Value: encode(layout)}},
 	}
 	asLoaded := layout == c.replica.layout
-	c.callState(state.Request{Kind: state.Commit, Txn: txn}, func(r state.Response) {
+	c.callState(kv.Request{Kind: kv.Commit, Txn: txn}, func(r kv.Response) {
 		if r.Status != 200 || !asLoaded {
 			c.after(100*units.Millisecond, c.load)
 			return
 		}
-		c.apply(state.LayoutOf, txn.Apply[0].Value, r.Rev, false)
+		c.apply(schema.LayoutOf, txn.Apply[0].Value, r.Rev, false)
 		c.loaded(rev)
 	})
 }
@@ -116,7 +117,7 @@
 	c.replica.watchN++
 	n := c.replica.watchN
 	opened := c.now
-	c.callState(state.Request{Kind: state.Watch, Key: state.Root, Rev: c.replica.watchRev, HoldMs: 10000}, func(resp state.Response) {
+	c.callState(kv.Request{Kind: kv.Watch, Key: schema.Root, Rev: c.replica.watchRev, HoldMs: 10000}, func(resp kv.Response) {
 		if n != c.replica.watchN {
 			return
 		}
--- a/internal/core/machines.go
+++ b/internal/controller/machines.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 	"strconv"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // machine is one machine: its stored document, and rt, what its owner has
@@ -15,7 +15,7 @@
 type machine struct {
 	name  string
 	g     *machineShard
-	doc   state.Machine
+	doc   schema.Machine
 	rt    *runtime
 	gone  bool    // the cloud has confirmed its deletion: the entry may go
 	views [2]view // kept for plans: as somebody else sees it, and as its commander does
@@ -38,7 +38,7 @@
 	attempt uint64
 }
 
-func keyOf(t state.Task) taskKey { return taskKey{t.Job, t.Num, t.Attempt} }
+func keyOf(t schema.Task) taskKey { return taskKey{t.Job, t.Num, t.Attempt} }
 
 func (k taskKey) task() string { return k.job + "/" + strconv.Itoa(k.num) }
 
@@ -62,7 +62,7 @@
 	unclearToken   uint64 // under this token
 	unclearSession uint64 // in this session
 
-	pieces         map[taskKey]workers.Piece
+	pieces         map[taskKey]agent.Piece
 	runs           map[taskKey]runMark
 	images         map[string]units.Micros
 	hasNotice      bool
@@ -107,7 +107,7 @@
 	m.rt = &runtime{
 		owner: o, since: c.now, contact: c.now, idleAt: c.now,
 		leaseEnd: c.now + c.cfg.Settings.AnswerBound() + l + leaseMargin(l),
-		pieces:   map[taskKey]workers.Piece{}, runs: map[taskKey]runMark{},
+		pieces:   map[taskKey]agent.Piece{}, runs: map[taskKey]runMark{},
 		images: map[string]units.Micros{}, errors: map[string]bool{}, ended: map[taskKey]endedTask{},
 	}
 	c.inspect(m)
@@ -174,7 +174,7 @@
 }
 
 // live is the job of a bound task that is not known to be done, or nil.
-func (c *Core) live(t state.Task) *job {
+func (c *Core) live(t schema.Task) *job {
 	if j := c.replica.jobs[t.Job]; j != nil && j.known && !j.isDone(t.Num) {
 		return j
 	}
@@ -183,7 +183,7 @@
 
 // unstored is the job of a bound task whose end is not stored yet, or nil. It
 // says the same on every controller.
-func (c *Core) unstored(t state.Task) *job {
+func (c *Core) unstored(t schema.Task) *job {
 	if j := c.replica.jobs[t.Job]; j != nil && j.known && !j.done.Has(t.Num) {
 		return j
 	}
--- a/internal/core/messages.go
+++ b/internal/controller/messages.go
@@ -2,13 +2,14 @@
 // time and a batch of messages and returns the effects to carry out; it does no
 // I/O, reads no clock and draws no random number that its seed does not give,
 // so that every run can be replayed exactly.
-package core
+package controller
 
 import (
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/peer"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // Msg is something that happened outside.
@@ -28,9 +29,9 @@
 type UserReq struct {
 	To   uint64
 	Kind UserKind
-	ID   string     // empty when a submission is too broken to have one
-	Job  *state.Job // nil when the submission is malformed
-	Why  error      // what is malformed
+	ID   string      // empty when a submission is too broken to have one
+	Job  *schema.Job // nil when the submission is malformed
+	Why  error       // what is malformed
 }
 
 // ReadyReq is a health probe.
@@ -39,22 +40,22 @@
 // ReportReq is a worker's report.
 type ReportReq struct {
 	To     uint64
-	Report workers.Report
+	Report agent.Report
 }
 
 // StateDone answers a StateCall.
 type StateDone struct {
 	ID   uint64
-	Resp state.Response
+	Resp kv.Response
 }
 
 // CloudDone answers a CloudCall. Status 0 means that there was no answer.
 type CloudDone struct {
 	ID      uint64
 	Status  int
-	Catalog provision.Catalog
-	Names   provision.Names
-	Page    provision.Page
+	Catalog cloud.Catalog
+	Names   cloud.Names
+	Page    cloud.Page
 }
 
 // WorkerDone answers a WorkerCall. Status 0 means that there was no answer, and
@@ -62,7 +63,7 @@
 type WorkerDone struct {
 	ID     uint64
 	Status int
-	Report *workers.Report
+	Report *agent.Report
 }
 
 // PeerHeartbeat is another controller's heartbeat.
@@ -82,7 +83,7 @@
 // StateCall calls the state service.
 type StateCall struct {
 	ID  uint64
-	Req state.Request
+	Req kv.Request
 }
 
 // CloudOp names a call of the cloud.
@@ -100,8 +101,8 @@
 type CloudCall struct {
 	ID    uint64
 	Op    CloudOp
-	Hire  provision.Hire
-	Names provision.Names
+	Hire  cloud.Hire
+	Names cloud.Names
 	Since string
 }
 
@@ -109,7 +110,7 @@
 type WorkerCall struct {
 	ID   uint64
 	Addr string
-	Cmd  *workers.Command
+	Cmd  *agent.Command
 }
 
 // SendHeartbeat goes to every other controller.
--- a/internal/core/placing.go
+++ b/internal/controller/placing.go
@@ -1,17 +1,17 @@
-package core
+package controller
 
 import (
 	"math"
 
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // allowed checks type, kind and zone, given where the job's other tasks may
 // be; those in doubt count as well.
 func (c *Core) allowed(j *job, m *machine) bool {
 	s := &j.spec
-	if !intake.TypeAllowed(s, m.doc.Type) || m.doc.Spot && !s.Spot || s.Zone != "" && s.Zone != m.doc.Zone {
+	if !api.TypeAllowed(s, m.doc.Type) || m.doc.Spot && !s.Spot || s.Zone != "" && s.Zone != m.doc.Zone {
 		return false
 	}
 	return !s.OneZone && !s.Spread || zoneAllowed(j, m.doc.Zone)
@@ -123,7 +123,7 @@
 		b.o.seq++
 		b.attempt = b.o.epoch<<28 | b.o.seq
 	}
-	t := state.Task{Job: j.id, Num: n, Attempt: b.attempt}
+	t := schema.Task{Job: j.id, Num: n, Attempt: b.attempt}
 	d.added = append(d.added, t)
 	d.resources.fill(&j.spec, 1)
 	d.gd.bytes -= taskBytes
--- a/internal/core/plan.go
+++ b/internal/controller/plan.go
@@ -1,10 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"slices"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -18,8 +19,8 @@
 	ops          int      // operations that are still free
 	jointOps     int      // of those, how many may still change together in one transaction
 	size         int      // bytes that are still free
-	finals       []state.Op
-	guards       []state.Guard
+	finals       []kv.Op
+	guards       []kv.Guard
 	cleared      map[*jobShard]map[string]bool // jobs that leave their job shards
 	packs        *packing
 	using        map[string]*usage
@@ -126,7 +127,7 @@
 	return using
 }
 
-func addUse(using map[string]*usage, s *state.Job, n int) {
+func addUse(using map[string]*usage, s *schema.Job, n int) {
 	u := using[s.Team]
 	if u == nil {
 		u = &usage{}
@@ -169,7 +170,7 @@
 
 // transaction is one part of a batch.
 type transaction struct {
-	txn    *state.Txn
+	txn    *kv.Txn
 	groups []*shardDraft
 	joint  bool // it has the ends and the progress
 }
@@ -209,13 +210,13 @@
 
 // newTransaction is one that this partition's owner alone can carry out.
 func (b *batch) newTransaction() *transaction {
-	return &transaction{txn: &state.Txn{Guards: []state.Guard{{Key: state.PartKey(b.o.n), Stamp: b.o.stamp}}}}
+	return &transaction{txn: &kv.Txn{Guards: []kv.Guard{{Key: schema.PartKey(b.o.n), Stamp: b.o.stamp}}}}
 }
 
 // addSet sets a document that is as this controller knows it.
-func (c *Core) addSet(txn *state.Txn, key string, value json.RawMessage) {
-	txn.Guards = append(txn.Guards, state.Guard{Key: key, Stamp: c.replica.stamps[key]})
-	txn.Apply = append(txn.Apply, state.Op{Set: key, Value: value})
+func (c *Core) addSet(txn *kv.Txn, key string, value json.RawMessage) {
+	txn.Guards = append(txn.Guards, kv.Guard{Key: key, Stamp: c.replica.stamps[key]})
+	txn.Apply = append(txn.Apply, kv.Op{Set: key, Value: value})
 }
 
 // jointChanges has the ends, the job shards that they leave and the progress.
--- a/internal/core/renting.go
+++ b/internal/controller/renting.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -6,15 +6,16 @@
 	"slices"
 	"strconv"
 
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
 // rental is a rental under way: asked for, or granted and not yet reporting.
 type rental struct {
-	req     provision.Hire
+	req     cloud.Hire
 	sent    bool
 	granted bool
 	at      units.Micros
@@ -71,7 +72,7 @@
 	})
 }
 
-func offerKey(h provision.Hire) string {
+func offerKey(h cloud.Hire) string {
 	return h.Type + "/" + h.Zone + "/" + strconv.FormatBool(h.Spot)
 }
 
@@ -96,7 +97,7 @@
 		}
 	}
 	for name, l := range c.cloud.listed { // rented by a predecessor, or there from the start
-		if _, late := c.cloud.strayAt[name]; !late && l.State != provision.Failed && !c.replica.ever[name] && !c.hireHas(name) {
+		if _, late := c.cloud.strayAt[name]; !late && l.State != cloud.Failed && !c.replica.ever[name] && !c.hireHas(name) {
 			add(l.Type, l.Spot, 1)
 		}
 	}
@@ -192,7 +193,7 @@
 	want := c.unmet(short)
 	permitted := int(c.cfg.Settings.Cloud.RPS / 2)
 	for calls := max(leastHireCalls, permitted); calls > 0 && len(k.hires) < mostHires; calls-- {
-		var h *provision.Hire
+		var h *cloud.Hire
 		need := &want.fixed
 		if want.fixed > 0 {
 			h = c.bestOffer(short, false)
@@ -228,8 +229,8 @@
 
 // bestOffer is the cheapest room for the jobs that wait: for those that may use
 // spot machines, or for the others.
-func (c *Core) bestOffer(short []shortfall, spotJobs bool) *provision.Hire {
-	var pick *provision.Hire
+func (c *Core) bestOffer(short []shortfall, spotJobs bool) *cloud.Hire {
+	var pick *cloud.Hire
 	bestCost := math.Inf(1)
 	image := imageOf(short, spotJobs)
 	for i := range c.cloud.types {
@@ -239,7 +240,7 @@
 				continue
 			}
 			for _, spot := range []bool{false, true} {
-				h := provision.Hire{Type: t.Name, Zone: z, Spot: spot}
+				h := cloud.Hire{Type: t.Name, Zone: z, Spot: spot}
 				if spot && !spotJobs || c.now < c.cloud.cool[offerKey(h)] {
 					continue
 				}
@@ -265,7 +266,7 @@
 
 // idleness is how much dearer a machine is than its price says, because it is
 // paid for while it boots and fetches its first images.
-func (c *Core) idleness(t *provision.Type, imageGB float64) float64 {
+func (c *Core) idleness(t *cloud.Type, imageGB float64) float64 {
 	fetch := 0.0
 	if t.FetchGBs > 0 {
 		fetch = freshImages * imageGB / t.FetchGBs
@@ -286,10 +287,10 @@
 }
 
 // wantedIn reports whether a waiting job fits the type in the zone.
-func (c *Core) wantedIn(short []shortfall, t *provision.Type, zone string, spotJobs bool) bool {
+func (c *Core) wantedIn(short []shortfall, t *cloud.Type, zone string, spotJobs bool) bool {
 	return slices.ContainsFunc(short, func(s shortfall) bool {
 		spec := &s.j.spec
-		return (spec.Spot && c.pol.Spot) == spotJobs && intake.Fits(spec, t) && (spec.Zone == "" || spec.Zone == zone) &&
+		return (spec.Spot && c.pol.Spot) == spotJobs && api.Fits(spec, t) && (spec.Zone == "" || spec.Zone == zone) &&
 			(!spec.Spread && !spec.OneZone || zoneAllowed(s.j, zone))
 	})
 }
@@ -300,8 +301,8 @@
 	if c.replica.base != nil || len(names) == 0 {
 		return
 	}
-	doc := state.BaseDoc{First: slices.Min(names), Mark: c.mark()}
-	txn := &state.Txn{Guards: []state.Guard{{Key: state.Base}}, Apply: []state.Op{{Set: state.Base, Value: encode(doc)}}}
+	doc := schema.BaseDoc{First: slices.Min(names), Mark: c.mark()}
+	txn := &kv.Txn{Guards: []kv.Guard{{Key: schema.Base}}, Apply: []kv.Op{{Set: schema.Base, Value: encode(doc)}}}
 	c.commit(txn, doc.Mark, func(outcome, uint64, []string) {})
 }
 
--- a/internal/core/replica.go
+++ b/internal/controller/replica.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -9,15 +9,15 @@
 	"strconv"
 	"strings"
 
-	"frostdock.example/frostdock/internal/chain"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/dag"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
 // replica is this process's copy of what the state service holds. It is fed by
 // one watch and by the node's own commits, and is exact as of watchRev.
 type replica struct {
-	stamps   map[string]uint64 // every live key under state.Active
+	stamps   map[string]uint64 // every live key under schema.Active
 	tombs    map[string]uint64 // keys this node deleted ahead of the watch
 	watchRev uint64
 	// Pages of a copy are read at different moments: it is whole only when the changes up
@@ -41,13 +41,13 @@
 	byAge         []*job // accepted jobs, the oldest first; nil when that has changed
 	packs         map[string]*progressPack
 	finals        *finals
-	chains        *chain.Graph
+	chains        *dag.Graph
 	gapsMost      int // gaps that the stored progress of a job may have
-	base          *state.BaseDoc
+	base          *schema.BaseDoc
 
 	defaultPart        func(group int) int // the partition of a machine shard that has no document yet
 	laidOut            bool                // the store's own layout is known
-	layout             state.Layout
+	layout             schema.Layout
 	machineShardLevels []int // of how many machine shards some machine shard says that it is one, the largest first
 	jobShardLevels     []int
 	format             int // of the documents, as the store says
@@ -55,7 +55,7 @@
 
 type part struct {
 	stamp uint64
-	doc   state.Part
+	doc   schema.Part
 }
 
 // machineShard is a document of machines; its stamp is 0 while there is none.
@@ -86,14 +86,14 @@
 	key  string
 	part int
 	size int
-	jobs map[string]state.Done
+	jobs map[string]schema.Done
 }
 
-func newReplica(layout state.Layout, defaultPart func(group int) int) *replica {
+func newReplica(layout schema.Layout, defaultPart func(group int) int) *replica {
 	r := &replica{
 		stamps: map[string]uint64{}, tombs: map[string]uint64{}, nodes: map[string]units.Micros{},
 		parts: map[int]*part{}, machines: map[string]*machine{}, jobs: map[string]*job{}, packs: map[string]*progressPack{}, ever: map[string]bool{}, finals: newFinals(40000),
-		formats: map[string]int{}, chains: chain.New(), gapsMost: maxProgressGaps,
+		formats: map[string]int{}, chains: dag.New(), gapsMost: maxProgressGaps,
 		defaultPart: defaultPart,
 	}
 	r.layOut(layout)
@@ -102,13 +102,13 @@
 
 // layOut spreads machines and jobs over so many documents. Documents that are known
 // already stay.
-func (r *replica) layOut(layout state.Layout) {
+func (r *replica) layOut(layout schema.Layout) {
 	r.layout = layout
 	r.growMachineShards(layout.Groups)
 	r.growJobShards(layout.Shelves)
 	r.machineShards, r.jobShards = r.machineShards[:layout.Groups], r.jobShards[:layout.Shelves]
 	for key := range r.stamps { // what was read by another layout is to be read again
-		if strings.HasPrefix(key, state.MachineShards) || strings.HasPrefix(key, state.JobShards) {
+		if strings.HasPrefix(key, schema.MachineShards) || strings.HasPrefix(key, schema.JobShards) {
 			delete(r.stamps, key)
 		}
 	}
@@ -117,22 +117,22 @@
 // growMachineShards has at least so many machine shards; those that have no document are empty.
 func (r *replica) growMachineShards(most int) {
 	for n := len(r.machineShards); n < most; n++ {
-		r.machineShards = append(r.machineShards, &machineShard{n: n, key: state.MachineShardKey(n), part: r.defaultPart(n)})
+		r.machineShards = append(r.machineShards, &machineShard{n: n, key: schema.MachineShardKey(n), part: r.defaultPart(n)})
 	}
 }
 
 func (r *replica) growJobShards(most int) {
 	for n := len(r.jobShards); n < most; n++ {
-		r.jobShards = append(r.jobShards, &jobShard{n: n, key: state.JobShardKey(n)})
+		r.jobShards = append(r.jobShards, &jobShard{n: n, key: schema.JobShardKey(n)})
 	}
 }
 
 func (r *replica) machineShardOf(machine string) *machineShard {
-	return r.machineShards[state.Shard(machine, r.layout.Groups, r.machineShardLevels, func(n int) int { return r.machineShards[n].spread })]
+	return r.machineShards[schema.Shard(machine, r.layout.Groups, r.machineShardLevels, func(n int) int { return r.machineShards[n].spread })]
 }
 
 func (r *replica) jobShardOf(job string) *jobShard {
-	return r.jobShards[state.Shard(job, r.layout.Shelves, r.jobShardLevels, func(n int) int { return r.jobShards[n].spread })]
+	return r.jobShards[schema.Shard(job, r.layout.Shelves, r.jobShardLevels, func(n int) int { return r.jobShards[n].spread })]
 }
 
 // withLevel enters a number of documents among the others, the largest first.
@@ -158,11 +158,11 @@
 // passed over, since the node's own commits run ahead of the watch.
 func (c *Core) apply(key string, val json.RawMessage, stamp uint64, deleted bool) {
 	r := c.replica
-	if strings.HasPrefix(key, state.Finals) {
+	if strings.HasPrefix(key, schema.Finals) {
 		if !deleted {
-			var f state.Final
+			var f schema.Final
 			if c.decode(key, val, &f) {
-				c.learnEnd(strings.TrimPrefix(key, state.Finals), f)
+				c.learnEnd(strings.TrimPrefix(key, schema.Finals), f)
 			}
 		}
 		return
@@ -180,31 +180,31 @@
 	}
 	c.dirty = true
 	switch {
-	case strings.HasPrefix(key, state.Nodes):
+	case strings.HasPrefix(key, schema.Nodes):
 		c.applyNode(key, val, deleted)
-	case strings.HasPrefix(key, state.Parts):
+	case strings.HasPrefix(key, schema.Parts):
 		c.applyPartition(key, val, stamp, deleted)
-	case strings.HasPrefix(key, state.MachineShards):
-		if n, ok := numberIn(key, state.MachineShards, mostShards); ok && !deleted {
+	case strings.HasPrefix(key, schema.MachineShards):
+		if n, ok := numberIn(key, schema.MachineShards, mostShards); ok && !deleted {
 			r.growMachineShards(n + 1)
 			c.applyMachineShard(r.machineShards[n], val, stamp)
 		}
-	case strings.HasPrefix(key, state.JobShards):
-		if n, ok := numberIn(key, state.JobShards, mostShards); ok {
+	case strings.HasPrefix(key, schema.JobShards):
+		if n, ok := numberIn(key, schema.JobShards, mostShards); ok {
 			r.growJobShards(n + 1)
 			c.applyJobShard(r.jobShards[n], val)
 		}
-	case strings.HasPrefix(key, state.Progress):
+	case strings.HasPrefix(key, schema.Progress):
 		c.applyPack(key, val)
-	case key == state.LayoutOf:
+	case key == schema.LayoutOf:
 		c.applyLayout(key, val, deleted)
-	case key == state.Base:
-		var doc state.BaseDoc
+	case key == schema.Base:
+		var doc schema.BaseDoc
 		if !deleted && c.decode(key, val, &doc) {
 			r.base = &doc
 		}
-	case strings.HasPrefix(key, state.Cancels):
-		c.applyCancel(strings.TrimPrefix(key, state.Cancels), deleted)
+	case strings.HasPrefix(key, schema.Cancels):
+		c.applyCancel(strings.TrimPrefix(key, schema.Cancels), deleted)
 	}
 }
 
@@ -227,7 +227,7 @@
 	if _, ok := c.replica.nodes[key]; !ok {
 		c.replica.nodes[key] = c.now
 	}
-	var doc state.Registration
+	var doc schema.Registration
 	if c.decode(key, val, &doc) {
 		c.replica.formats[key] = doc.Format
 	}
@@ -235,11 +235,11 @@
 
 // applyPartition takes a partition's new owner.
 func (c *Core) applyPartition(key string, val json.RawMessage, stamp uint64, deleted bool) {
-	n, ok := numberIn(key, state.Parts, math.MaxInt)
+	n, ok := numberIn(key, schema.Parts, math.MaxInt)
 	if !ok || deleted {
 		return
 	}
-	var doc state.Part
+	var doc schema.Part
 	if c.decode(key, val, &doc) {
 		c.replica.parts[n] = &part{stamp: stamp, doc: doc}
 		c.ownership(n)
@@ -249,7 +249,7 @@
 // applyLayout takes the store's layout, once, and its format, which may be raised.
 func (c *Core) applyLayout(key string, val json.RawMessage, deleted bool) {
 	r := c.replica
-	var doc state.Layout
+	var doc schema.Layout
 	if deleted || !c.decode(key, val, &doc) || doc.Groups <= 0 || doc.Shelves <= 0 {
 		return
 	}
@@ -271,7 +271,7 @@
 	j.marked = !deleted
 	j.touch()
 	if !deleted {
-		c.noteEnd(id, chain.End{Outcome: chain.Cancelled})
+		c.noteEnd(id, dag.End{Outcome: dag.Cancelled})
 	}
 	if deleted {
 		c.replica.tidy(j)
@@ -281,7 +281,7 @@
 // applyJobShard takes a job shard's new contents; none when it was deleted.
 func (c *Core) applyJobShard(s *jobShard, val json.RawMessage) {
 	r := c.replica
-	var doc state.JobShard
+	var doc schema.JobShard
 	if len(val) > 0 && !c.decode(s.key, val, &doc) {
 		return
 	}
@@ -316,10 +316,10 @@
 // wentTo reports whether a job that is on a job shard no more went with a part that was split
 // off. That part is shown next, if it has not been shown yet.
 func (r *replica) wentTo(from *jobShard, id string) bool {
-	if from.spread == 0 || state.JobShardOf(id, from.spread) == from.n {
+	if from.spread == 0 || schema.JobShardOf(id, from.spread) == from.n {
 		return false
 	}
-	to := r.jobShards[state.JobShardOf(id, from.spread)]
+	to := r.jobShards[schema.JobShardOf(id, from.spread)]
 	if slices.Contains(to.ids, id) {
 		return true
 	}
@@ -333,13 +333,13 @@
 // applyPack takes a progress document's new contents; none when it was deleted.
 func (c *Core) applyPack(key string, val json.RawMessage) {
 	r := c.replica
-	var doc state.Pack
+	var doc schema.Pack
 	if len(val) > 0 && !c.decode(key, val, &doc) {
 		return
 	}
 	old := r.packs[key]
 	p := &progressPack{key: key, size: len(val), jobs: doc.Jobs}
-	if _, err := fmt.Sscanf(strings.TrimPrefix(key, state.Progress), "%d/", &p.part); err != nil {
+	if _, err := fmt.Sscanf(strings.TrimPrefix(key, schema.Progress), "%d/", &p.part); err != nil {
 		c.log.Error("unreadable key", "key", key)
 		return
 	}
@@ -353,7 +353,7 @@
 		if j.storedAs == d.Ranges {
 			continue
 		}
-		set, err := state.ParseSet(d.Ranges)
+		set, err := schema.ParseSet(d.Ranges)
 		if err != nil {
 			c.log.Error("unreadable progress", "job", id, "err", err)
 			continue
@@ -386,7 +386,7 @@
 // applyMachineShard takes a machine shard's new contents.
 func (c *Core) applyMachineShard(g *machineShard, val json.RawMessage, stamp uint64) {
 	r := c.replica
-	var doc state.MachineShard
+	var doc schema.MachineShard
 	if !c.decode(g.key, val, &doc) {
 		return
 	}
@@ -432,10 +432,10 @@
 // that was split off and is shown next. What is known of the machine stays.
 func (r *replica) wentWith(m *machine) bool {
 	from := m.g
-	if from.spread == 0 || state.MachineShardOf(m.name, from.spread) == from.n {
+	if from.spread == 0 || schema.MachineShardOf(m.name, from.spread) == from.n {
 		return false
 	}
-	to := r.machineShards[state.MachineShardOf(m.name, from.spread)]
+	to := r.machineShards[schema.MachineShardOf(m.name, from.spread)]
 	if to.stamp >= from.stamp {
 		return false
 	}
@@ -458,7 +458,7 @@
 	}
 }
 
-func (c *Core) applyMachine(m *machine, doc *state.Machine, moved bool) {
+func (c *Core) applyMachine(m *machine, doc *schema.Machine, moved bool) {
 	own := c.owned[m.g.part]
 	old := m.doc
 	changed := !slices.Equal(old.Tasks, doc.Tasks) || old.Handover != doc.Handover || old.Retired != doc.Retired || old.Name == ""
@@ -516,7 +516,7 @@
 // missed notes tasks of this node's partitions that another owner took off its
 // machine though nobody had asked for it: they failed there. Without this a job
 // that fails everywhere would be placed on others' machines without end.
-func (c *Core) missed(old state.Tasks) {
+func (c *Core) missed(old schema.Tasks) {
 	for _, t := range old {
 		j := c.replica.jobs[t.Job]
 		if j == nil || !j.known || j.cancelled() || t.Stop > 0 || j.isDone(t.Num) || c.owned[j.part] == nil {
--- a/internal/core/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"encoding/json"
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // TestLoadBesideChanges loads a copy in pages that are read far apart, as through a
@@ -15,17 +15,17 @@
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 4
 	c := quietCore(cfg)
-	group := func(stamp uint64, machine string, tasks ...state.Task) {
+	group := func(stamp uint64, machine string, tasks ...schema.Task) {
 		t.Helper()
-		doc := state.MachineShard{Machines: []state.Machine{{Name: machine, Addr: "x", Tasks: tasks}}}
+		doc := schema.MachineShard{Machines: []schema.Machine{{Name: machine, Addr: "x", Tasks: tasks}}}
 		raw, err := json.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.apply(c.replica.machineShardOf(machine).key, raw, stamp, false)
 	}
-	first := state.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 5}
-	second := state.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 9}
+	first := schema.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 5}
+	second := schema.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 9}
 	group(100, "n-000010")
 	group(140, "n-000060", second) // read late
 	group(110, "n-000010", first)  // the watch catches up
--- a/internal/core/reports.go
+++ b/internal/controller/reports.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -6,8 +6,8 @@
 	"strconv"
 	"strings"
 
+	"frostdock.example/frostdock/internal/agent"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // answerReports answers the reports of a step. They wait until it has read all else that it was
@@ -33,19 +33,19 @@
 		return
 	}
 	if m.doc.Retired { // nobody answers for it any more
-		c.reply(q.To, 421, workers.Redirect{})
+		c.reply(q.To, 421, agent.Redirect{})
 		return
 	}
 	if c.owned[m.g.part] == nil {
 		c.heard[r.Machine] = c.now
-		c.reply(q.To, 421, workers.Redirect{To: c.ownerOf(m.g.part)})
+		c.reply(q.To, 421, agent.Redirect{To: c.ownerOf(m.g.part)})
 		return
 	}
 	tok := c.token(m)
 	if r.Token > tok || m.rt == nil {
 		// Somebody newer commands it. A 200 from here would be dropped and the
 		// machine held at this node while its lease runs out.
-		c.reply(q.To, 421, workers.Redirect{})
+		c.reply(q.To, 421, agent.Redirect{})
 		return
 	}
 	if !c.usable(m.g.part) {
@@ -69,10 +69,10 @@
 		c.reply(q.To, 503, nil)
 		return
 	}
-	if slices.ContainsFunc(orders, func(o workers.Order) bool { return o.Op == workers.Launch }) {
+	if slices.ContainsFunc(orders, func(o agent.Order) bool { return o.Op == agent.Launch }) {
 		m.rt.launchAt = c.now
 	}
-	c.reply(q.To, 200, workers.Answer{Token: tok, Orders: orders})
+	c.reply(q.To, 200, agent.Answer{Token: tok, Orders: orders})
 }
 
 // deafAfter is how many reports in a row may show that the answers before them
@@ -82,7 +82,7 @@
 // checkReachable notices a machine whose reports arrive while nothing reaches it: it
 // looks alive, but its lease runs out and takes its tasks with it, and what it
 // is told to stop goes on until then.
-func (c *Core) checkReachable(m *machine, r *workers.Report, tok uint64) {
+func (c *Core) checkReachable(m *machine, r *agent.Report, tok uint64) {
 	rt := m.rt
 	switch {
 	case rt.session > 0 && r.Session > rt.session && c.now-rt.answered < c.cfg.Settings.Lease() && c.now-rt.steady > c.cfg.Settings.Lease():
@@ -115,7 +115,7 @@
 	c.heard[r.Machine] = c.now
 	g := c.replica.machineShardOf(r.Machine)
 	if c.owned[g.part] == nil {
-		c.reply(q.To, 421, workers.Redirect{To: c.ownerOf(g.part)})
+		c.reply(q.To, 421, agent.Redirect{To: c.ownerOf(g.part)})
 		return
 	}
 	if !c.usable(g.part) || c.stateBad {
@@ -190,7 +190,7 @@
 }
 
 // observe takes a report if it is newer than what is known.
-func (c *Core) observe(m *machine, r *workers.Report) {
+func (c *Core) observe(m *machine, r *agent.Report) {
 	rt := m.rt
 	if !r.Newer(rt.session, rt.seq) {
 		return
@@ -218,7 +218,7 @@
 		c.log.Info("machine to be taken back", "machine", m.name, "in_s", *r.NoticeS)
 	}
 	old := rt.pieces
-	rt.pieces = make(map[taskKey]workers.Piece, len(r.Tasks))
+	rt.pieces = make(map[taskKey]agent.Piece, len(r.Tasks))
 	for _, p := range r.Tasks {
 		id, num, ok := strings.Cut(p.Task, "/")
 		n, err := strconv.Atoi(num)
@@ -228,7 +228,7 @@
 		k := taskKey{id, n, p.Attempt}
 		rt.pieces[k] = p
 		j := c.replica.jobs[id]
-		if p.State == workers.Running || p.State == workers.Flushing {
+		if p.State == agent.Running || p.State == agent.Flushing {
 			if j != nil && j.known {
 				rt.images[j.spec.Image] = c.now
 			}
@@ -240,8 +240,8 @@
 				}
 			}
 		}
-		if p.State == workers.Ended && j != nil && j.known {
-			c.ended(m, j, k, p, old[k].State == workers.Ended)
+		if p.State == agent.Ended && j != nil && j.known {
+			c.ended(m, j, k, p, old[k].State == agent.Ended)
 		}
 	}
 	for k := range rt.runs {
@@ -251,13 +251,13 @@
 	}
 }
 
-func (c *Core) ended(m *machine, j *job, k taskKey, p workers.Piece, before bool) {
+func (c *Core) ended(m *machine, j *job, k taskKey, p agent.Piece, before bool) {
 	b, bound := j.bound[k.num]
 	if !bound || b.m != m || b.attempt != k.attempt || before {
 		return
 	}
 	switch p.Cause {
-	case workers.CauseDone:
+	case agent.CauseDone:
 		if j.done.Has(k.num) {
 			return
 		}
@@ -278,7 +278,7 @@
 		if !j.isDone(k.num) {
 			c.completed(j, k.num, ran)
 		}
-	case workers.CauseError:
+	case agent.CauseError:
 		c.failed(j)
 		m.rt.errors[j.id] = true
 		if j.failedOn == nil {
--- a/internal/core/retire.go
+++ b/internal/controller/retire.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // retire marks machines to be returned to the cloud; the next write of their
 // machine shard says so. Their tasks stay bound until the cloud has confirmed that they
--- a/internal/core/returning.go
+++ b/internal/controller/returning.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -26,7 +26,7 @@
 		return
 	}
 	k.deleting = true
-	c.callCloud(CloudCall{Op: CloudDelete, Names: provision.Names{Machines: names}}, func(d CloudDone) {
+	c.callCloud(CloudCall{Op: CloudDelete, Names: cloud.Names{Machines: names}}, func(d CloudDone) {
 		if d.Status != 200 {
 			c.after(300*units.Millisecond, func() { k.deleting = false })
 			return
@@ -47,7 +47,7 @@
 
 // returnAfter is how long a rented machine may have nothing to do before it is
 // given back: about as long as it would take to get another.
-func (c *Core) returnAfter(t *provision.Type) units.Micros {
+func (c *Core) returnAfter(t *cloud.Type) units.Micros {
 	return max(30*units.Second, units.FromSeconds(t.BootS*c.pol.ReturnIdle))
 }
 
@@ -71,7 +71,7 @@
 func (c *Core) consolidate(waiting bool, starvingJobs []*job) {
 	type candidate struct {
 		m     *machine
-		t     *provision.Type
+		t     *cloud.Type
 		used  float64
 		waste float64
 	}
@@ -133,7 +133,7 @@
 		if t == nil || m.rt == nil {
 			continue
 		}
-		used := slices.ContainsFunc(m.doc.Tasks, func(t state.Task) bool { return c.unstored(t) != nil })
+		used := slices.ContainsFunc(m.doc.Tasks, func(t schema.Task) bool { return c.unstored(t) != nil })
 		// One that is not heard may be cut off, and is not idle for sure.
 		if used || waiting || c.now-m.rt.heardAt > 2*c.cfg.Settings.Report() || len(starvingJobs) > 0 && c.hasRoomForAny(m, c.roomOn(m, t), starvingJobs) {
 			m.rt.idleAt = c.now
--- a/internal/core/services.go
+++ b/internal/controller/services.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"math"
 	"strconv"
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -122,7 +122,7 @@
 		return false
 	}
 	for _, k := range stops {
-		best.stop(k, state.StopNow)
+		best.stop(k, schema.StopNow)
 		best.resources.fill(&c.replica.jobs[k.job].spec, -1)
 		c.log.Info("preempt", "task", k.task(), "machine", best.m.name, "for", j.id, "partition", b.o.n)
 	}
@@ -203,7 +203,7 @@
 			}
 			if j.spec.Service || j.spec.CkptS > 0 && left < units.FromSeconds(j.spec.SaveS)+stopLeadTime {
 				b.touch(d.gd)
-				d.stop(keyOf(t), state.StopSave)
+				d.stop(keyOf(t), schema.StopSave)
 			}
 		}
 	}
@@ -261,7 +261,7 @@
 			}
 			moving[j] = true
 			b.touch(d.gd)
-			d.stop(k, state.StopNow)
+			d.stop(k, schema.StopNow)
 			to.cpus, to.mem = to.cpus-j.spec.CPUs, to.mem-j.spec.MemGB
 			c.log.Info("move service", "task", k.task(), "from", d.m.name, "to", to.m.name)
 			if moves++; moves >= 2 {
--- a/internal/core/split.go
+++ b/internal/controller/split.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,7 +6,8 @@
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -108,17 +109,17 @@
 func (gd *shardDraft) cut(pieces int) []piece {
 	whole := gd.doc()
 	of := max(gd.g.spread, gd.c.replica.layout.Groups)
-	docs := make([]state.MachineShard, pieces)
+	docs := make([]schema.MachineShard, pieces)
 	for i := range docs {
-		docs[i] = state.MachineShard{Part: whole.Part, Handover: whole.Handover, Spread: of * pieces, Mark: whole.Mark}
+		docs[i] = schema.MachineShard{Part: whole.Part, Handover: whole.Handover, Spread: of * pieces, Mark: whole.Mark}
 	}
 	for _, m := range whole.Machines {
-		doc := &docs[(state.MachineShardOf(m.Name, of*pieces)-gd.g.n)/of]
+		doc := &docs[(schema.MachineShardOf(m.Name, of*pieces)-gd.g.n)/of]
 		doc.Machines = append(doc.Machines, m)
 	}
 	out := make([]piece, pieces)
 	for i := range docs {
-		out[i] = piece{state.MachineShardKey(gd.g.n + i*of), encode(docs[i])}
+		out[i] = piece{schema.MachineShardKey(gd.g.n + i*of), encode(docs[i])}
 	}
 	return out
 }
@@ -144,7 +145,7 @@
 	if len(pieces) < 2 {
 		return
 	}
-	txn := &state.Txn{}
+	txn := &kv.Txn{}
 	for _, p := range pieces {
 		c.addSet(txn, p.key, p.value)
 	}
@@ -161,17 +162,17 @@
 // cutJobShard gives the job shard's document in so many pieces.
 func (c *Core) cutJobShard(s *jobShard, pieces int, mark string) []piece {
 	of := max(s.spread, c.replica.layout.Shelves)
-	docs := make([]state.JobShard, pieces)
+	docs := make([]schema.JobShard, pieces)
 	for i := range docs {
-		docs[i] = state.JobShard{Spread: of * pieces, Mark: mark}
+		docs[i] = schema.JobShard{Spread: of * pieces, Mark: mark}
 	}
 	for _, job := range c.jobShardDoc(s, nil).Jobs {
-		doc := &docs[(state.JobShardOf(job.ID, of*pieces)-s.n)/of]
+		doc := &docs[(schema.JobShardOf(job.ID, of*pieces)-s.n)/of]
 		doc.Jobs = append(doc.Jobs, job)
 	}
 	out := make([]piece, pieces)
 	for i := range docs {
-		out[i] = piece{state.JobShardKey(s.n + i*of), encode(docs[i])}
+		out[i] = piece{schema.JobShardKey(s.n + i*of), encode(docs[i])}
 	}
 	return out
 }
@@ -200,7 +201,7 @@
 			return
 		}
 		c.log.Info("progress moved to shorter documents", "pack", key, "bytes", p.size)
-		b.op(state.Op{Delete: key}, c.replica.stamps[key])
+		b.op(kv.Op{Delete: key}, c.replica.stamps[key])
 	}
 }
 
--- a/internal/core/unreachable.go
+++ b/internal/controller/unreachable.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"maps"
 	"slices"
 	"strings"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -282,7 +282,7 @@
 // refuse each other's connections, nothing that died would be replaced.
 func (c *Core) heardByOthers(name string, reached bool) bool {
 	for key := range c.replica.nodes {
-		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, state.Nodes), "/")
+		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, schema.Nodes), "/")
 		if member == c.cfg.Member {
 			continue
 		}
--- a/internal/core/users.go
+++ b/internal/controller/users.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,8 +6,9 @@
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -31,7 +32,7 @@
 }
 
 type pendingAccept struct {
-	job *state.Job
+	job *schema.Job
 	to  uint64
 	at  units.Micros // when it was asked for
 }
@@ -107,7 +108,7 @@
 		return
 	}
 	if q.Kind == Submit && q.Job != nil && len(q.Job.Needs) == 0 && len(c.cloud.types) > 0 && c.replica.jobs[q.ID] == nil &&
-		intake.Feasible(q.Job, c.cfg.Settings.Teams, c.cloud.types) == nil {
+		api.Feasible(q.Job, c.cfg.Settings.Teams, c.cloud.types) == nil {
 		c.enter(q)
 		return
 	}
@@ -129,7 +130,7 @@
 	case q.Kind == Submit && len(c.cloud.types) == 0:
 		c.answer(q.To, 503, nil)
 	case q.Kind == Submit:
-		if err := intake.Feasible(q.Job, c.cfg.Settings.Teams, c.cloud.types); err != nil {
+		if err := api.Feasible(q.Job, c.cfg.Settings.Teams, c.cloud.types); err != nil {
 			c.answer(q.To, 422, map[string]string{"error": err.Error()})
 			return
 		}
@@ -146,7 +147,7 @@
 	c.sendAccepts()
 }
 
-func finalStatus(id string, f state.Final) *Status {
+func finalStatus(id string, f schema.Final) *Status {
 	return &Status{ID: id, Stage: f.Stage, Done: f.Done, Because: f.Because}
 }
 
@@ -187,7 +188,7 @@
 	}
 	// Not among the active ones: its end may be stored all the same. Only
 	// the store's word makes a 404.
-	c.fetchEnd(id, func(status int, f state.Final) {
+	c.fetchEnd(id, func(status int, f schema.Final) {
 		switch status {
 		case 200:
 			then(finalStatus(id, f), true)
@@ -252,7 +253,7 @@
 	}
 	c.accepts = nil
 	mark := c.mark()
-	txn := &state.Txn{}
+	txn := &kv.Txn{}
 	size := 0
 	var in []pendingAccept
 	for _, s := range c.byUrgency(byShelf) {
@@ -267,11 +268,11 @@
 			continue
 		}
 		size += len(val)
-		txn.Guards = append(txn.Guards, state.Guard{Key: s.key, Stamp: c.replica.stamps[s.key]})
+		txn.Guards = append(txn.Guards, kv.Guard{Key: s.key, Stamp: c.replica.stamps[s.key]})
 		for _, a := range put {
-			txn.Guards = append(txn.Guards, state.Guard{Key: state.Finals + a.job.ID})
+			txn.Guards = append(txn.Guards, kv.Guard{Key: schema.Finals + a.job.ID})
 		}
-		txn.Apply = append(txn.Apply, state.Op{Set: s.key, Value: val})
+		txn.Apply = append(txn.Apply, kv.Op{Set: s.key, Value: val})
 		in = append(in, put...)
 	}
 	if len(in) == 0 {
@@ -304,7 +305,7 @@
 		c.answer(a.to, 503, nil)
 	case res == busy: // a moment later it may be taken
 		c.accepts = append(c.accepts, a)
-	case slices.Contains(failed, state.Finals+a.job.ID): // over already
+	case slices.Contains(failed, schema.Finals+a.job.ID): // over already
 		c.current(a.job.ID, func(st *Status, ok bool) { c.known(a.to, st, ok) })
 	default:
 		c.accepts = append(c.accepts, a)
@@ -321,7 +322,7 @@
 	for _, a := range wait {
 		j := c.replica.jobs[a.job.ID]
 		twice := slices.ContainsFunc(put, func(b pendingAccept) bool { return b.job.ID == a.job.ID })
-		cost := state.StoredCost(len(encode(a.job)))
+		cost := schema.StoredCost(len(encode(a.job)))
 		switch {
 		case j != nil && j.known: // entered meanwhile, by way of another controller
 			c.current(a.job.ID, func(st *Status, ok bool) { c.known(a.to, st, ok) })
@@ -362,8 +363,8 @@
 }
 
 // jobShardDoc is a job shard as it stands, without the jobs named in less.
-func (c *Core) jobShardDoc(s *jobShard, less map[string]bool) *state.JobShard {
-	doc := &state.JobShard{Spread: s.spread}
+func (c *Core) jobShardDoc(s *jobShard, less map[string]bool) *schema.JobShard {
+	doc := &schema.JobShard{Spread: s.spread}
 	for _, id := range s.ids {
 		if !less[id] {
 			doc.Jobs = append(doc.Jobs, c.replica.jobs[id].spec)
@@ -384,7 +385,7 @@
 }
 
 // writeKeys notes which keys a transaction under way writes.
-func (c *Core) writeKeys(txn *state.Txn, under bool) {
+func (c *Core) writeKeys(txn *kv.Txn, under bool) {
 	for _, op := range txn.Apply {
 		if under {
 			c.writing[op.Set+op.Delete] = true
@@ -401,12 +402,12 @@
 		return
 	}
 	mark := c.mark()
-	f := state.Final{Stage: Cancelled, At: int64(c.wall), Mark: mark}
-	txn := &state.Txn{
-		Guards: []state.Guard{{Key: state.Finals + q.ID}},
-		Apply: []state.Op{
-			{Set: state.Finals + q.ID, Value: encode(f)},
-			{Set: state.Cancels + q.ID, Value: encode(map[string]string{"w": mark})},
+	f := schema.Final{Stage: Cancelled, At: int64(c.wall), Mark: mark}
+	txn := &kv.Txn{
+		Guards: []kv.Guard{{Key: schema.Finals + q.ID}},
+		Apply: []kv.Op{
+			{Set: schema.Finals + q.ID, Value: encode(f)},
+			{Set: schema.Cancels + q.ID, Value: encode(map[string]string{"w": mark})},
 		},
 	}
 	c.commit(txn, mark, func(res outcome, _ uint64, _ []string) {
--- a/internal/core/view.go
+++ b/internal/controller/view.go
@@ -1,20 +1,20 @@
-package core
+package controller
 
 import (
 	"math"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // view is what a machine's entry and its reports say about its room. Looking at
 // every task of every machine for each plan was half of all the work of a large
 // fleet, so it is kept until something that it depends on has changed.
 type view struct {
-	until units.Micros // it may have changed by then; 0: nothing is kept
-	keep  []state.Task // entries that must stay
-	live  int          // tasks that may be active
+	until units.Micros  // it may have changed by then; 0: nothing is kept
+	keep  []schema.Task // entries that must stay
+	live  int           // tasks that may be active
 	used  resources
 	soon  resources // room of array tasks that are about to end
 }
@@ -44,7 +44,7 @@
 			k := keyOf(task)
 			rel := c.releasable(m, task)
 			piece, there := rt.pieces[k]
-			running := there && piece.State != workers.Ended && c.now <= rt.leaseEnd
+			running := there && piece.State != agent.Ended && c.now <= rt.leaseEnd
 			if rel && !running {
 				continue
 			}
@@ -71,7 +71,7 @@
 		return v
 	}
 	for k, piece := range rt.pieces { // tasks that nobody lists take room until they are gone
-		if piece.State != workers.Ended && !m.lists(k) {
+		if piece.State != agent.Ended && !m.lists(k) {
 			if j := c.replica.jobs[k.job]; j != nil && j.known {
 				v.used.fill(&j.spec, -1)
 			}
@@ -87,7 +87,7 @@
 
 // endsAt is when an array task that runs on m comes so close to its end, by what
 // has been observed of its job, that its room may be given to the next one.
-func (c *Core) endsAt(m *machine, j *job, t state.Task) units.Micros {
+func (c *Core) endsAt(m *machine, j *job, t schema.Task) units.Micros {
 	run, ok := m.rt.runs[keyOf(t)]
 	avg, _ := j.average()
 	if !ok || j.spec.Service || avg == 0 {
--- a/internal/core/waiting.go
+++ b/internal/controller/waiting.go
@@ -1,11 +1,12 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strings"
 
-	"frostdock.example/frostdock/internal/chain"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/dag"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -16,22 +17,22 @@
 // are written afterwards.
 
 // endOf is a stored end as the chains see it.
-func endOf(f state.Final) chain.End {
-	end := chain.End{Outcome: chain.Cancelled, At: units.Micros(f.At)}
+func endOf(f schema.Final) dag.End {
+	end := dag.End{Outcome: dag.Cancelled, At: units.Micros(f.At)}
 	if f.Stage == Done {
-		end.Outcome = chain.Done
+		end.Outcome = dag.Done
 	}
 	return end
 }
 
 // learnEnd takes a stored end, which never changes.
-func (c *Core) learnEnd(id string, f state.Final) {
+func (c *Core) learnEnd(id string, f schema.Final) {
 	c.replica.finals.put(id, f)
 	c.noteEnd(id, endOf(f))
 }
 
 // noteEnd passes an end on to the jobs that need the one that is over.
-func (c *Core) noteEnd(id string, end chain.End) {
+func (c *Core) noteEnd(id string, end dag.End) {
 	cancelled, ready := c.replica.chains.Ended(id, end)
 	if j := c.replica.jobs[id]; j != nil {
 		j.touch()
@@ -59,17 +60,17 @@
 // enterChain enters an accepted job among the chains.
 func (c *Core) enterChain(j *job) {
 	r := c.replica
-	entry := chain.Job{ID: j.id, Needs: j.spec.Needs, Grade: j.spec.Grade}
+	entry := dag.Job{ID: j.id, Needs: j.spec.Needs, Grade: j.spec.Grade}
 	if j.spec.DueS > 0 {
 		entry.DueAt = units.Micros(j.spec.At) + units.FromSeconds(j.spec.DueS)
 	}
-	cancelled := r.chains.Add(entry, func(id string) (chain.End, bool) {
+	cancelled := r.chains.Add(entry, func(id string) (dag.End, bool) {
 		f, ok := r.finals.get(id)
 		return endOf(f), ok
 	})
 	j.chain = r.chains.Node(j.id)
 	if j.marked { // it was shown before the job itself
-		c.noteEnd(j.id, chain.End{Outcome: chain.Cancelled})
+		c.noteEnd(j.id, dag.End{Outcome: dag.Cancelled})
 	}
 	c.cancelDependents(cancelled)
 }
@@ -117,7 +118,7 @@
 // readEnd reads one.
 func (c *Core) readEnd(id string) {
 	c.reading[id] = true
-	c.fetchEnd(id, func(status int, _ state.Final) {
+	c.fetchEnd(id, func(status int, _ schema.Final) {
 		if status == 200 {
 			delete(c.reading, id)
 			return
@@ -129,10 +130,10 @@
 
 // fetchEnd asks the state service for a job's end: status 200 with the end, 404 when there is
 // none, anything else when it can't be told.
-func (c *Core) fetchEnd(id string, then func(status int, f state.Final)) {
-	key := state.Finals + id
-	c.callState(state.Request{Kind: state.Get, Key: key}, func(r state.Response) {
-		var f state.Final
+func (c *Core) fetchEnd(id string, then func(status int, f schema.Final)) {
+	key := schema.Finals + id
+	c.callState(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
+		var f schema.Final
 		switch {
 		case r.Status == 200 && c.decode(key, r.Value, &f):
 			c.learnEnd(id, f)
@@ -150,9 +151,9 @@
 // was refused again and again, and its partition stored nothing more.
 func (c *Core) learnEnds(failed []string) {
 	for _, key := range failed {
-		id, isEnd := strings.CutPrefix(key, state.Finals)
+		id, isEnd := strings.CutPrefix(key, schema.Finals)
 		if _, known := c.replica.finals.get(id); isEnd && !known {
-			c.fetchEnd(id, func(int, state.Final) {})
+			c.fetchEnd(id, func(int, schema.Final) {})
 		}
 	}
 }
@@ -194,8 +195,8 @@
 }
 
 // add notes the end of a named job.
-func (n *needs) add(name string, f state.Final) {
-	if endOf(f).Outcome == chain.Cancelled {
+func (n *needs) add(name string, f schema.Final) {
+	if endOf(f).Outcome == dag.Cancelled {
 		n.because = name
 	}
 }
@@ -211,7 +212,7 @@
 	rest := names[len(now):]
 	left := len(now)
 	for _, name := range now {
-		c.fetchEnd(name, func(status int, f state.Final) {
+		c.fetchEnd(name, func(status int, f schema.Final) {
 			switch status {
 			case 200:
 				result.add(name, f)
@@ -255,10 +256,10 @@
 // cancelAtOnce accepts a job that needs a cancelled one: all that is stored of it is its end.
 func (c *Core) cancelAtOnce(q UserReq, because string) {
 	mark := c.mark()
-	f := state.Final{Stage: Cancelled, At: int64(c.wall), Because: because, Mark: mark}
-	txn := &state.Txn{
-		Guards: []state.Guard{{Key: state.Finals + q.ID}},
-		Apply:  []state.Op{{Set: state.Finals + q.ID, Value: encode(f)}},
+	f := schema.Final{Stage: Cancelled, At: int64(c.wall), Because: because, Mark: mark}
+	txn := &kv.Txn{
+		Guards: []kv.Guard{{Key: schema.Finals + q.ID}},
+		Apply:  []kv.Op{{Set: schema.Finals + q.ID, Value: encode(f)}},
 	}
 	c.commit(txn, mark, func(res outcome, _ uint64, _ []string) {
 		switch res {
@@ -279,6 +280,6 @@
 	if _, stored := b.c.replica.finals.get(j.id); stored {
 		return // accepted as cancelled by another controller, beside this entry
 	}
-	f := state.Final{Stage: Cancelled, At: int64(b.c.wall), Because: j.chain.Because(), Mark: b.mark}
-	b.op(state.Op{Set: state.Finals + j.id, Value: encode(f)}, 0)
+	f := schema.Final{Stage: Cancelled, At: int64(b.c.wall), Because: j.chain.Because(), Mark: b.mark}
+	b.op(kv.Op{Set: schema.Finals + j.id, Value: encode(f)}, 0)
 }
--- a/internal/core/waiting_test.go
+++ b/internal/controller/waiting_test.go
@@ -1,39 +1,40 @@
-package core
+package controller
 
 import (
 	"strings"
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
 // chainStore is a store in which j-000002 needs j-000001, whose end is as given, and j-000003
 // needs j-000002.
-func chainStore(end state.Final) (*Core, *outside) {
+func chainStore(end schema.Final) (*Core, *outside) {
 	cfg := &config.Config{Member: "a"}
 	s := &cfg.Settings
 	s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
 	s.State.StateLimits = config.StateLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	c := quietCore(cfg)
-	o := &outside{keys: map[string]state.Item{}, asked: map[state.Kind]int{}}
+	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
 	layout := c.replica.layout
-	layout.Format = state.FormatChains
-	o.put(state.LayoutOf, layout)
-	o.put(state.Finals+"j-000001", end)
-	second := state.Job{ID: "j-000002", Team: "red", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-000001"}}
-	third := state.Job{ID: "j-000003", Team: "red", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-000002"}}
-	o.put(state.JobShardKey(state.JobShardOf(second.ID, layout.Shelves)), state.JobShard{Jobs: []state.Job{second}})
-	o.put(state.JobShardKey(state.JobShardOf(third.ID, layout.Shelves)), state.JobShard{Jobs: []state.Job{third}})
+	layout.Format = schema.FormatChains
+	o.put(schema.LayoutOf, layout)
+	o.put(schema.Finals+"j-000001", end)
+	second := schema.Job{ID: "j-000002", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-000001"}}
+	third := schema.Job{ID: "j-000003", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-000002"}}
+	o.put(schema.JobShardKey(schema.JobShardOf(second.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{second}})
+	o.put(schema.JobShardKey(schema.JobShardOf(third.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{third}})
 	return c, o
 }
 
 // TestReadEnds has a controller that has just loaded read the ends of needed jobs by itself: a
 // copy does not have them, and a job that waits for one would wait for good.
 func TestReadEnds(t *testing.T) {
-	c, o := chainStore(state.Final{Stage: Done, Done: 1, At: 77})
+	c, o := chainStore(schema.Final{Stage: Done, Done: 1, At: 77})
 	step := o.stepper(c)
 	for range 100 {
 		step()
@@ -50,7 +51,7 @@
 // TestAnswerOnlyWhatIsKnown asks about a job before the end of one that it needs, through
 // another, has been read: it must not be called pending, since it is cancelled.
 func TestAnswerOnlyWhatIsKnown(t *testing.T) {
-	c, o := chainStore(state.Final{Stage: Cancelled})
+	c, o := chainStore(schema.Final{Stage: Cancelled})
 	now := units.Second
 	var msgs []Msg
 	asked := false
@@ -72,7 +73,7 @@
 				}
 				return
 			}
-			if call, ok := e.(StateCall); ok && call.Req.Key == state.Finals+"j-000001" {
+			if call, ok := e.(StateCall); ok && call.Req.Key == schema.Finals+"j-000001" {
 				slow = append(slow, o.answer(e)...)
 				continue
 			}
@@ -88,16 +89,16 @@
 // owner, whose copy does not have that end, tried to write it for ever, and since that failed
 // nothing that was in the same transaction was ever stored.
 func TestEndStoredBesideEntry(t *testing.T) {
-	c, o := chainStore(state.Final{Stage: Cancelled, At: 77})
-	o.put(state.Finals+"j-000002", state.Final{Stage: Cancelled, At: 78, Because: "j-000001"})
+	c, o := chainStore(schema.Final{Stage: Cancelled, At: 77})
+	o.put(schema.Finals+"j-000002", schema.Final{Stage: Cancelled, At: 78, Because: "j-000001"})
 	o.guarded = true
 	step := o.stepper(c)
 	for range 600 {
 		step()
 	}
 	for key, item := range o.keys {
-		var shard state.JobShard
-		if strings.HasPrefix(key, state.JobShards) && c.decode(key, item.Value, &shard) && len(shard.Jobs) > 0 {
+		var shard schema.JobShard
+		if strings.HasPrefix(key, schema.JobShards) && c.decode(key, item.Value, &shard) && len(shard.Jobs) > 0 {
 			t.Errorf("%s still has %s", key, shard.Jobs[0].ID)
 		}
 	}
--- a/internal/chain/chain.go
+++ b/internal/dag/chain.go
@@ -5,7 +5,7 @@
 //
 // An end is durable and never changes, so everything that is derived from ends is
 // monotone: a job that is ready stays ready, and one that is cancelled stays cancelled.
-package chain
+package dag
 
 import (
 	"cmp"
--- a/internal/chain/chain_test.go
+++ b/internal/dag/chain_test.go
@@ -1,4 +1,4 @@
-package chain
+package dag
 
 import (
 	"fmt"
--- a/internal/placement/hsrtf.go
+++ b/internal/fairshare/hsrtf.go
@@ -1,6 +1,6 @@
 // Package placement is hSRTF-Pr: the order and the shares of the jobs that
 // compete for a partition's room. It is pure: all it knows is handed to it.
-package placement
+package fairshare
 
 import (
 	"math"
--- a/internal/placement/hsrtf_test.go
+++ b/internal/fairshare/hsrtf_test.go
@@ -1,4 +1,4 @@
-package placement
+package fairshare
 
 import (
 	"math"
--- a/internal/state/wire.go
+++ b/internal/kv/protocol.go
@@ -1,4 +1,4 @@
-package state
+package kv
 
 import "encoding/json"
 
--- a/internal/state/before_test.go
+++ b/internal/schema/before_test.go
@@ -1,4 +1,4 @@
-package state
+package schema
 
 import (
 	"bytes"
--- a/internal/state/docs.go
+++ b/internal/schema/docs.go
@@ -15,7 +15,7 @@
 //	k/a/x/JOB         mark of a cancelled job that is not yet cleared away
 //	k/a/b             the first machine that was rented
 //	k/f/JOB           the job's end. Whoever writes it first decides: done or cancelled
-package state
+package schema
 
 import (
 	"cmp"
--- a/internal/node/clients.go
+++ b/internal/server/clients.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/state"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/kv"
 )
 
 // How long each kind of call may take. After that the connection is closed,
@@ -132,42 +132,42 @@
 	return resp.StatusCode()
 }
 
-func (c *clients) state(e core.StateCall) {
-	var r state.Response
+func (c *clients) state(e controller.StateCall) {
+	var r kv.Response
 	q := e.Req
 	switch q.Kind {
-	case state.Get:
+	case kv.Get:
 		r.Status = do(c.calls, "GET", "/kv/"+q.Key, nil, stateWithin, &r)
-	case state.List:
+	case kv.List:
 		path := "/kv?under=" + url.QueryEscape(q.Key) + "&most=1000"
 		if q.Since != "" {
 			path += "&since=" + url.QueryEscape(q.Since)
 		}
 		r.Status = do(c.calls, "GET", path, nil, 2*stateWithin, &r)
-	case state.Commit:
+	case kv.Commit:
 		r.Status = do(c.calls, "POST", "/txn", q.Txn, stateWithin, &r)
-	case state.Grant:
+	case kv.Grant:
 		r.Status = do(c.calls, "POST", "/holds", map[string]int64{"ttlMs": q.TTLMs}, stateWithin, &r)
-	case state.Renew:
+	case kv.Renew:
 		r.Status = do(c.calls, "POST", "/holds/"+strconv.FormatUint(q.Permit, 10)+"/renew", nil, stateWithin, &r)
-	case state.Watch:
+	case kv.Watch:
 		path := "/changes?under=" + url.QueryEscape(q.Key) + "&since=" + strconv.FormatUint(q.Rev, 10) +
 			"&holdMs=" + strconv.FormatInt(q.HoldMs, 10)
 		r.Status = do(c.watches, "GET", path, nil, time.Duration(q.HoldMs)*time.Millisecond+holdExtra, &r)
 	}
-	c.n.post(core.StateDone{ID: e.ID, Resp: r})
+	c.n.post(controller.StateDone{ID: e.ID, Resp: r})
 }
 
-func (c *clients) cloud(e core.CloudCall) {
-	d := core.CloudDone{ID: e.ID}
+func (c *clients) cloud(e controller.CloudCall) {
+	d := controller.CloudDone{ID: e.ID}
 	switch e.Op {
-	case core.CloudCatalog:
+	case controller.CloudCatalog:
 		d.Status = do(c.provider, "GET", "/catalog", nil, cloudWithin, &d.Catalog)
-	case core.CloudHire:
+	case controller.CloudHire:
 		d.Status = do(c.provider, "POST", "/machines", e.Hire, cloudWithin, &d.Names)
-	case core.CloudDelete:
+	case controller.CloudDelete:
 		d.Status = do(c.provider, "POST", "/machines/delete", e.Names, cloudWithin, nil)
-	case core.CloudList:
+	case controller.CloudList:
 		path := "/machines?most=500"
 		if e.Since != "" {
 			path += "&since=" + url.QueryEscape(e.Since)
@@ -177,9 +177,9 @@
 	c.n.post(d)
 }
 
-func (c *clients) worker(e core.WorkerCall) {
-	d := core.WorkerDone{ID: e.ID}
-	var r workers.Report
+func (c *clients) worker(e controller.WorkerCall) {
+	d := controller.WorkerDone{ID: e.ID}
+	var r agent.Report
 	under := c.telling
 	if e.Cmd == nil {
 		under = c.asking
--- a/internal/node/clients_test.go
+++ b/internal/server/clients_test.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"io"
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/controller"
 )
 
 // silentWorker accepts connections and never answers.
@@ -57,13 +57,13 @@
 			_, _ = io.WriteString(ctx, "{}")
 		})
 	}()
-	command := &workers.Command{Token: 1, Session: 1, Orders: []workers.Order{{Op: workers.Launch, Task: "j-000001/0", Attempt: 1}}}
+	command := &agent.Command{Token: 1, Session: 1, Orders: []agent.Order{{Op: agent.Launch, Task: "j-000001/0", Attempt: 1}}}
 	for i := range 4 * cap(n.calls.telling) {
-		n.effect(core.WorkerCall{ID: uint64(1000 + i), Addr: silent, Cmd: command})
+		n.effect(controller.WorkerCall{ID: uint64(1000 + i), Addr: silent, Cmd: command})
 	}
 	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
 	decided := time.Now()
-	n.effect(core.WorkerCall{ID: 1, Addr: ln.Addr().String(), Cmd: command})
+	n.effect(controller.WorkerCall{ID: 1, Addr: ln.Addr().String(), Cmd: command})
 	time.Sleep(7 * time.Second)
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/server/node.go
@@ -1,6 +1,6 @@
 // Package node carries the core's effects out and brings it messages: the
 // HTTP servers and clients, the heartbeats and the clock. All state is the core's.
-package node
+package server
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/core"
+	"frostdock.example/frostdock/internal/controller"
 	"frostdock.example/frostdock/internal/peer"
 	"frostdock.example/frostdock/internal/policy"
 	"frostdock.example/frostdock/internal/units"
@@ -27,8 +27,8 @@
 type Node struct {
 	cfg   *config.Config
 	log   *slog.Logger
-	core  *core.Core
-	queue chan core.Msg
+	core  *controller.Core
+	queue chan controller.Msg
 	begin time.Time
 
 	web   *web
@@ -39,8 +39,8 @@
 // New prepares a controller; Run starts it.
 func New(cfg *config.Config, pol *policy.Policy, log *slog.Logger, inc string) *Node {
 	n := &Node{
-		cfg: cfg, log: log, core: core.New(cfg, pol, log, inc),
-		queue: make(chan core.Msg, 4096), begin: time.Now(),
+		cfg: cfg, log: log, core: controller.New(cfg, pol, log, inc),
+		queue: make(chan controller.Msg, 4096), begin: time.Now(),
 	}
 	n.web = newWeb(n)
 	n.calls = newClients(n)
@@ -56,7 +56,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.web.serve(ctx, n.cfg.PublicAddr) })
 	g.Go(func() error {
-		err := peer.Listen(ctx, n.cfg.PeerBind, func(b peer.Heartbeat) { n.post(core.PeerHeartbeat{Beat: b}) })
+		err := peer.Listen(ctx, n.cfg.PeerBind, func(b peer.Heartbeat) { n.post(controller.PeerHeartbeat{Beat: b}) })
 		if err != nil {
 			return fmt.Errorf("peers: %w", err)
 		}
@@ -72,14 +72,14 @@
 	return g.Wait()
 }
 
-func (n *Node) post(m core.Msg) { n.queue <- m }
+func (n *Node) post(m controller.Msg) { n.queue <- m }
 
 // loop is the one goroutine that owns the core: it takes whatever has queued
 // up as one batch.
 func (n *Node) loop(ctx context.Context) error {
 	t := time.NewTicker(tick)
 	defer t.Stop()
-	batch := make([]core.Msg, 0, mostBatch)
+	batch := make([]controller.Msg, 0, mostBatch)
 	for {
 		batch = batch[:0]
 		select {
@@ -104,17 +104,17 @@
 	}
 }
 
-func (n *Node) effect(e core.Effect) {
+func (n *Node) effect(e controller.Effect) {
 	switch e := e.(type) {
-	case core.Reply:
+	case controller.Reply:
 		n.web.reply(e)
-	case core.StateCall:
+	case controller.StateCall:
 		go n.calls.state(e)
-	case core.CloudCall:
+	case controller.CloudCall:
 		go n.calls.cloud(e)
-	case core.WorkerCall:
+	case controller.WorkerCall:
 		go n.calls.worker(e)
-	case core.SendHeartbeat:
+	case controller.SendHeartbeat:
 		for _, ch := range n.beats {
 			select {
 			case ch <- e.Beat:
--- a/internal/node/times.go
+++ b/internal/server/times.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frostdock.example/frostdock/internal/limit"
+	"frostdock.example/frostdock/internal/admission"
 )
 
 // reportTimes is how often the measured times are told in the log.
@@ -35,7 +35,7 @@
 }
 
 // report tells the times of each period, at info, until ctx ends.
-func (t *times) report(ctx context.Context, log *slog.Logger, l *limit.Limiter) error {
+func (t *times) report(ctx context.Context, log *slog.Logger, l *admission.Limiter) error {
 	tick := time.NewTicker(reportTimes)
 	defer tick.Stop()
 	for {
--- a/internal/node/web.go
+++ b/internal/server/web.go
@@ -1,4 +1,4 @@
-package node
+package server
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/limit"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/admission"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/controller"
 )
 
 // answerWithin is when a request is given up on: sooner than any caller does.
@@ -27,16 +27,16 @@
 	n    *Node
 	next atomic.Uint64
 
-	limit  *limit.Limiter
+	limit  *admission.Limiter
 	times  *times
 	server *fasthttp.Server
 
 	mu   sync.Mutex
-	open map[uint64]chan core.Reply
+	open map[uint64]chan controller.Reply
 }
 
 func newWeb(n *Node) *web {
-	return &web{n: n, limit: limit.New(), times: newTimes(), open: map[uint64]chan core.Reply{}}
+	return &web{n: n, limit: admission.New(), times: newTimes(), open: map[uint64]chan controller.Reply{}}
 }
 
 func (w *web) serve(ctx context.Context, addr string) error {
@@ -59,7 +59,7 @@
 	return &fasthttp.Server{
 		Handler:            w.handle,
 		Name:               "frostdock",
-		MaxRequestBodySize: 4 * intake.MaxBody,
+		MaxRequestBodySize: 4 * api.MaxBody,
 		ReadTimeout:        70 * time.Second,
 		WriteTimeout:       5 * time.Second,
 		IdleTimeout:        90 * time.Second,
@@ -103,11 +103,11 @@
 	switch {
 	case path == "/ready":
 		if need("GET") {
-			w.ask(ctx, func(to uint64) core.Msg { return core.ReadyReq{To: to} })
+			w.ask(ctx, func(to uint64) controller.Msg { return controller.ReadyReq{To: to} })
 		}
 	case path == "/v1/report":
 		if need("POST") {
-			var r workers.Report
+			var r agent.Report
 			if err := json.Unmarshal(ctx.PostBody(), &r); err != nil || r.Machine == "" {
 				ctx.Error("malformed report", fasthttp.StatusBadRequest)
 				return
@@ -116,45 +116,45 @@
 				ctx.SetConnectionClose()
 			}
 			begun := time.Now()
-			w.ask(ctx, func(to uint64) core.Msg { return core.ReportReq{To: to, Report: r} })
+			w.ask(ctx, func(to uint64) controller.Msg { return controller.ReportReq{To: to, Report: r} })
 			w.times.add("report", time.Since(begun))
 		}
 	case path == "/submissions":
 		if need("POST") {
-			j, jid, err := intake.Parse(ctx.PostBody())
-			w.user(ctx, core.UserReq{Kind: core.Submit, ID: jid, Job: j, Why: err})
+			j, jid, err := api.Parse(ctx.PostBody())
+			w.user(ctx, controller.UserReq{Kind: controller.Submit, ID: jid, Job: j, Why: err})
 		}
 	case id != "" && sub == "" && !strings.HasSuffix(path, "/"):
 		if !need("GET") {
 			return
 		}
-		if !intake.ValidID(id) {
+		if !api.ValidID(id) {
 			ctx.Error("no such job", fasthttp.StatusNotFound)
 			return
 		}
-		w.user(ctx, core.UserReq{Kind: core.Poll, ID: id})
+		w.user(ctx, controller.UserReq{Kind: controller.Poll, ID: id})
 	case id != "" && sub == "abort":
 		if !need("POST") {
 			return
 		}
-		if !intake.ValidID(id) {
+		if !api.ValidID(id) {
 			ctx.Error("no such job", fasthttp.StatusNotFound)
 			return
 		}
-		w.user(ctx, core.UserReq{Kind: core.Abort, ID: id})
+		w.user(ctx, controller.UserReq{Kind: controller.Abort, ID: id})
 	default:
 		ctx.Error("no such path", fasthttp.StatusNotFound)
 	}
 }
 
-var kinds = map[core.UserKind]struct {
-	kind limit.Kind
+var kinds = map[controller.UserKind]struct {
+	kind admission.Kind
 	name string
-}{core.Submit: {limit.Submit, "submit"}, core.Poll: {limit.Poll, "poll"}, core.Abort: {limit.Abort, "abort"}}
+}{controller.Submit: {admission.Submit, "submit"}, controller.Poll: {admission.Poll, "poll"}, controller.Abort: {admission.Abort, "abort"}}
 
 // user hands a user's request on if there is room for one more in progress;
 // otherwise it is refused at once, with the time to come back.
-func (w *web) user(ctx *fasthttp.RequestCtx, q core.UserReq) {
+func (w *web) user(ctx *fasthttp.RequestCtx, q controller.UserReq) {
 	k := kinds[q.Kind]
 	if !w.limit.Enter(k.kind) {
 		ctx.Response.Header.Set("Retry-After", "1")
@@ -162,30 +162,30 @@
 		return
 	}
 	begun := w.n.now()
-	w.ask(ctx, func(to uint64) core.Msg { q.To = to; return q })
+	w.ask(ctx, func(to uint64) controller.Msg { q.To = to; return q })
 	now := w.n.now()
 	w.limit.Leave(k.kind, now, now-begun)
 	w.times.add(k.name, (now - begun).Duration())
 }
 
 // ask hands a message to the core and waits for its reply.
-func (w *web) ask(ctx *fasthttp.RequestCtx, msg func(to uint64) core.Msg) {
+func (w *web) ask(ctx *fasthttp.RequestCtx, msg func(to uint64) controller.Msg) {
 	to := w.next.Add(1)
-	ch := make(chan core.Reply, 1)
+	ch := make(chan controller.Reply, 1)
 	w.mu.Lock()
 	w.open[to] = ch
 	w.mu.Unlock()
 	w.n.post(msg(to))
 	t := time.NewTimer(answerWithin)
 	defer t.Stop()
-	var r core.Reply
+	var r controller.Reply
 	select {
 	case r = <-ch:
 	case <-t.C:
 		w.mu.Lock()
 		delete(w.open, to)
 		w.mu.Unlock()
-		r = core.Reply{Status: 503, RetryAfterS: 1}
+		r = controller.Reply{Status: 503, RetryAfterS: 1}
 	}
 	ctx.SetStatusCode(r.Status)
 	if r.RetryAfterS > 0 {
@@ -202,7 +202,7 @@
 	}
 }
 
-func (w *web) reply(r core.Reply) {
+func (w *web) reply(r controller.Reply) {
 	w.mu.Lock()
 	ch := w.open[r.To]
 	delete(w.open, r.To)
--- a/internal/simulator/before.go
+++ b/internal/simulator/before.go
@@ -4,8 +4,9 @@
 	"encoding/json"
 	"strings"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 )
 
 // A controller of the version before drops from a document what it does not know, when it
@@ -13,12 +14,12 @@
 // controller whose documents lose, in both directions, what is new.
 
 // asBefore is a call as the version before would make it.
-func asBefore(e core.StateCall) core.StateCall {
-	if e.Req.Kind != state.Commit || e.Req.Txn == nil {
+func asBefore(e controller.StateCall) controller.StateCall {
+	if e.Req.Kind != kv.Commit || e.Req.Txn == nil {
 		return e
 	}
 	txn := *e.Req.Txn
-	txn.Apply = make([]state.Op, len(e.Req.Txn.Apply))
+	txn.Apply = make([]kv.Op, len(e.Req.Txn.Apply))
 	for i, op := range e.Req.Txn.Apply {
 		if op.Set != "" {
 			op.Value = withoutNews(op.Set, op.Value)
@@ -30,16 +31,16 @@
 }
 
 // shownBefore is an answer as the version before reads it.
-func shownBefore(d core.StateDone) core.StateDone {
+func shownBefore(d controller.StateDone) controller.StateDone {
 	if d.Resp.Key != "" {
 		d.Resp.Value = withoutNews(d.Resp.Key, d.Resp.Value)
 	}
-	items := make([]state.Item, len(d.Resp.Items))
+	items := make([]kv.Item, len(d.Resp.Items))
 	for i, it := range d.Resp.Items {
 		it.Value = withoutNews(it.Key, it.Value)
 		items[i] = it
 	}
-	news := make([]state.Event, len(d.Resp.News))
+	news := make([]kv.Event, len(d.Resp.News))
 	for i, ev := range d.Resp.News {
 		if ev.Set != "" {
 			ev.Value = withoutNews(ev.Set, ev.Value)
@@ -53,19 +54,19 @@
 // withoutNews is a document without what the version before does not know.
 func withoutNews(key string, val json.RawMessage) json.RawMessage {
 	switch {
-	case strings.HasPrefix(key, state.Nodes):
-		return rewritten(val, func(r *state.Registration) { r.Format = state.FormatBefore })
-	case strings.HasPrefix(key, state.MachineShards):
-		return rewritten(val, func(g *state.MachineShard) { g.Spread = 0 })
-	case strings.HasPrefix(key, state.JobShards):
-		return rewritten(val, func(s *state.JobShard) {
+	case strings.HasPrefix(key, schema.Nodes):
+		return rewritten(val, func(r *schema.Registration) { r.Format = schema.FormatBefore })
+	case strings.HasPrefix(key, schema.MachineShards):
+		return rewritten(val, func(g *schema.MachineShard) { g.Spread = 0 })
+	case strings.HasPrefix(key, schema.JobShards):
+		return rewritten(val, func(s *schema.JobShard) {
 			s.Spread = 0
 			for i := range s.Jobs {
 				s.Jobs[i].Needs = nil
 			}
 		})
-	case strings.HasPrefix(key, state.Finals):
-		return rewritten(val, func(f *state.Final) { f.At, f.Because = 0, "" })
+	case strings.HasPrefix(key, schema.Finals):
+		return rewritten(val, func(f *schema.Final) { f.At, f.Because = 0, "" })
 	}
 	return val
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -4,15 +4,15 @@
 	"fmt"
 	"sort"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/provision"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/controller"
 	"frostdock.example/frostdock/internal/units"
 )
 
 // cloud rents machines.
-type cloud struct {
+type cloudService struct {
 	w     *World
-	types []provision.Type
+	types []cloud.Type
 	left  map[string]int // offers: type/zone/spot -> machines still to be had
 	hires map[string][]string
 	rows  map[string]*row
@@ -25,24 +25,24 @@
 }
 
 type row struct {
-	l    provision.Listed
+	l    cloud.Listed
 	born units.Micros
 }
 
 type snapshot struct {
 	at   units.Micros
-	rows []provision.Listed
+	rows []cloud.Listed
 }
 
-func newCloud(w *World) *cloud {
-	c := &cloud{w: w, left: map[string]int{}, hires: map[string][]string{}, rows: map[string]*row{}, lag: 8 * units.Second, boot: 1}
+func newCloud(w *World) *cloudService {
+	c := &cloudService{w: w, left: map[string]int{}, hires: map[string][]string{}, rows: map[string]*row{}, lag: 8 * units.Second, boot: 1}
 	w.every(units.Second, c.snap)
 	return c
 }
 
 func offer(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
-func (c *cloud) typ(name string) *provision.Type {
+func (c *cloudService) typ(name string) *cloud.Type {
 	for i := range c.types {
 		if c.types[i].Name == name {
 			return &c.types[i]
@@ -52,7 +52,7 @@
 }
 
 // snap remembers the list, which is shown late.
-func (c *cloud) snap() {
+func (c *cloudService) snap() {
 	s := snapshot{at: c.w.now}
 	for _, r := range c.rows {
 		l := r.l
@@ -66,24 +66,24 @@
 	}
 }
 
-func (c *cloud) from(node string, e core.CloudCall, done func(core.CloudDone)) {
-	call(c.w, node, "cloud", 5*units.Second, func(answer func(core.CloudDone)) {
-		d := core.CloudDone{Status: 200}
+func (c *cloudService) from(node string, e controller.CloudCall, done func(controller.CloudDone)) {
+	call(c.w, node, "cloud", 5*units.Second, func(answer func(controller.CloudDone)) {
+		d := controller.CloudDone{Status: 200}
 		if c.down {
 			d.Status = 503
 			answer(d)
 			return
 		}
 		switch e.Op {
-		case core.CloudCatalog:
+		case controller.CloudCatalog:
 			d.Catalog.Types = c.types
-		case core.CloudHire:
+		case controller.CloudHire:
 			d.Names.Machines, d.Status = c.hire(e.Hire)
-		case core.CloudDelete:
+		case controller.CloudDelete:
 			for _, n := range e.Names.Machines {
 				c.remove(n)
 			}
-		case core.CloudList:
+		case controller.CloudList:
 			at := c.w.now - c.lag
 			if c.w.rng.Float64() < 0.1 {
 				at -= c.lag
@@ -97,16 +97,16 @@
 			d.Page.Machines = s.rows
 		}
 		answer(d)
-	}, func(d core.CloudDone, ok bool) {
+	}, func(d controller.CloudDone, ok bool) {
 		if !ok {
-			d = core.CloudDone{}
+			d = controller.CloudDone{}
 		}
 		d.ID = e.ID
 		done(d)
 	})
 }
 
-func (c *cloud) hire(h provision.Hire) ([]string, int) {
+func (c *cloudService) hire(h cloud.Hire) ([]string, int) {
 	if names, ok := c.hires[h.Name]; ok {
 		return names, 200
 	}
@@ -134,24 +134,24 @@
 	return names, 200
 }
 
-func (c *cloud) create(typ, zone string, spot bool) string {
+func (c *cloudService) create(typ, zone string, spot bool) string {
 	name := fmt.Sprintf("n-%06d", c.next)
 	c.next++
-	c.rows[name] = &row{l: provision.Listed{Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: provision.Starting}, born: c.w.now}
+	c.rows[name] = &row{l: cloud.Listed{Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: cloud.Starting}, born: c.w.now}
 	return name
 }
 
-func (c *cloud) up(name string) {
+func (c *cloudService) up(name string) {
 	r := c.rows[name]
 	if r == nil {
 		return
 	}
-	r.l.State = provision.Running
+	r.l.State = cloud.Running
 	c.w.addWorker(name, r.l, c.typ(r.l.Type))
 }
 
 // remove takes a machine away at once, with all that is on it.
-func (c *cloud) remove(name string) {
+func (c *cloudService) remove(name string) {
 	if r := c.rows[name]; r != nil {
 		c.left[offer(r.l.Type, r.l.Zone, r.l.Spot)]++
 		delete(c.rows, name)
@@ -160,11 +160,11 @@
 }
 
 // die stops a machine; the list shows it as running for a while.
-func (c *cloud) die(name string) {
+func (c *cloudService) die(name string) {
 	c.w.removeWorker(name)
 	c.w.after(30*units.Second, func() {
 		if r := c.rows[name]; r != nil {
-			r.l.State = provision.Failed
+			r.l.State = cloud.Failed
 		}
 	})
 }
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strings"
 
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -23,7 +23,7 @@
 	limits   map[string]float64 // CPUs a team may use; 0: no limit
 	gpuLimit map[string]float64
 	jobs     map[string]*checked
-	where    map[string]provision.Listed
+	where    map[string]cloud.Listed
 	use      map[string]*teamUse     // what each team's tasks take
 	begun    map[string]units.Micros // when each job's first task started
 	asked    int
@@ -36,7 +36,7 @@
 // checked is what the checker knows of a job.
 type checked struct {
 	on        map[int]string // its tasks that are on machines, and on which
-	spec      *state.Job
+	spec      *schema.Job
 	accepted  bool
 	at        units.Micros // when it was accepted
 	aborted   bool         // its user has asked to cancel
@@ -55,7 +55,7 @@
 // NewChecker returns a checker that knows of no job.
 func NewChecker() *Checker {
 	return &Checker{limits: map[string]float64{}, gpuLimit: map[string]float64{}, jobs: map[string]*checked{},
-		where: map[string]provision.Listed{}, use: map[string]*teamUse{}, begun: map[string]units.Micros{}, CancelIn: 47 * units.Second}
+		where: map[string]cloud.Listed{}, use: map[string]*teamUse{}, begun: map[string]units.Micros{}, CancelIn: 47 * units.Second}
 }
 
 func (c *Checker) fail(rule, format string, args ...any) {
@@ -63,7 +63,7 @@
 }
 
 // Submitted registers a job that a user has submitted.
-func (c *Checker) Submitted(j *state.Job) {
+func (c *Checker) Submitted(j *schema.Job) {
 	if c.jobs[j.ID] == nil {
 		c.jobs[j.ID] = &checked{spec: j, done: map[int]bool{}, on: map[int]string{}}
 	}
@@ -172,7 +172,7 @@
 }
 
 // On is called when a task holds its image on a machine and starts.
-func (c *Checker) On(machine string, l provision.Listed, job string, n int) {
+func (c *Checker) On(machine string, l cloud.Listed, job string, n int) {
 	id := fmt.Sprintf("%s/%d", job, n)
 	j := c.jobs[job]
 	c.Started++
@@ -187,7 +187,7 @@
 		c.fail("ran_twice", "%s starts on %s while it is on %s", id, machine, other)
 	}
 	s := j.spec
-	if !intake.TypeAllowed(s, l.Type) || l.Spot && !s.Spot || s.Zone != "" && s.Zone != l.Zone {
+	if !api.TypeAllowed(s, l.Type) || l.Spot && !s.Spot || s.Zone != "" && s.Zone != l.Zone {
 		c.fail("wrong_place", "%s on %s (%s, %s, spot %v)", id, machine, l.Type, l.Zone, l.Spot)
 	}
 	same := 1
--- a/internal/simulator/rules_test.go
+++ b/internal/simulator/rules_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -21,9 +21,9 @@
 		c := NewChecker()
 		c.now = units.Second
 		c.limits["red"] = 4
-		c.Submitted(&state.Job{ID: "j-1", Team: "red", Tasks: 3, CPUs: 2})
-		c.Submitted(&state.Job{ID: "j-2", Team: "blue", Tasks: 2, CPUs: 1, Spread: true})
-		c.Submitted(&state.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
+		c.Submitted(&schema.Job{ID: "j-1", Team: "red", Tasks: 3, CPUs: 2})
+		c.Submitted(&schema.Job{ID: "j-2", Team: "blue", Tasks: 2, CPUs: 1, Spread: true})
+		c.Submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
 		tc.do(c)
 		if len(c.Broken) != 1 || !strings.Contains(c.Broken[0], tc.rule) {
 			t.Errorf("%s: noticed %q", tc.rule, c.Broken)
@@ -33,8 +33,8 @@
 
 // breachesOnMachines are those of tasks: where and when they run.
 func breachesOnMachines() []breach {
-	spot := provision.Listed{Type: "big", Zone: "a", Spot: true}
-	a, b := provision.Listed{Type: "big", Zone: "a"}, provision.Listed{Type: "big", Zone: "b"}
+	spot := cloud.Listed{Type: "big", Zone: "a", Spot: true}
+	a, b := cloud.Listed{Type: "big", Zone: "a"}, cloud.Listed{Type: "big", Zone: "b"}
 	return []breach{
 		{"ran_twice", func(c *Checker) { c.On("m1", a, "j-1", 0); c.On("m2", a, "j-1", 0) }},
 		{"quota", func(c *Checker) { c.On("m1", a, "j-1", 0); c.On("m1", a, "j-1", 1); c.On("m1", a, "j-1", 2) }},
@@ -70,7 +70,7 @@
 			}
 		}},
 		{"too_early", func(c *Checker) { // one of two needed tasks is not done
-			c.Submitted(&state.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-2"}})
+			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-2"}})
 			c.Completed("j-2", 0)
 			c.On("m1", a, "j-4", 0)
 		}},
@@ -87,7 +87,7 @@
 
 // breachesInAnswers are those of what users are told, and of who is served.
 func breachesInAnswers() []breach {
-	a := provision.Listed{Type: "big", Zone: "a"}
+	a := cloud.Listed{Type: "big", Zone: "a"}
 	return []breach{
 		{"accepted_bad", func(c *Checker) {
 			c.Bad("j-1", "lacks a field")
@@ -130,8 +130,8 @@
 			c.End()
 		}},
 		{"orphaned", func(c *Checker) { // through another job
-			c.Submitted(&state.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-1"}})
-			c.Submitted(&state.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-4"}})
+			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-1"}})
+			c.Submitted(&schema.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-4"}})
 			c.Answer("submit", "j-5", 201, "pending", c.Told("j-5"))
 			c.Aborting("j-1")
 			c.Answer("abort", "j-1", 200, "cancelled", c.Told("j-1"))
@@ -139,7 +139,7 @@
 			c.Answer("poll", "j-5", 200, "pending", c.Told("j-5"))
 		}},
 		{"went_back", func(c *Checker) { // cancelled with a job that is done
-			c.Submitted(&state.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: state.IDs{"j-2"}})
+			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-2"}})
 			c.Completed("j-2", 0)
 			c.Completed("j-2", 1)
 			c.Aborting("j-2")
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -9,9 +9,9 @@
 	"strconv"
 	"strings"
 
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -72,7 +72,7 @@
 	end     units.Micros
 	set     *args
 	teams   []config.Team
-	types   []provision.Type
+	types   []cloud.Type
 	left    map[string]int
 	initial []*args
 	steps   []step
@@ -122,7 +122,7 @@
 	case "team":
 		s.teams = append(s.teams, config.Team{Name: a.str(0), CPUs: a.num("cpus", 0), CPUsMax: a.num("max", 0), GPUs: a.num("gpus", 0), GPUsMax: a.num("gpumax", 0)})
 	case "type":
-		t := provision.Type{Name: a.str(0), CPUs: a.num("cpus", 16), GPUs: a.num("gpus", 0), MemGB: a.num("mem", 64), CacheGB: 50,
+		t := cloud.Type{Name: a.str(0), CPUs: a.num("cpus", 16), GPUs: a.num("gpus", 0), MemGB: a.num("mem", 64), CacheGB: 50,
 			FetchGBs: a.num("fetch", 0.5), Price: a.num("price", 1), SpotPrice: a.num("spotprice", 0.4), BootS: a.num("boot", 30),
 			Zones: strings.Split(a.val("zones", "a"), ",")}
 		s.types = append(s.types, t)
@@ -177,7 +177,7 @@
 	for _, a := range s.initial {
 		for range int(a.num("n", 1)) {
 			name := w.cloud.create(a.str(0), a.val("zone", "a"), a.val("spot", "no") == "yes")
-			w.cloud.rows[name].l.State = provision.Running
+			w.cloud.rows[name].l.State = cloud.Running
 			w.cloud.up(name)
 		}
 		if a.err != nil {
@@ -244,7 +244,7 @@
 func submission(id string, a *args) *userJob {
 	j := &userJob{runS: a.num("run", 20), broken: a.val("broken", "no") == "yes"}
 	grades := map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
-	j.spec = state.Job{
+	j.spec = schema.Job{
 		ID: id, Class: a.val("class", "c"), Team: a.val("team", "red"), Service: a.val("kind", "array") == "service",
 		Tasks: int(a.num("n", 1)), CPUs: a.num("cpus", 2), GPUs: a.num("gpus", 0), MemGB: a.num("mem", 4),
 		Zone: a.val("zone", ""), OneZone: a.val("onezone", "no") == "yes", Spread: a.val("spread", "no") == "yes",
@@ -373,7 +373,7 @@
 	return a.err
 }
 
-func (w *World) node(name string) *controller {
+func (w *World) node(name string) *process {
 	for _, n := range w.nodes {
 		if n.name == name {
 			return n
@@ -522,7 +522,7 @@
 			}
 		}
 	case "known": // entries of machines in the store
-		n := strings.Count(w.store.text(state.MachineShards), `"a":"`)
+		n := strings.Count(w.store.text(schema.MachineShards), `"a":"`)
 		if lo, hi := int(a.num("min", 0)), int(a.num("max", 1e9)); n < lo || n > hi {
 			return fmt.Sprintf("there are %d", n), nil
 		}
@@ -544,8 +544,8 @@
 func (w *World) checkStore(what string, a *args) (string, error) {
 	switch what {
 	case "format": // of the documents in the store
-		var layout state.Layout
-		if e := w.store.keys[state.LayoutOf]; e != nil {
+		var layout schema.Layout
+		if e := w.store.keys[schema.LayoutOf]; e != nil {
 			if err := json.Unmarshal(e.val, &layout); err != nil {
 				return "", fmt.Errorf("layout: %w", err)
 			}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -6,8 +6,9 @@
 	"strings"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -18,14 +19,14 @@
 	keys        map[string]*entry
 	holds       map[uint64]*hold
 	holdN       uint64
-	log         []state.Event
+	log         []kv.Event
 	watches     []*watch
 	down        bool
 	refuse      map[string]units.Micros // nodes that alone get 503, until when
 	reqs        bucket
 	writes      bucket
-	beforeGate  map[*state.Txn]bool // transactions that were first sent before the gate was raised
-	refusedSize int                 // of the others, how often one broke a limit of sizes
+	beforeGate  map[*kv.Txn]bool // transactions that were first sent before the gate was raised
+	refusedSize int              // of the others, how often one broke a limit of sizes
 
 	keep    int    // changes kept for watches
 	trimmed uint64 // revision up to which changes are no longer kept
@@ -48,7 +49,7 @@
 	var b strings.Builder
 	for k, e := range s.keys {
 		if strings.HasPrefix(k, under) {
-			b.Write(state.Plain(e.val))
+			b.Write(schema.Plain(e.val))
 		}
 	}
 	return b.String()
@@ -63,7 +64,7 @@
 	prefix string
 	since  uint64
 	node   string
-	answer func(state.Response)
+	answer func(kv.Response)
 }
 
 type bucket struct {
@@ -83,24 +84,24 @@
 
 func newStore(w *World) *store {
 	s := &store{w: w, keys: map[string]*entry{}, holds: map[uint64]*hold{}, refuse: map[string]units.Micros{}, blind: map[string]units.Micros{},
-		beforeGate: map[*state.Txn]bool{},
+		beforeGate: map[*kv.Txn]bool{},
 		reqs:       bucket{rate: 250}, writes: bucket{rate: 25}, keep: 10000}
 	w.every(50*units.Millisecond, s.expire)
 	return s
 }
 
 // from serves one call of a node.
-func (s *store) from(node string, e core.StateCall, done func(core.StateDone)) {
-	if e.Req.Kind == state.Commit && !s.gateRaised() {
+func (s *store) from(node string, e controller.StateCall, done func(controller.StateDone)) {
+	if e.Req.Kind == kv.Commit && !s.gateRaised() {
 		s.beforeGate[e.Req.Txn] = true
 	}
 	limit := 1500 * units.Millisecond
-	if e.Req.Kind == state.Watch {
+	if e.Req.Kind == kv.Watch {
 		limit = units.Micros(e.Req.HoldMs)*units.Millisecond + 5*units.Second
 	}
-	call(s.w, node, "state", limit, func(answer func(state.Response)) {
-		if e.Req.Kind == state.Commit && s.late > 0 && s.w.rng.Float64() < s.late {
-			s.w.after(units.FromSeconds(2+10*s.w.rng.Float64()), func() { s.serve(node, &e.Req, func(state.Response) {}) })
+	call(s.w, node, "state", limit, func(answer func(kv.Response)) {
+		if e.Req.Kind == kv.Commit && s.late > 0 && s.w.rng.Float64() < s.late {
+			s.w.after(units.FromSeconds(2+10*s.w.rng.Float64()), func() { s.serve(node, &e.Req, func(kv.Response) {}) })
 			return
 		}
 		if s.slow > 0 {
@@ -108,53 +109,53 @@
 			return
 		}
 		s.serve(node, &e.Req, answer)
-	}, func(r state.Response, ok bool) {
+	}, func(r kv.Response, ok bool) {
 		if !ok {
-			r = state.Response{}
+			r = kv.Response{}
 		}
-		done(core.StateDone{ID: e.ID, Resp: r})
+		done(controller.StateDone{ID: e.ID, Resp: r})
 	})
 }
 
 func (s *store) refused(node string) bool { return s.down || s.w.now < s.refuse[node] }
 
-func (s *store) serve(node string, q *state.Request, answer func(state.Response)) {
+func (s *store) serve(node string, q *kv.Request, answer func(kv.Response)) {
 	now := s.w.now
 	if s.refused(node) {
-		answer(state.Response{Status: 503})
+		answer(kv.Response{Status: 503})
 		return
 	}
 	if !s.reqs.take(now, 1) {
-		answer(state.Response{Status: 429})
+		answer(kv.Response{Status: 429})
 		return
 	}
 	switch q.Kind {
-	case state.Get:
+	case kv.Get:
 		if e := s.keys[q.Key]; e != nil {
-			answer(state.Response{Status: 200, Key: q.Key, Value: e.val, Stamp: e.stamp})
+			answer(kv.Response{Status: 200, Key: q.Key, Value: e.val, Stamp: e.stamp})
 		} else {
-			answer(state.Response{Status: 404, Rev: s.rev})
+			answer(kv.Response{Status: 404, Rev: s.rev})
 		}
-	case state.List:
+	case kv.List:
 		answer(s.list(q))
-	case state.Commit:
+	case kv.Commit:
 		answer(s.commit(q.Txn))
-	case state.Grant:
+	case kv.Grant:
 		s.holdN++
 		ttl := units.Micros(q.TTLMs) * units.Millisecond
 		s.holds[s.holdN] = &hold{ttl, now + ttl}
-		answer(state.Response{Status: 200, Permit: s.holdN})
-	case state.Renew:
+		answer(kv.Response{Status: 200, Permit: s.holdN})
+	case kv.Renew:
 		h := s.holds[q.Permit]
 		if h == nil {
-			answer(state.Response{Status: 404})
+			answer(kv.Response{Status: 404})
 			return
 		}
 		h.end = now + h.ttl
-		answer(state.Response{Status: 200})
-	case state.Watch:
+		answer(kv.Response{Status: 200})
+	case kv.Watch:
 		if q.Rev < s.trimmed {
-			answer(state.Response{Status: 410})
+			answer(kv.Response{Status: 410})
 			return
 		}
 		wt := &watch{q.Key, q.Rev, node, answer}
@@ -164,7 +165,7 @@
 	}
 }
 
-func (s *store) list(q *state.Request) state.Response {
+func (s *store) list(q *kv.Request) kv.Response {
 	var names []string
 	for k := range s.keys {
 		if strings.HasPrefix(k, q.Key) && k > q.Since {
@@ -172,12 +173,12 @@
 		}
 	}
 	sort.Strings(names)
-	r := state.Response{Status: 200, Rev: s.rev}
+	r := kv.Response{Status: 200, Rev: s.rev}
 	if len(names) > 20 { // small pages, so that paging is exercised
 		names, r.Truncated = names[:20], true
 	}
 	for _, k := range names {
-		r.Items = append(r.Items, state.Item{Key: k, Value: s.keys[k].val, Stamp: s.keys[k].stamp})
+		r.Items = append(r.Items, kv.Item{Key: k, Value: s.keys[k].val, Stamp: s.keys[k].stamp})
 	}
 	return r
 }
@@ -185,13 +186,13 @@
 // gateRaised reports whether the documents may have the present format: from then on nothing
 // may be larger than the announced limits.
 func (s *store) gateRaised() bool {
-	e := s.keys[state.LayoutOf]
-	var layout state.Layout
-	return e != nil && json.Unmarshal(e.val, &layout) == nil && layout.Format >= state.FormatChains
+	e := s.keys[schema.LayoutOf]
+	var layout schema.Layout
+	return e != nil && json.Unmarshal(e.val, &layout) == nil && layout.Format >= schema.FormatChains
 }
 
 // tooLarge reports whether a transaction breaks a limit of sizes.
-func (s *store) tooLarge(t *state.Txn) bool {
+func (s *store) tooLarge(t *kv.Txn) bool {
 	if len(t.Apply) > s.limits.TxnOps || len(t.Guards) > 4*s.limits.TxnOps {
 		return true
 	}
@@ -208,15 +209,15 @@
 // mostTxnBytes is how large a transaction may be.
 const mostTxnBytes = 64 << 10
 
-func (s *store) commit(t *state.Txn) state.Response {
+func (s *store) commit(t *kv.Txn) kv.Response {
 	if s.tooLarge(t) {
 		if !s.beforeGate[t] {
 			s.refusedSize++
 		}
-		return state.Response{Status: 400}
+		return kv.Response{Status: 400}
 	}
 	if len(t.Apply) > 0 && !s.writes.take(s.w.now, float64(len(t.Apply))) {
-		return state.Response{Status: 429}
+		return kv.Response{Status: 429}
 	}
 	var failed []string
 	for _, g := range t.Guards {
@@ -229,32 +230,32 @@
 		}
 	}
 	if len(failed) > 0 {
-		return state.Response{Status: 409, Rev: s.rev, Failed: failed}
+		return kv.Response{Status: 409, Rev: s.rev, Failed: failed}
 	}
 	for _, op := range t.Apply {
 		if op.Set != "" && op.Permit != 0 && s.holds[op.Permit] == nil {
-			return state.Response{Status: 400}
+			return kv.Response{Status: 400}
 		}
 	}
 	if len(t.Apply) == 0 {
-		return state.Response{Status: 200, Rev: s.rev}
+		return kv.Response{Status: 200, Rev: s.rev}
 	}
 	s.rev++
 	for _, op := range t.Apply {
 		if op.Set != "" {
 			s.keys[op.Set] = &entry{op.Value, s.rev, op.Permit}
-			s.log = append(s.log, state.Event{Set: op.Set, Value: op.Value, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Set: op.Set, Value: op.Value, Stamp: s.rev})
 		} else if s.keys[op.Delete] != nil {
 			delete(s.keys, op.Delete)
-			s.log = append(s.log, state.Event{Delete: op.Delete, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Delete: op.Delete, Stamp: s.rev})
 		}
 	}
 	if len(s.log) > s.keep {
 		s.trimmed = s.log[len(s.log)-s.keep-1].Stamp
-		s.log = append([]state.Event{}, s.log[len(s.log)-s.keep:]...)
+		s.log = append([]kv.Event{}, s.log[len(s.log)-s.keep:]...)
 	}
 	s.notify()
-	return state.Response{Status: 200, Rev: s.rev}
+	return kv.Response{Status: 200, Rev: s.rev}
 }
 
 // expire ends leases; after an outage each has its full time again.
@@ -278,7 +279,7 @@
 		for _, k := range keys {
 			s.rev++
 			delete(s.keys, k)
-			s.log = append(s.log, state.Event{Delete: k, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Delete: k, Stamp: s.rev})
 		}
 	}
 	s.notify()
@@ -314,12 +315,12 @@
 	if at < 0 {
 		return
 	}
-	r := state.Response{Status: 200, Rev: s.rev}
+	r := kv.Response{Status: 200, Rev: s.rev}
 	if s.refused(wt.node) {
 		r.Rev = wt.since // nothing new is told
 	} else if wt.since < s.trimmed {
 		s.watches = append(s.watches[:at], s.watches[at+1:]...)
-		wt.answer(state.Response{Status: 410})
+		wt.answer(kv.Response{Status: 410})
 		return
 	} else {
 		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > wt.since })
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -9,9 +9,9 @@
 	"hash"
 	"io"
 
-	"frostdock.example/frostdock/internal/core"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/peer"
-	"frostdock.example/frostdock/internal/state"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -45,7 +45,7 @@
 }
 
 // record adds one effect. A nil trace records nothing.
-func (t *Trace) record(now units.Micros, controller string, effect core.Effect) {
+func (t *Trace) record(now units.Micros, controller string, effect controller.Effect) {
 	if t == nil {
 		return
 	}
@@ -59,49 +59,49 @@
 
 // line writes an effect in the form that it has on the wire. Numbers that only match calls to
 // their answers within a process are left out.
-func (t *Trace) line(effect core.Effect) string {
+func (t *Trace) line(effect controller.Effect) string {
 	switch e := effect.(type) {
-	case core.Reply:
+	case controller.Reply:
 		return fmt.Sprintf("reply to=%d status=%d retry=%d body=%s", e.To, e.Status, e.RetryAfterS, traceJSON(e.Body))
-	case core.StateCall:
+	case controller.StateCall:
 		return traceStoreRequest(&e.Req)
-	case core.CloudCall:
+	case controller.CloudCall:
 		return traceCloudRequest(&e)
-	case core.WorkerCall:
+	case controller.WorkerCall:
 		return fmt.Sprintf("command addr=%s body=%s", e.Addr, traceJSON(e.Cmd))
-	case core.SendHeartbeat:
+	case controller.SendHeartbeat:
 		return "heartbeat " + t.heartbeat(e.Beat)
 	}
 	panic(fmt.Sprintf("trace: unknown effect %T", effect)) // a fault of the program: a new effect is to be added here
 }
 
-func traceStoreRequest(r *state.Request) string {
+func traceStoreRequest(r *kv.Request) string {
 	switch r.Kind {
-	case state.Get:
+	case kv.Get:
 		return "store get key=" + r.Key
-	case state.List:
+	case kv.List:
 		return fmt.Sprintf("store list under=%s since=%s", r.Key, r.Since)
-	case state.Commit:
+	case kv.Commit:
 		return "store txn " + traceJSON(r.Txn)
-	case state.Grant:
+	case kv.Grant:
 		return fmt.Sprintf("store grant ttl=%d", r.TTLMs)
-	case state.Renew:
+	case kv.Renew:
 		return fmt.Sprintf("store renew lease=%d", r.Permit)
-	case state.Watch:
+	case kv.Watch:
 		return fmt.Sprintf("store watch under=%s since=%d hold=%d", r.Key, r.Rev, r.HoldMs)
 	}
 	panic(fmt.Sprintf("trace: unknown request %d", r.Kind))
 }
 
-func traceCloudRequest(e *core.CloudCall) string {
+func traceCloudRequest(e *controller.CloudCall) string {
 	switch e.Op {
-	case core.CloudCatalog:
+	case controller.CloudCatalog:
 		return "cloud catalog"
-	case core.CloudHire:
+	case controller.CloudHire:
 		return "cloud rent " + traceJSON(e.Hire)
-	case core.CloudDelete:
+	case controller.CloudDelete:
 		return "cloud delete " + traceJSON(e.Names)
-	case core.CloudList:
+	case controller.CloudList:
 		return "cloud list since=" + e.Since
 	}
 	panic(fmt.Sprintf("trace: unknown call of the cloud %d", e.Op))
--- a/internal/simulator/trace_test.go
+++ b/internal/simulator/trace_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
-	"frostdock.example/frostdock/internal/core"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/peer"
-	"frostdock.example/frostdock/internal/state"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -51,24 +51,24 @@
 // TestTraceTellsEffectsApart shows that each part of an effect enters the trace, and that what only
 // matches calls to answers does not.
 func TestTraceTellsEffectsApart(t *testing.T) {
-	digest := func(now units.Micros, controller string, e core.Effect) string {
+	digest := func(now units.Micros, controller string, e controller.Effect) string {
 		trace := NewTrace(nil)
 		trace.record(now, controller, e)
 		return trace.String()
 	}
-	commit := func(id uint64, value string) core.Effect {
-		op := state.Op{Set: "k/a", Value: []byte(value), Permit: 3}
-		return core.StateCall{ID: id, Req: state.Request{Kind: state.Commit, Txn: &state.Txn{Apply: []state.Op{op}}}}
+	commit := func(id uint64, value string) controller.Effect {
+		op := kv.Op{Set: "k/a", Value: []byte(value), Permit: 3}
+		return controller.StateCall{ID: id, Req: kv.Request{Kind: kv.Commit, Txn: &kv.Txn{Apply: []kv.Op{op}}}}
 	}
-	beat := func(member string, heard int64) core.Effect {
-		return core.SendHeartbeat{Beat: peer.Heartbeat{Member: member, Heard: map[string]int64{"n-1": heard, "n-2": 5}}}
+	beat := func(member string, heard int64) controller.Effect {
+		return controller.SendHeartbeat{Beat: peer.Heartbeat{Member: member, Heard: map[string]int64{"n-1": heard, "n-2": 5}}}
 	}
 	base := digest(1, "node0", commit(1, `{"a":1}`))
 	different := map[string]string{
 		"time":       digest(2, "node0", commit(1, `{"a":1}`)),
 		"controller": digest(1, "node1", commit(1, `{"a":1}`)),
 		"value":      digest(1, "node0", commit(1, `{"a":2}`)),
-		"kind":       digest(1, "node0", core.StateCall{Req: state.Request{Kind: state.Get, Key: "k/a"}}),
+		"kind":       digest(1, "node0", controller.StateCall{Req: kv.Request{Kind: kv.Get, Key: "k/a"}}),
 	}
 	for what, other := range different {
 		if other == base {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"sort"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
@@ -19,7 +19,7 @@
 }
 
 type userJob struct {
-	spec     state.Job
+	spec     schema.Job
 	runS     float64
 	broken   bool // submitted with a mistake: it fails everywhere
 	accepted units.Micros
@@ -46,10 +46,10 @@
 
 // ask sends a request to a random healthy node; failures to connect are soon
 // known, everything else is waited for.
-func (u *users) ask(kind core.UserKind, id string, j *state.Job, limit units.Micros, got func(status int, body any, was string)) {
+func (u *users) ask(kind controller.UserKind, id string, j *schema.Job, limit units.Micros, got func(status int, body any, was string)) {
 	w := u.w
 	was := w.Rules.Told(id)
-	var up []*controller
+	var up []*process
 	for _, n := range w.nodes {
 		if n.up && n.healthy {
 			up = append(up, n)
@@ -60,8 +60,8 @@
 		return
 	}
 	n := up[w.rng.IntN(len(up))]
-	call(w, "users", n.name, limit, func(answer func(core.Reply)) {
-		var copied *state.Job
+	call(w, "users", n.name, limit, func(answer func(controller.Reply)) {
+		var copied *schema.Job
 		if j != nil {
 			c := *j
 			copied = &c
@@ -69,14 +69,14 @@
 				copied.Needs = nil // it ignores what it doesn't know
 			}
 		}
-		n.ask(func(to uint64) core.Msg {
-			q := core.UserReq{To: to, Kind: kind, ID: id, Job: copied}
-			if copied == nil && kind == core.Submit {
+		n.ask(func(to uint64) controller.Msg {
+			q := controller.UserReq{To: to, Kind: kind, ID: id, Job: copied}
+			if copied == nil && kind == controller.Submit {
 				q.Why = fmt.Errorf("malformed")
 			}
 			return q
 		}, answer)
-	}, func(r core.Reply, ok bool) {
+	}, func(r controller.Reply, ok bool) {
 		if !ok {
 			r.Status = 0
 		}
@@ -85,7 +85,7 @@
 }
 
 func stageOf(body any) string {
-	if st, ok := body.(*core.Status); ok && st != nil {
+	if st, ok := body.(*controller.Status); ok && st != nil {
 		return st.Stage
 	}
 	return ""
@@ -113,7 +113,7 @@
 			first = u.w.now
 		}
 		j.asked = u.w.now
-		u.ask(core.Submit, j.spec.ID, spec, 5*units.Second, func(status int, body any, was string) {
+		u.ask(controller.Submit, j.spec.ID, spec, 5*units.Second, func(status int, body any, was string) {
 			u.w.Rules.Answer("submit", j.spec.ID, status, stageOf(body), was)
 			switch status {
 			case 200, 201:
@@ -149,16 +149,16 @@
 }
 
 func (u *users) poll(j *userJob) {
-	u.ask(core.Poll, j.spec.ID, nil, 2*units.Second, func(status int, body any, was string) {
+	u.ask(controller.Poll, j.spec.ID, nil, 2*units.Second, func(status int, body any, was string) {
 		u.w.Rules.Answer("poll", j.spec.ID, status, stageOf(body), was)
 		if status == 200 {
 			j.stage = stageOf(body)
-			if j.stage == core.Done && j.doneAt == 0 {
+			if j.stage == controller.Done && j.doneAt == 0 {
 				j.doneAt = u.w.now
 			}
 		}
 		next := u.pause()
-		if j.stage == core.Done || j.stage == core.Cancelled {
+		if j.stage == controller.Done || j.stage == controller.Cancelled {
 			next = 30 * units.Second // they may ask again at any later time
 		}
 		u.w.after(next, func() { u.poll(j) })
@@ -172,7 +172,7 @@
 	if broken {
 		spec = nil
 	}
-	u.ask(core.Submit, id, spec, 5*units.Second, func(status int, body any, was string) {
+	u.ask(controller.Submit, id, spec, 5*units.Second, func(status int, body any, was string) {
 		u.w.Rules.Answer("submit", id, status, stageOf(body), was)
 	})
 }
@@ -195,7 +195,7 @@
 			u.repeat(j.spec.ID, u.w.rng.IntN(2) == 0)
 		}
 	case 1:
-		if j.stage == core.Done && !j.abort {
+		if j.stage == controller.Done && !j.abort {
 			u.cancel(j.spec.ID)
 		}
 	default:
@@ -226,7 +226,7 @@
 // stranger asks about a job that nobody submitted.
 func (u *users) stranger() {
 	id := fmt.Sprintf("j-%012d", 900000000000+u.w.rng.Int64N(1000))
-	u.ask(core.Poll, id, nil, 2*units.Second, func(status int, body any, was string) {
+	u.ask(controller.Poll, id, nil, 2*units.Second, func(status int, body any, was string) {
 		u.w.Rules.Answer("poll", id, status, stageOf(body), was)
 	})
 }
@@ -237,7 +237,7 @@
 	u.w.Rules.Aborting(id)
 	var try func()
 	try = func() {
-		u.ask(core.Abort, id, nil, 5*units.Second, func(status int, body any, was string) {
+		u.ask(controller.Abort, id, nil, 5*units.Second, func(status int, body any, was string) {
 			u.w.Rules.Answer("abort", id, status, stageOf(body), was)
 			if status == 200 {
 				j.stage = stageOf(body)
--- a/internal/simulator/waiting.go
+++ b/internal/simulator/waiting.go
@@ -1,10 +1,10 @@
 package simulator
 
 import (
-	"frostdock.example/frostdock/internal/intake"
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // free is what a machine has left.
@@ -27,7 +27,7 @@
 		}
 		f := free{k, k.t.CPUs, k.t.GPUs, k.t.MemGB}
 		for _, t := range k.sorted() {
-			if t.state != workers.Ended {
+			if t.state != agent.Ended {
 				s := &w.users.job(t.job).spec
 				f.cpus, f.gpus, f.mem = f.cpus-s.CPUs, f.gpus-s.GPUs, f.mem-s.MemGB
 				held[t.id()] = true
@@ -61,7 +61,7 @@
 		}
 	}
 	for _, f := range room {
-		if f.cpus >= s.CPUs && f.gpus >= s.GPUs && f.mem >= s.MemGB && intake.TypeAllowed(s, f.k.l.Type) &&
+		if f.cpus >= s.CPUs && f.gpus >= s.GPUs && f.mem >= s.MemGB && api.TypeAllowed(s, f.k.l.Type) &&
 			(s.Spot || !f.k.l.Spot) && (s.Zone == "" || s.Zone == f.k.l.Zone) && w.zoneOpen(s, f.k.l.Zone) {
 			return f.k.name
 		}
@@ -80,7 +80,7 @@
 }
 
 // zoneOpen reports whether one more task of the job may be in the zone.
-func (w *World) zoneOpen(s *state.Job, zone string) bool {
+func (w *World) zoneOpen(s *schema.Job, zone string) bool {
 	same := 0
 	for _, m := range w.Rules.machinesOf(s.ID) {
 		if w.Rules.where[m].Zone == zone {
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -6,18 +6,18 @@
 	"strconv"
 	"strings"
 
-	"frostdock.example/frostdock/internal/core"
-	"frostdock.example/frostdock/internal/provision"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/controller"
 	"frostdock.example/frostdock/internal/units"
-	"frostdock.example/frostdock/internal/workers"
 )
 
 // worker is one machine's agent.
 type worker struct {
 	w    *World
 	name string
-	l    provision.Listed
-	t    *provision.Type
+	l    cloud.Listed
+	t    *cloud.Type
 	up   bool
 
 	session, seq, token uint64
@@ -51,7 +51,7 @@
 
 func (t *task) id() string { return t.job + "/" + strconv.Itoa(t.num) }
 
-func (w *World) addWorker(name string, l provision.Listed, t *provision.Type) {
+func (w *World) addWorker(name string, l cloud.Listed, t *cloud.Type) {
 	k := &worker{w: w, name: name, l: l, t: t, up: true, session: 1, tasks: map[string]*task{}, cache: map[string]bool{},
 		answered: w.now, slow: 1, node: w.rng.IntN(len(w.nodes))}
 	w.workers[name] = k
@@ -83,19 +83,19 @@
 
 // drop ends whatever the task does; the machine forgets it.
 func (k *worker) drop(t *task) {
-	if t.state == workers.Running || t.state == workers.Flushing {
+	if t.state == agent.Running || t.state == agent.Flushing {
 		k.w.Rules.Off(k.name, t.job, t.num)
 	}
 	delete(k.tasks, t.id())
 }
 
 func (k *worker) exit(t *task, cause string) {
-	if t.state == workers.Running || t.state == workers.Flushing {
+	if t.state == agent.Running || t.state == agent.Flushing {
 		k.w.Rules.Off(k.name, t.job, t.num)
 	}
-	t.state, t.cause = workers.Ended, cause
+	t.state, t.cause = agent.Ended, cause
 	k.changed = true
-	if cause == workers.CauseDone {
+	if cause == agent.CauseDone {
 		k.w.Rules.Completed(t.job, t.num)
 		if k.w.Rules.AllDone(t.job) {
 			k.w.users.ended(t.job)
@@ -120,7 +120,7 @@
 	k.late = nil
 	due := false
 	for _, t := range k.tasks {
-		due = due || k.sick || t.state == workers.Pulling && now >= t.ready || (t.state == workers.Running || t.state == workers.Flushing) && now >= t.ends
+		due = due || k.sick || t.state == agent.Pulling && now >= t.ready || (t.state == agent.Running || t.state == agent.Flushing) && now >= t.ends
 	}
 	if due {
 		k.advance()
@@ -135,10 +135,10 @@
 	now := k.w.now
 	for _, t := range k.sorted() {
 		switch {
-		case t.state == workers.Pulling && now >= t.ready:
+		case t.state == agent.Pulling && now >= t.ready:
 			j := k.w.users.job(t.job)
 			k.cache[j.spec.Image] = true
-			t.state = workers.Running
+			t.state = agent.Running
 			k.changed = true
 			k.w.Rules.On(k.name, k.l, t.job, t.num)
 			t.begun = now
@@ -150,17 +150,17 @@
 				run = 2 * units.Second
 			}
 			t.ends = now + run
-		case t.state == workers.Running && now >= t.ends && !k.w.users.job(t.job).spec.Service:
+		case t.state == agent.Running && now >= t.ends && !k.w.users.job(t.job).spec.Service:
 			if (k.sick || k.w.users.job(t.job).broken) && !k.w.Rules.IsDone(t.job, t.num) {
-				k.exit(t, workers.CauseError)
+				k.exit(t, agent.CauseError)
 			} else {
-				k.exit(t, workers.CauseDone)
+				k.exit(t, agent.CauseDone)
 			}
-		case t.state == workers.Running && k.sick && now >= t.begun+2*units.Second:
-			k.exit(t, workers.CauseError)
-		case t.state == workers.Flushing && now >= t.ends:
+		case t.state == agent.Running && k.sick && now >= t.begun+2*units.Second:
+			k.exit(t, agent.CauseError)
+		case t.state == agent.Flushing && now >= t.ends:
 			t.saved = true
-			k.exit(t, workers.CauseHalted)
+			k.exit(t, agent.CauseHalted)
 		}
 	}
 }
@@ -177,12 +177,12 @@
 	}
 }
 
-func (k *worker) report() workers.Report {
+func (k *worker) report() agent.Report {
 	k.seq++
-	r := workers.Report{Machine: k.name, Addr: k.l.Addr, Type: k.l.Type, Zone: k.l.Zone, Spot: k.l.Spot,
+	r := agent.Report{Machine: k.name, Addr: k.l.Addr, Type: k.l.Type, Zone: k.l.Zone, Spot: k.l.Spot,
 		Session: k.session, Seq: k.seq, Token: k.token, NoticeS: k.notice}
 	for _, t := range k.sorted() {
-		r.Tasks = append(r.Tasks, workers.Piece{Task: t.id(), Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, agent.Piece{Task: t.id(), Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -199,12 +199,12 @@
 		o := w.nodes[w.rng.IntN(len(w.nodes))]
 		late := units.FromSeconds(1 + w.rng.Float64()*w.rng.Float64()*3*k.lease().Seconds())
 		w.after(late, func() {
-			o.ask(func(to uint64) core.Msg { return core.ReportReq{To: to, Report: r} }, func(core.Reply) {})
+			o.ask(func(to uint64) controller.Msg { return controller.ReportReq{To: to, Report: r} }, func(controller.Reply) {})
 		})
 	}
-	call(w, k.name, n.name, 4*units.Second, func(answer func(core.Reply)) {
-		n.ask(func(to uint64) core.Msg { return core.ReportReq{To: to, Report: r} }, answer)
-	}, func(a core.Reply, ok bool) {
+	call(w, k.name, n.name, 4*units.Second, func(answer func(controller.Reply)) {
+		n.ask(func(to uint64) controller.Msg { return controller.ReportReq{To: to, Report: r} }, answer)
+	}, func(a controller.Reply, ok bool) {
 		k.inFlight = false
 		if !k.up || w.now < k.hungTo {
 			return
@@ -214,7 +214,7 @@
 			k.elsewhere(a)
 			return
 		}
-		ans := a.Body.(workers.Answer)
+		ans := a.Body.(agent.Answer)
 		if k.session != sess || ans.Token < k.token {
 			return
 		}
@@ -234,8 +234,8 @@
 	}
 }
 
-func (k *worker) elsewhere(a core.Reply) {
-	if rd, ok := a.Body.(workers.Redirect); ok && a.Status == 421 && rd.To != "" {
+func (k *worker) elsewhere(a controller.Reply) {
+	if rd, ok := a.Body.(agent.Redirect); ok && a.Status == 421 && rd.To != "" {
 		for i, n := range k.w.nodes {
 			if n.name == rd.To && i != k.node {
 				k.node = i
@@ -249,7 +249,7 @@
 }
 
 // obey carries out orders that were given at a time.
-func (k *worker) obey(orders []workers.Order, given units.Micros) {
+func (k *worker) obey(orders []agent.Order, given units.Micros) {
 	for _, o := range orders {
 		job, num, _ := strings.Cut(o.Task, "/")
 		n, err := strconv.Atoi(num)
@@ -258,25 +258,25 @@
 		}
 		t := k.tasks[o.Task]
 		switch o.Op {
-		case workers.Launch:
+		case agent.Launch:
 			if t != nil && t.attempt == o.Attempt {
 				continue
 			}
 			k.w.Rules.Ordered(job, n, k.name, given)
 			k.launch(job, n, o.Attempt, t)
-		case workers.Kill:
-			if t == nil || t.attempt != o.Attempt || t.state == workers.Ended {
+		case agent.Kill:
+			if t == nil || t.attempt != o.Attempt || t.state == agent.Ended {
 				continue
 			}
 			j := k.w.users.job(job)
-			if t.state == workers.Running && j.spec.CkptS > 0 && o.GraceS >= j.spec.SaveS {
-				t.state, t.ends = workers.Flushing, k.w.now+units.FromSeconds(j.spec.SaveS)
+			if t.state == agent.Running && j.spec.CkptS > 0 && o.GraceS >= j.spec.SaveS {
+				t.state, t.ends = agent.Flushing, k.w.now+units.FromSeconds(j.spec.SaveS)
 				k.changed = true
-			} else if t.state != workers.Flushing || o.GraceS == 0 {
-				k.exit(t, workers.CauseHalted)
+			} else if t.state != agent.Flushing || o.GraceS == 0 {
+				k.exit(t, agent.CauseHalted)
 			}
-		case workers.Reap:
-			if t != nil && t.attempt == o.Attempt && t.state == workers.Ended {
+		case agent.Reap:
+			if t != nil && t.attempt == o.Attempt && t.state == agent.Ended {
 				delete(k.tasks, o.Task)
 				k.changed = true
 			}
@@ -286,10 +286,10 @@
 
 func (k *worker) launch(job string, n int, attempt uint64, old *task) {
 	k.changed = true
-	t := &task{job: job, num: n, attempt: attempt, state: workers.Ended}
+	t := &task{job: job, num: n, attempt: attempt, state: agent.Ended}
 	j := k.w.users.find(job)
 	switch {
-	case old != nil && old.state != workers.Ended:
+	case old != nil && old.state != agent.Ended:
 		// Shown under a key of its own until it is reaped: a refused start.
 		return
 	case j == nil || n >= j.spec.Tasks:
@@ -297,7 +297,7 @@
 	case !k.room(j):
 		t.cause = "no_room"
 	default:
-		t.state = workers.Pulling
+		t.state = agent.Pulling
 		t.ready = k.w.now
 		if !k.cache[j.spec.Image] {
 			t.ready += units.FromSeconds(j.spec.ImageGB / k.t.FetchGBs)
@@ -309,7 +309,7 @@
 func (k *worker) room(j *userJob) bool {
 	cpus, gpus, mem := k.t.CPUs, k.t.GPUs, k.t.MemGB
 	for _, t := range k.tasks {
-		if t.state != workers.Ended {
+		if t.state != agent.Ended {
 			o := k.w.users.job(t.job)
 			cpus, gpus, mem = cpus-o.spec.CPUs, gpus-o.spec.GPUs, mem-o.spec.MemGB
 		}
@@ -319,17 +319,17 @@
 
 // commandTo carries a direct command, or a question, to a worker. One that
 // arrives while the machine hangs is carried out when it goes on.
-func (w *World) commandTo(node string, e core.WorkerCall, done func(core.WorkerDone)) {
+func (w *World) commandTo(node string, e controller.WorkerCall, done func(controller.WorkerDone)) {
 	name, _, _ := strings.Cut(e.Addr, ":")
 	given := w.now
-	call(w, node, name, 2*units.Second, func(answer func(core.WorkerDone)) {
+	call(w, node, name, 2*units.Second, func(answer func(controller.WorkerDone)) {
 		k := w.workers[name]
 		if k == nil {
 			return
 		}
 		do := func() {
 			k.expire()
-			d := core.WorkerDone{Status: 200}
+			d := controller.WorkerDone{Status: 200}
 			if e.Cmd != nil {
 				if e.Cmd.Token < k.token || e.Cmd.Session != k.session {
 					d.Status = 409
@@ -347,9 +347,9 @@
 			return
 		}
 		do()
-	}, func(d core.WorkerDone, ok bool) {
+	}, func(d controller.WorkerDone, ok bool) {
 		if !ok {
-			d = core.WorkerDone{}
+			d = controller.WorkerDone{}
 		}
 		d.ID = e.ID
 		done(d)
@@ -357,12 +357,12 @@
 }
 
 // roundTrip encodes and decodes a report, so that the wire form is exercised.
-func roundTrip(r *workers.Report) *workers.Report {
+func roundTrip(r *agent.Report) *agent.Report {
 	b, err := json.Marshal(r)
 	if err != nil {
 		panic(err)
 	}
-	var out workers.Report
+	var out agent.Report
 	if err := json.Unmarshal(b, &out); err != nil {
 		panic(err)
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -14,7 +14,7 @@
 	"os"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/core"
+	"frostdock.example/frostdock/internal/controller"
 	"frostdock.example/frostdock/internal/policy"
 	"frostdock.example/frostdock/internal/units"
 )
@@ -48,9 +48,9 @@
 	rng    *rand.Rand
 	log    io.Writer
 
-	nodes   []*controller
+	nodes   []*process
 	store   *store
-	cloud   *cloud
+	cloud   *cloudService
 	workers map[string]*worker
 	names   []string // workers in order of creation
 	users   *users
@@ -77,19 +77,19 @@
 	mute  bool // only requests from b to a are lost: b answers what it is asked
 }
 
-// controller is one process of the service, or the gap between two.
-type controller struct {
+// process is one process of the service, or the gap between two.
+type process struct {
 	w     *World
 	name  string
 	cfg   *config.Config
-	core  *core.Core
+	core  *controller.Core
 	gen   int
 	up    bool
 	old   bool // it runs the version before
-	inbox []core.Msg
+	inbox []controller.Msg
 	due   bool
 	// replies that callers of this process wait for
-	waiting map[uint64]func(core.Reply)
+	waiting map[uint64]func(controller.Reply)
 	next    uint64
 	// what the load balancer thinks of it
 	healthy bool
@@ -236,7 +236,7 @@
 }
 
 func (w *World) addNode(cfg *config.Config, old bool) {
-	n := &controller{w: w, name: cfg.Member, cfg: cfg, old: old, waiting: map[uint64]func(core.Reply){}}
+	n := &process{w: w, name: cfg.Member, cfg: cfg, old: old, waiting: map[uint64]func(controller.Reply){}}
 	w.nodes = append(w.nodes, n)
 	n.start()
 	w.every(25*units.Millisecond, n.wake)
@@ -244,10 +244,10 @@
 }
 
 // probe asks for the health as the load balancer does.
-func (n *controller) probe() {
-	call(n.w, "users", n.name, units.Second, func(answer func(core.Reply)) {
-		n.ask(func(to uint64) core.Msg { return core.ReadyReq{To: to} }, answer)
-	}, func(r core.Reply, ok bool) {
+func (n *process) probe() {
+	call(n.w, "users", n.name, units.Second, func(answer func(controller.Reply)) {
+		n.ask(func(to uint64) controller.Msg { return controller.ReadyReq{To: to} }, answer)
+	}, func(r controller.Reply, ok bool) {
 		if !ok || r.Status != 200 {
 			n.good, n.bad = 0, n.bad+1
 			if n.bad >= 2 && n.healthy {
@@ -262,7 +262,7 @@
 	})
 }
 
-func (n *controller) start() {
+func (n *process) start() {
 	n.gen++
 	n.up = true
 	level := slog.LevelInfo
@@ -276,9 +276,9 @@
 		before.Settings.State.Next = nil
 		cfg = &before
 	}
-	n.core = core.New(cfg, policy.Default(), log, fmt.Sprintf("%s%04d", n.name, n.gen))
+	n.core = controller.New(cfg, policy.Default(), log, fmt.Sprintf("%s%04d", n.name, n.gen))
 	n.inbox, n.due = nil, false
-	n.waiting = map[uint64]func(core.Reply){}
+	n.waiting = map[uint64]func(controller.Reply){}
 }
 
 func noTime(_ []string, a slog.Attr) slog.Attr {
@@ -303,13 +303,13 @@
 	return s.w.log.Write(b)
 }
 
-func (n *controller) crash() {
+func (n *process) crash() {
 	n.up, n.frozen = false, 0
 	n.gen++
 	n.inbox = nil
 }
 
-func (n *controller) post(m core.Msg) {
+func (n *process) post(m controller.Msg) {
 	n.inbox = append(n.inbox, m)
 	if !n.due {
 		n.due = true
@@ -323,7 +323,7 @@
 }
 
 // wake gives the core its messages and carries out the effects.
-func (n *controller) wake() {
+func (n *process) wake() {
 	if !n.up || n.w.now < n.frozen {
 		return
 	}
@@ -337,53 +337,53 @@
 
 // alive returns a function that runs its argument only if this very process
 // still runs.
-func (n *controller) alive(f func()) {
+func (n *process) alive(f func()) {
 	if n.up {
 		f()
 	}
 }
 
-func (n *controller) effect(e core.Effect) {
+func (n *process) effect(e controller.Effect) {
 	w, gen := n.w, n.gen
 	w.trace.record(w.now, n.name, e)
-	mine := func(m core.Msg) {
+	mine := func(m controller.Msg) {
 		if n.gen == gen && n.up {
 			n.post(m)
 		}
 	}
 	switch e := e.(type) {
-	case core.Reply:
+	case controller.Reply:
 		if f := n.waiting[e.To]; f != nil {
 			delete(n.waiting, e.To)
 			f(e)
 		}
-	case core.StateCall:
+	case controller.StateCall:
 		if n.old {
 			e = asBefore(e)
 		}
 		old := n.old
-		w.store.from(n.name, e, func(d core.StateDone) {
+		w.store.from(n.name, e, func(d controller.StateDone) {
 			if old {
 				d = shownBefore(d)
 			}
 			mine(d)
 		})
-	case core.CloudCall:
-		w.cloud.from(n.name, e, func(d core.CloudDone) { mine(d) })
-	case core.WorkerCall:
-		w.commandTo(n.name, e, func(d core.WorkerDone) { mine(d) })
-	case core.SendHeartbeat:
+	case controller.CloudCall:
+		w.cloud.from(n.name, e, func(d controller.CloudDone) { mine(d) })
+	case controller.WorkerCall:
+		w.commandTo(n.name, e, func(d controller.WorkerDone) { mine(d) })
+	case controller.SendHeartbeat:
 		for _, o := range w.nodes {
 			if o == n || w.blocked(n.name, o.name, false) != nil {
 				continue
 			}
-			w.after(w.jitter(), func() { o.alive(func() { o.post(core.PeerHeartbeat(e)) }) })
+			w.after(w.jitter(), func() { o.alive(func() { o.post(controller.PeerHeartbeat(e)) }) })
 		}
 	}
 }
 
 // ask sends a request to the process; answer is called if it replies.
-func (n *controller) ask(msg func(to uint64) core.Msg, answer func(core.Reply)) {
+func (n *process) ask(msg func(to uint64) controller.Msg, answer func(controller.Reply)) {
 	if !n.up {
 		return
 	}
--- a/internal/soak/cloud.go
+++ b/internal/soak/cloud.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/provision"
+	"frostdock.example/frostdock/internal/cloud"
 )
 
 // The machine type and the zones of all runs.
@@ -28,7 +28,7 @@
 }
 
 // cloud rents machines.
-type cloud struct {
+type cloudService struct {
 	w      *world
 	server *fasthttp.Server
 	mu     sync.Mutex
@@ -40,7 +40,7 @@
 }
 
 type machineRow struct {
-	listed provision.Listed
+	listed cloud.Listed
 	born   time.Time
 	worker *worker
 }
@@ -48,13 +48,13 @@
 // rentable is how many machines may be rented beside those that are there at the start.
 const rentable = 24
 
-func newCloud(w *world) (*cloud, error) {
-	c := &cloud{w: w, left: rentable, hires: map[string][]string{}, all: map[string]*machineRow{}}
+func newCloud(w *world) (*cloudService, error) {
+	c := &cloudService{w: w, left: rentable, hires: map[string][]string{}, all: map[string]*machineRow{}}
 	c.server = &fasthttp.Server{Handler: c.handle, Logger: quiet{}}
 	return c, serve(w, c.server, w.address(hostCloud, 8443))
 }
 
-func (c *cloud) close() {
+func (c *cloudService) close() {
 	_ = c.server.Shutdown()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,13 +65,13 @@
 	}
 }
 
-func (c *cloud) nextZone() string { return zones[c.next%len(zones)] }
+func (c *cloudService) nextZone() string { return zones[c.next%len(zones)] }
 
 // create makes a machine that is up after some time.
-func (c *cloud) create(kind, zone string, spot bool, boot time.Duration) (string, error) {
+func (c *cloudService) create(kind, zone string, spot bool, boot time.Duration) (string, error) {
 	name := fmt.Sprintf("n-%06d", c.next)
 	row := &machineRow{born: time.Now()}
-	row.listed = provision.Listed{Name: name, Addr: c.w.address(hostWorker+c.next, 9000), Type: kind, Zone: zone, Spot: spot, State: provision.Starting}
+	row.listed = cloud.Listed{Name: name, Addr: c.w.address(hostWorker+c.next, 9000), Type: kind, Zone: zone, Spot: spot, State: cloud.Starting}
 	c.next++
 	c.all[name] = row
 	if boot == 0 {
@@ -89,8 +89,8 @@
 	return name, nil
 }
 
-func (c *cloud) up(row *machineRow) error {
-	row.listed.State = provision.Running
+func (c *cloudService) up(row *machineRow) error {
+	row.listed.State = cloud.Running
 	c.w.check.MachineUp(row.listed.Name, row.listed.Zone)
 	k, err := newWorker(c.w, row.listed)
 	row.worker = k
@@ -98,7 +98,7 @@
 }
 
 // die stops a machine, which stays listed.
-func (c *cloud) die(name string) {
+func (c *cloudService) die(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if row := c.all[name]; row != nil && row.worker != nil {
@@ -107,13 +107,13 @@
 		c.w.after(3*time.Second, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			row.listed.State = provision.Failed
+			row.listed.State = cloud.Failed
 		})
 	}
 }
 
 // workers lists the machines that are up, in order.
-func (c *cloud) workers() []*worker {
+func (c *cloudService) workers() []*worker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []*worker
@@ -125,7 +125,7 @@
 	return out
 }
 
-func (c *cloud) handle(ctx *fasthttp.RequestCtx) {
+func (c *cloudService) handle(ctx *fasthttp.RequestCtx) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down {
@@ -134,12 +134,12 @@
 	}
 	switch path := string(ctx.Path()); {
 	case path == "/catalog":
-		big := provision.Type{Name: typeBig, CPUs: bigCPUs, MemGB: bigMemGB, CacheGB: 50, FetchGBs: 5, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: zones}
-		respond(ctx, answer{200, provision.Catalog{Types: []provision.Type{big}}})
+		big := cloud.Type{Name: typeBig, CPUs: bigCPUs, MemGB: bigMemGB, CacheGB: 50, FetchGBs: 5, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: zones}
+		respond(ctx, answer{200, cloud.Catalog{Types: []cloud.Type{big}}})
 	case path == "/machines" && ctx.IsPost():
 		c.hire(ctx)
 	case path == "/machines/delete":
-		var names provision.Names
+		var names cloud.Names
 		if json.Unmarshal(ctx.PostBody(), &names) != nil {
 			ctx.SetStatusCode(400)
 			return
@@ -155,7 +155,7 @@
 }
 
 // remove deletes a machine with all that is on it.
-func (c *cloud) remove(name string) {
+func (c *cloudService) remove(name string) {
 	row := c.all[name]
 	if row == nil {
 		return
@@ -168,14 +168,14 @@
 	c.w.events.add("machine %s deleted", name)
 }
 
-func (c *cloud) hire(ctx *fasthttp.RequestCtx) {
-	var hire provision.Hire
+func (c *cloudService) hire(ctx *fasthttp.RequestCtx) {
+	var hire cloud.Hire
 	if json.Unmarshal(ctx.PostBody(), &hire) != nil || hire.Count < 1 || hire.Type != typeBig {
 		ctx.SetStatusCode(400)
 		return
 	}
 	if names, ok := c.hires[hire.Name]; ok {
-		respond(ctx, answer{200, provision.Names{Machines: names}})
+		respond(ctx, answer{200, cloud.Names{Machines: names}})
 		return
 	}
 	count := min(hire.Count, c.left)
@@ -194,12 +194,12 @@
 		names = append(names, name)
 	}
 	c.hires[hire.Name] = names
-	respond(ctx, answer{200, provision.Names{Machines: names}})
+	respond(ctx, answer{200, cloud.Names{Machines: names}})
 }
 
-func (c *cloud) list(ctx *fasthttp.RequestCtx) {
+func (c *cloudService) list(ctx *fasthttp.RequestCtx) {
 	since := string(ctx.QueryArgs().Peek("since"))
-	var page provision.Page
+	var page cloud.Page
 	for _, name := range slices.Sorted(maps.Keys(c.all)) {
 		if name > since {
 			listed := c.all[name].listed
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -18,7 +18,7 @@
 )
 
 // controller is one member of the service, whose process comes and goes.
-type controller struct {
+type process struct {
 	w      *world
 	index  int
 	name   string
@@ -35,8 +35,8 @@
 	ready   bool
 }
 
-func newController(w *world, index int) (*controller, error) {
-	n := &controller{w: w, index: index, name: memberName(index), binary: w.opts.Binary}
+func newController(w *world, index int) (*process, error) {
+	n := &process{w: w, index: index, name: memberName(index), binary: w.opts.Binary}
 	if w.opts.Before != "" {
 		n.binary = w.opts.Before
 	}
@@ -87,7 +87,7 @@
 }
 
 // start starts the process, if it is not there.
-func (n *controller) start() error {
+func (n *process) start() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cmd != nil || n.w.over() {
@@ -122,7 +122,7 @@
 }
 
 // processEnded notes the end of a process, and starts it again if it ended by itself.
-func (n *controller) processEnded(cmd *exec.Cmd, err error) {
+func (n *process) processEnded(cmd *exec.Cmd, err error) {
 	n.mu.Lock()
 	meant := n.killed || n.w.over()
 	if !meant {
@@ -139,7 +139,7 @@
 }
 
 // kill ends the process without a signal that it could see, and waits until it is gone.
-func (n *controller) kill() {
+func (n *process) kill() {
 	n.mu.Lock()
 	cmd, ended := n.cmd, n.ended
 	n.killed = true
@@ -155,7 +155,7 @@
 }
 
 // restart kills the process and starts it again after some time.
-func (n *controller) restart(away time.Duration) {
+func (n *process) restart(away time.Duration) {
 	n.kill()
 	if n.w.sleep(away) {
 		if err := n.start(); err != nil {
@@ -165,7 +165,7 @@
 }
 
 // pause stops the process for some time; its clocks run on.
-func (n *controller) pause(d time.Duration) {
+func (n *process) pause(d time.Duration) {
 	n.mu.Lock()
 	cmd := n.cmd
 	n.mu.Unlock()
@@ -179,7 +179,7 @@
 }
 
 // end kills the process for good.
-func (n *controller) end() {
+func (n *process) end() {
 	n.kill()
 	_ = n.log.Close()
 }
@@ -188,7 +188,7 @@
 var complaints = []string{"panic: ", "fatal error: ", "DATA RACE", "invariant violated"}
 
 // unexpected lists ends by itself and complaints.
-func (n *controller) unexpected() []string {
+func (n *process) unexpected() []string {
 	n.mu.Lock()
 	out := append([]string{}, n.crashes...)
 	n.mu.Unlock()
@@ -210,11 +210,11 @@
 }
 
 // post sends a request; status 0 means that there was no answer.
-func (n *controller) post(path string, body any, within time.Duration, into any) int {
+func (n *process) post(path string, body any, within time.Duration, into any) int {
 	return n.call("POST", path, body, within, into)
 }
 
-func (n *controller) call(method, path string, body any, within time.Duration, into any) int {
+func (n *process) call(method, path string, body any, within time.Duration, into any) int {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -237,7 +237,7 @@
 }
 
 // probe asks for the health as a load balancer does.
-func (n *controller) probe() {
+func (n *process) probe() {
 	for n.w.sleep(300 * time.Millisecond) {
 		ready := n.call("GET", "/ready", nil, time.Second, nil) == 200
 		n.mu.Lock()
@@ -246,7 +246,7 @@
 	}
 }
 
-func (n *controller) isReady() bool {
+func (n *process) isReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.ready && n.cmd != nil
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -45,7 +45,7 @@
 	return w.rng.between(time.Second, 6*time.Second)
 }
 
-func (w *world) anyNode() *controller { return pick(w, w.nodes...) }
+func (w *world) anyNode() *process { return pick(w, w.nodes...) }
 
 // someMachines draws so many machines.
 func (w *world) someMachines(n int) []*worker {
@@ -67,7 +67,7 @@
 }
 
 // refuse has the state service refuse one controller, or lose its requests.
-func (w *world) refuse(node *controller, d time.Duration) {
+func (w *world) refuse(node *process, d time.Duration) {
 	set := func(on, silent bool) {
 		w.store.set(func(s *store) { s.refused[node.index], s.silent[node.index] = on && !silent, on && silent })
 	}
@@ -180,7 +180,7 @@
 	{"jobs are cancelled in numbers", func(w *world, _ time.Duration) { w.cancelSome(8) }},
 }
 
-func (c *cloud) setDown(down bool) {
+func (c *cloudService) setDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
