--- a/internal/soak/store.go
+++ b/internal/soak/store.go
@@ -12,7 +12,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/state"
+	"frostdock.example/frostdock/internal/kv"
 )
 
 // stateLimits are what the state service takes.
@@ -36,7 +36,7 @@
 	changed   chan struct{} // closed at the next change
 	rev       uint64
 	keys      map[string]storedValue
-	log       []state.Event
+	log       []kv.Event
 	leases    map[uint64]*storeLease
 	leaseN    uint64
 	limits    stateLimits
@@ -144,7 +144,7 @@
 		if v.lease == id {
 			s.rev++
 			delete(s.keys, key)
-			s.log = append(s.log, state.Event{Delete: key, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Delete: key, Stamp: s.rev})
 		}
 	}
 	s.announce()
@@ -331,7 +331,7 @@
 
 // commit carries a transaction out if its conditions hold.
 func (s *store) commit(body []byte) answer {
-	var txn state.Txn
+	var txn kv.Txn
 	if json.Unmarshal(body, &txn) != nil || len(txn.Apply) > s.limits.changes || len(txn.Guards) > 4*s.limits.changes || len(body) > 64<<10 {
 		return answer{status: 400}
 	}
@@ -365,10 +365,10 @@
 		if op.Set != "" {
 			value := slices.Clone(op.Value)
 			s.keys[op.Set] = storedValue{value, s.rev, op.Permit}
-			s.log = append(s.log, state.Event{Set: op.Set, Value: value, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Set: op.Set, Value: value, Stamp: s.rev})
 		} else {
 			delete(s.keys, op.Delete)
-			s.log = append(s.log, state.Event{Delete: op.Delete, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Delete: op.Delete, Stamp: s.rev})
 		}
 	}
 	s.announce()
@@ -413,7 +413,7 @@
 	until := time.Now().Add(time.Duration(hold) * time.Millisecond)
 	for {
 		s.mu.Lock()
-		body := watchBody{Rev: s.rev, News: []state.Event{}}
+		body := watchBody{Rev: s.rev, News: []kv.Event{}}
 		blind := s.outage || s.refused[who] || s.silent[who]
 		changed := s.changed
 		if !blind {
@@ -440,21 +440,21 @@
 }
 
 type watchBody struct {
-	Rev  uint64        `json:"ledgerRev"`
-	News []state.Event `json:"news"`
+	Rev  uint64     `json:"ledgerRev"`
+	News []kv.Event `json:"news"`
 }
 
-func (s *store) news(under string, since uint64) []state.Event {
-	first, _ := slices.BinarySearchFunc(s.log, since+1, func(e state.Event, rev uint64) int {
+func (s *store) news(under string, since uint64) []kv.Event {
+	first, _ := slices.BinarySearchFunc(s.log, since+1, func(e kv.Event, rev uint64) int {
 		return int(int64(e.Stamp) - int64(rev))
 	})
-	latest := map[string]state.Event{}
+	latest := map[string]kv.Event{}
 	for _, e := range s.log[first:] {
 		if key := e.Set + e.Delete; strings.HasPrefix(key, under) {
 			latest[key] = e
 		}
 	}
-	out := make([]state.Event, 0, len(latest))
+	out := make([]kv.Event, 0, len(latest))
 	for _, e := range s.log[first:] {
 		if last, ok := latest[e.Set+e.Delete]; ok && last.Stamp == e.Stamp && last.Set == e.Set {
 			out = append(out, e)
@@ -464,7 +464,7 @@
 }
 
 // shuffle puts events into an order that is drawn.
-func (w *world) shuffle(events []state.Event) {
+func (w *world) shuffle(events []kv.Event) {
 	w.rng.mu.Lock()
 	defer w.rng.mu.Unlock()
 	w.rng.rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -277,8 +277,8 @@
 	return status, told.Stage
 }
 
-func (u *users) someReady() *controller {
-	var ready []*controller
+func (u *users) someReady() *process {
+	var ready []*process
 	for _, n := range u.w.nodes {
 		if n.isReady() {
 			ready = append(ready, n)
--- a/internal/soak/worker.go
+++ b/internal/soak/worker.go
@@ -9,14 +9,14 @@
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/provision"
-	"frostdock.example/frostdock/internal/workers"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
 )
 
 // worker is one machine's agent.
 type worker struct {
 	w      *world
-	listed provision.Listed
+	listed cloud.Listed
 	server *fasthttp.Server
 
 	mu                  sync.Mutex
@@ -45,7 +45,7 @@
 	due     time.Time // when its image is there, or it completes
 }
 
-func newWorker(w *world, listed provision.Listed) (*worker, error) {
+func newWorker(w *world, listed cloud.Listed) (*worker, error) {
 	k := &worker{w: w, listed: listed, session: 1, answered: time.Now(), tasks: map[string]*workerTask{}, node: w.rng.intN(controllers)}
 	k.nextReport = time.Now().Add(w.rng.between(0, reportEvery))
 	k.server = &fasthttp.Server{Handler: k.handle, Logger: quiet{}}
@@ -120,55 +120,55 @@
 }
 
 func (k *worker) off(t *workerTask) {
-	if t.state == workers.Running || t.state == workers.Flushing {
+	if t.state == agent.Running || t.state == agent.Flushing {
 		k.w.check.Off(k.listed.Name, t.job, t.num)
 	}
 }
 
 // advance moves a task on if its time has come.
 func (k *worker) advance(t *workerTask, now time.Time) {
-	if now.Before(t.due) || t.state == workers.Ended {
+	if now.Before(t.due) || t.state == agent.Ended {
 		return
 	}
 	job := k.w.users.job(t.job)
 	switch t.state {
-	case workers.Pulling:
-		t.state, k.changed = workers.Running, true
+	case agent.Pulling:
+		t.state, k.changed = agent.Running, true
 		k.w.check.On(k.listed.Name, k.listed.Zone, k.listed.Spot, t.job, t.num)
 		k.w.events.add("task %s pass %d starts on %s", t.id, t.attempt, k.listed.Name)
 		t.due = now.Add(job.run)
 		if k.w.check.IsDone(t.job, t.num) {
 			t.due = now
 		}
-	case workers.Running:
+	case agent.Running:
 		if !job.facts.Service {
-			k.end(t, workers.CauseDone)
+			k.end(t, agent.CauseDone)
 			k.w.check.Completed(t.job, t.num)
 		}
-	case workers.Flushing:
-		k.end(t, workers.CauseHalted)
+	case agent.Flushing:
+		k.end(t, agent.CauseHalted)
 	}
 }
 
 func (k *worker) end(t *workerTask, cause string) {
 	k.off(t)
-	t.state, t.cause, k.changed = workers.Ended, cause, true
+	t.state, t.cause, k.changed = agent.Ended, cause, true
 }
 
-func (k *worker) report() workers.Report {
+func (k *worker) report() agent.Report {
 	k.seq++
-	r := workers.Report{
+	r := agent.Report{
 		Machine: k.listed.Name, Addr: k.listed.Addr, Type: k.listed.Type, Zone: k.listed.Zone, Spot: k.listed.Spot,
-		Session: k.session, Seq: k.seq, Token: k.token, Tasks: []workers.Piece{},
+		Session: k.session, Seq: k.seq, Token: k.token, Tasks: []agent.Piece{},
 	}
 	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, workers.Piece{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause})
+		r.Tasks = append(r.Tasks, agent.Piece{Task: t.id, Attempt: t.attempt, State: t.state, Cause: t.cause})
 	}
 	return r
 }
 
 // send sends one report and obeys its answer.
-func (k *worker) send(report workers.Report, session uint64, node int, mute, deaf bool) {
+func (k *worker) send(report agent.Report, session uint64, node int, mute, deaf bool) {
 	sent := time.Now()
 	if share := k.w.lateReports.Load(); share > 0 && k.w.rng.chance(float64(share)/100) {
 		other := k.w.rng.intN(controllers)
@@ -177,8 +177,8 @@
 		})
 	}
 	var body struct {
-		workers.Answer
-		workers.Redirect
+		agent.Answer
+		agent.Redirect
 	}
 	status := 0
 	if !mute && !k.w.links.cut(linkWorkers, node) {
@@ -225,21 +225,21 @@
 	}
 }
 
-func (k *worker) obey(orders []workers.Order) {
+func (k *worker) obey(orders []agent.Order) {
 	for _, o := range orders {
 		t := k.tasks[o.Task]
 		same := t != nil && t.attempt == o.Attempt
 		switch o.Op {
-		case workers.Launch:
+		case agent.Launch:
 			if !same {
 				k.launch(o, t)
 			}
-		case workers.Kill:
-			if same && t.state != workers.Ended {
-				k.end(t, workers.CauseHalted)
+		case agent.Kill:
+			if same && t.state != agent.Ended {
+				k.end(t, agent.CauseHalted)
 			}
-		case workers.Reap:
-			if same && t.state == workers.Ended {
+		case agent.Reap:
+			if same && t.state == agent.Ended {
 				delete(k.tasks, o.Task)
 				k.changed = true
 			}
@@ -247,8 +247,8 @@
 	}
 }
 
-func (k *worker) launch(o workers.Order, old *workerTask) {
-	if old != nil && old.state != workers.Ended {
+func (k *worker) launch(o agent.Order, old *workerTask) {
+	if old != nil && old.state != agent.Ended {
 		return
 	}
 	job, digits, _ := strings.Cut(o.Task, "/")
@@ -256,20 +256,20 @@
 	if err != nil {
 		return
 	}
-	t := &workerTask{id: o.Task, job: job, num: num, attempt: o.Attempt, state: workers.Pulling}
+	t := &workerTask{id: o.Task, job: job, num: num, attempt: o.Attempt, state: agent.Pulling}
 	t.due = time.Now().Add(k.w.rng.between(20*time.Millisecond, 300*time.Millisecond))
 	used := 0.0
 	for _, other := range k.tasks {
-		if other.state != workers.Ended {
+		if other.state != agent.Ended {
 			used += k.w.users.job(other.job).facts.CPUs
 		}
 	}
 	j := k.w.users.job(job)
 	switch {
 	case j == nil || num >= j.facts.Tasks:
-		t.state, t.cause = workers.Ended, "no_such"
+		t.state, t.cause = agent.Ended, "no_such"
 	case used+j.facts.CPUs > bigCPUs+1e-9:
-		t.state, t.cause = workers.Ended, "no_room"
+		t.state, t.cause = agent.Ended, "no_room"
 	}
 	k.tasks[o.Task] = t
 	k.changed = true
@@ -308,7 +308,7 @@
 	k.expire(time.Now())
 	status := 200
 	if ctx.IsPost() {
-		var cmd workers.Command
+		var cmd agent.Command
 		if json.Unmarshal(ctx.PostBody(), &cmd) != nil {
 			ctx.SetStatusCode(400)
 			return
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -44,8 +44,8 @@
 	check   *Checker
 	events  *eventLog
 	store   *store
-	cloud   *cloud
-	nodes   []*controller
+	cloud   *cloudService
+	nodes   []*process
 	users   *users
 	links   *links
 	stopped chan struct{}
