--- a/cmd/frostdock/main.go
+++ b/cmd/frostdock/main.go
@@ -18,8 +18,8 @@
 	"github.com/spf13/pflag"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/server"
 	"frostdock.example/frostdock/internal/policy"
+	"frostdock.example/frostdock/internal/server"
 )
 
 // version is set by release builds with -ldflags "-X main.version=...".
@@ -36,10 +36,10 @@
 	flags := pflag.NewFlagSet("frostdock", pflag.ContinueOnError)
 	flags.SortFlags = false
 	flags.SetOutput(stderr)
-	path := flags.String("config", "", "settings file of the platform (required)")
-	script := flags.String("policy", "", "the operators' own settings, a Starlark script (optional)")
-	check := flags.Bool("check", false, "check settings and policy, then exit")
-	show := flags.Bool("version", false, "print the version, then exit")
+	configPath := flags.String("config", "", "settings file of the platform (required)")
+	policyPath := flags.String("policy", "", "the operators' own settings, a Starlark script (optional)")
+	checkOnly := flags.Bool("check", false, "check settings and policy, then exit")
+	showVersion := flags.Bool("version", false, "print the version, then exit")
 	flags.Usage = func() {
 		fmt.Fprintf(stderr, "frostdock runs one controller of a cluster scheduler.\n\nUsage: frostdock --config PATH [flags]\n\n%s\nLOG_LEVEL: error, info (default) or debug\n", flags.FlagUsages())
 	}
@@ -49,46 +49,46 @@
 		}
 		return err
 	}
-	if *show {
+	if *showVersion {
 		fmt.Fprintln(stdout, "frostdock", version)
 		return nil
 	}
 	if flags.NArg() > 0 {
 		return fmt.Errorf("unexpected argument %q", flags.Arg(0))
 	}
-	if *path == "" {
+	if *configPath == "" {
 		return errors.New("--config: missing; see --help")
 	}
-	cfg, err := config.Load(*path)
+	cfg, err := config.Load(*configPath)
 	if err != nil {
 		return err
 	}
-	pol, err := policy.Load(*script)
+	operatorPolicy, err := policy.Load(*policyPath)
 	if err != nil {
 		return err
 	}
-	if *check {
+	if *checkOnly {
 		fmt.Fprintln(stdout, "settings and policy are fine")
 		return nil
 	}
-	log := logger(stderr)
+	logger := newLogger(stderr)
 	// One core is all there is, and the memory is counted from outside.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(cfg.Settings.Limits.MemoryMB * 0.7 * (1 << 20)))
+	debug.SetMemoryLimit(int64(cfg.Settings.ProcessLimits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(200)
 
-	var id [8]byte
-	if _, err := crand.Read(id[:]); err != nil {
+	var random [8]byte
+	if _, err := crand.Read(random[:]); err != nil {
 		return fmt.Errorf("draw an incarnation: %w", err)
 	}
-	inc := hex.EncodeToString(id[:])
+	incarnation := hex.EncodeToString(random[:])
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	log.Info("start", "node", cfg.Member, "version", version, "inc", inc)
-	return server.New(cfg, pol, log, inc).Run(ctx)
+	logger.Info("starting", "node", cfg.Member, "version", version, "incarnation", incarnation)
+	return server.New(cfg, operatorPolicy, logger, incarnation).Run(ctx)
 }
 
-func logger(w io.Writer) *slog.Logger {
+func newLogger(w io.Writer) *slog.Logger {
 	level, name := slog.LevelInfo, os.Getenv("LOG_LEVEL")
 	known := true
 	switch name {
@@ -102,9 +102,9 @@
 	default:
 		known = false
 	}
-	log := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
+	logger := slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 	if !known {
-		log.Warn("unknown LOG_LEVEL, using info", "value", name)
+		logger.Warn("unknown LOG_LEVEL, using info", "value", name)
 	}
-	return log
+	return logger
 }
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -16,207 +16,207 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// MaxBody is the largest request body.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body.
+const MaxBodyBytes = 64 << 10
 
 // MaxTasks is the largest number of tasks of a job.
 const MaxTasks = 100000
 
 // Grades, lowest first; the order decides who may preempt whom.
-var grades = map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
+var priorities = map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
 
-var idForm = regexp.MustCompile(`^j-[0-9]{1,18}$`)
+var jobIDPattern = regexp.MustCompile(`^j-[0-9]{1,18}$`)
 
-// ValidID reports whether id has the form of a job id.
-func ValidID(id string) bool { return idForm.MatchString(id) }
+// ValidJobID reports whether id has the form of a job id.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// wire is a submission; pointers tell a missing field from a zero.
-type wire struct {
-	ID      *string  `json:"uid"`
-	Class   *string  `json:"lot"`
-	Team    *string  `json:"crew"`
-	Kind    *string  `json:"cut"`
-	Grade   *string  `json:"grade"`
-	Tasks   *int     `json:"pieces"`
-	CPUs    *float64 `json:"cpus"`
-	GPUs    *float64 `json:"cards"`
-	MemGB   *float64 `json:"memoryGb"`
-	Image   *string  `json:"pattern"`
-	ImageGB *float64 `json:"sizeGb"`
-	Types   []string `json:"stocks"`
-	Zone    *string  `json:"yard"`
-	OneZone *bool    `json:"samePlace"`
-	Spread  *bool    `json:"spread"`
-	Spot    *bool    `json:"loaners"`
-	EstS    *float64 `json:"sawS"`
-	CkptS   *float64 `json:"stackS"`
-	SaveS   *float64 `json:"stowS"`
-	DueS    *float64 `json:"dueS"`
-	Needs   []string `json:"waitsOn"`
+// submission is a submission; pointers tell a missing field from a zero.
+type submission struct {
+	ID                        *string  `json:"uid"`
+	Class                     *string  `json:"lot"`
+	Team                      *string  `json:"crew"`
+	Kind                      *string  `json:"cut"`
+	Priority                  *string  `json:"grade"`
+	Tasks                     *int     `json:"pieces"`
+	CPUs                      *float64 `json:"cpus"`
+	GPUs                      *float64 `json:"cards"`
+	MemGB                     *float64 `json:"memoryGb"`
+	Image                     *string  `json:"pattern"`
+	ImageGB                   *float64 `json:"sizeGb"`
+	Types                     []string `json:"stocks"`
+	Zone                      *string  `json:"yard"`
+	OneZone                   *bool    `json:"samePlace"`
+	Spread                    *bool    `json:"spread"`
+	Spot                      *bool    `json:"loaners"`
+	EstimatedSeconds          *float64 `json:"sawS"`
+	CheckpointIntervalSeconds *float64 `json:"stackS"`
+	CheckpointSeconds         *float64 `json:"stowS"`
+	DeadlineSeconds           *float64 `json:"dueS"`
+	Needs                     []string `json:"waitsOn"`
 }
 
 // Parse decodes a submission. When the body is malformed but its id can be
 // read, the id is returned with the error: a repeat of a known job is answered
 // by its id whatever else the body says.
 func Parse(body []byte) (*schema.Job, string, error) {
-	if len(body) > MaxBody {
+	if len(body) > MaxBodyBytes {
 		return nil, "", errors.New("body over 64 KiB")
 	}
-	var obj map[string]json.RawMessage
-	dec := json.NewDecoder(bytes.NewReader(body))
-	if err := dec.Decode(&obj); err != nil {
+	var object map[string]json.RawMessage
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if err := decoder.Decode(&object); err != nil {
 		return nil, "", fmt.Errorf("not a JSON object: %w", err)
 	}
-	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, "", errors.New("trailing data")
 	}
-	if obj == nil {
+	if object == nil {
 		return nil, "", errors.New("not an object")
 	}
 	var id string
-	if err := json.Unmarshal(obj["uid"], &id); err != nil || !ValidID(id) {
+	if err := json.Unmarshal(object["uid"], &id); err != nil || !ValidJobID(id) {
 		return nil, "", errors.New("uid: missing or not of the form j-000412")
 	}
-	var w wire
-	if err := json.Unmarshal(body, &w); err != nil {
+	var request submission
+	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, id, fmt.Errorf("field: %w", err)
 	}
-	j, err := w.job()
+	job, err := request.job()
 	if err != nil {
 		return nil, id, err
 	}
-	return j, id, nil
+	return job, id, nil
 }
 
-func (w *wire) job() (*schema.Job, error) {
-	var bad error
-	fail := func(field, why string) {
-		if bad == nil {
-			bad = fmt.Errorf("%s: %s", field, why)
+func (s *submission) job() (*schema.Job, error) {
+	var firstErr error
+	fail := func(field, reason string) {
+		if firstErr == nil {
+			firstErr = fmt.Errorf("%s: %s", field, reason)
 		}
 	}
-	str := func(field string, v *string) string {
-		if v == nil || *v == "" || len(*v) > 200 {
+	text := func(field string, value *string) string {
+		if value == nil || *value == "" || len(*value) > 200 {
 			fail(field, "missing, empty or too long")
 			return ""
 		}
-		return *v
+		return *value
 	}
-	num := func(field string, v *float64, least float64, optional bool) float64 {
+	number := func(field string, value *float64, minimum float64, optional bool) float64 {
 		switch {
-		case v == nil && optional:
+		case value == nil && optional:
 			return 0
-		case v == nil:
+		case value == nil:
 			fail(field, "missing")
 			return 0
-		case *v < least || *v > 1e9 || math.IsNaN(*v):
+		case *value < minimum || *value > 1e9 || math.IsNaN(*value):
 			fail(field, "out of range")
 		}
-		return *v
+		return *value
 	}
-	flag := func(field string, v *bool) bool {
-		if v == nil {
+	flag := func(field string, value *bool) bool {
+		if value == nil {
 			fail(field, "missing")
 			return false
 		}
-		return *v
+		return *value
 	}
-	j := &schema.Job{
-		ID: *w.ID, Class: str("lot", w.Class), Team: str("crew", w.Team), Image: str("pattern", w.Image),
-		CPUs: num("cpus", w.CPUs, 0, false), GPUs: num("cards", w.GPUs, 0, false), MemGB: num("memoryGb", w.MemGB, 0, false),
-		ImageGB: num("sizeGb", w.ImageGB, 0, false), EstS: num("sawS", w.EstS, 0, false),
-		CkptS: num("stackS", w.CkptS, 0, false), SaveS: num("stowS", w.SaveS, 0, false), DueS: num("dueS", w.DueS, 0, true),
-		OneZone: flag("samePlace", w.OneZone), Spread: flag("spread", w.Spread), Spot: flag("loaners", w.Spot),
-		Types: w.Types,
+	job := &schema.Job{
+		ID: *s.ID, Class: text("lot", s.Class), Team: text("crew", s.Team), Image: text("pattern", s.Image),
+		CPUs: number("cpus", s.CPUs, 0, false), GPUs: number("cards", s.GPUs, 0, false), MemGB: number("memoryGb", s.MemGB, 0, false),
+		ImageGB: number("sizeGb", s.ImageGB, 0, false), EstimatedSeconds: number("sawS", s.EstimatedSeconds, 0, false),
+		CheckpointIntervalSeconds: number("stackS", s.CheckpointIntervalSeconds, 0, false), CheckpointSeconds: number("stowS", s.CheckpointSeconds, 0, false), DeadlineSeconds: number("dueS", s.DeadlineSeconds, 0, true),
+		OneZone: flag("samePlace", s.OneZone), Spread: flag("spread", s.Spread), Spot: flag("loaners", s.Spot),
+		Types: s.Types,
 	}
-	if j.CPUs == 0 && bad == nil {
+	if job.CPUs == 0 && firstErr == nil {
 		fail("cpus", "must be above 0")
 	}
-	switch str("cut", w.Kind) {
+	switch text("cut", s.Kind) {
 	case "array":
 	case "daemon":
-		j.Service = true
+		job.Service = true
 	default:
 		fail("cut", "unknown")
 	}
-	g, ok := grades[str("grade", w.Grade)]
+	priority, ok := priorities[text("grade", s.Priority)]
 	if !ok {
 		fail("grade", "unknown")
 	}
-	j.Grade = g
-	if w.Tasks == nil || *w.Tasks < 1 || *w.Tasks > MaxTasks {
+	job.Priority = priority
+	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasks {
 		fail("pieces", "missing or not from 1 to 100000")
 	} else {
-		j.Tasks = *w.Tasks
+		job.Tasks = *s.Tasks
 	}
-	if w.Types != nil && len(w.Types) == 0 {
+	if s.Types != nil && len(s.Types) == 0 {
 		fail("stocks", "empty")
 	}
-	if len(w.Types) > 50 {
+	if len(s.Types) > 50 {
 		fail("stocks", "too many")
 	}
-	for _, t := range w.Types {
-		if t == "" || len(t) > 100 {
+	for _, typeName := range s.Types {
+		if typeName == "" || len(typeName) > 100 {
 			fail("stocks", "bad name")
 		}
 	}
-	if w.Zone != nil {
-		j.Zone = str("yard", w.Zone)
+	if s.Zone != nil {
+		job.Zone = text("yard", s.Zone)
 	}
-	if i := slices.IndexFunc(w.Needs, func(id string) bool { return !ValidID(id) }); i >= 0 {
-		fail("waitsOn", fmt.Sprintf("%q is not of the form j-000412", w.Needs[i]))
+	if i := slices.IndexFunc(s.Needs, func(id string) bool { return !ValidJobID(id) }); i >= 0 {
+		fail("waitsOn", fmt.Sprintf("%q is not of the form j-000412", s.Needs[i]))
 	}
-	j.Needs = withoutRepeats(w.Needs)
-	return j, bad
+	job.Needs = deduplicate(s.Needs)
+	return job, firstErr
 }
 
-// withoutRepeats keeps the first of equal names.
-func withoutRepeats(names []string) []string {
+// deduplicate keeps the first of equal names.
+func deduplicate(names []string) []string {
 	seen := make(map[string]bool, len(names))
-	var out []string
+	var unique []string
 	for _, name := range names {
 		if !seen[name] {
 			seen[name] = true
-			out = append(out, name)
+			unique = append(unique, name)
 		}
 	}
-	return out
+	return unique
 }
 
-// Fits reports whether one task of j can ever be on a machine of type t.
-func Fits(j *schema.Job, t *cloud.Type) bool {
-	return TypeAllowed(j, t.Name) && j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemGB <= t.MemGB
+// TaskFits reports whether one task of j can ever be on a machine of type t.
+func TaskFits(job *schema.Job, machineType *cloud.MachineType) bool {
+	return AllowsType(job, machineType.Name) && job.CPUs <= machineType.CPUs && job.GPUs <= machineType.GPUs && job.MemGB <= machineType.MemGB
 }
 
-// TypeAllowed reports whether the job names the type, or none at all.
-func TypeAllowed(j *schema.Job, name string) bool {
-	return len(j.Types) == 0 || slices.Contains(j.Types, name)
+// AllowsType reports whether the job names the type, or none at all.
+func AllowsType(job *schema.Job, name string) bool {
+	return len(job.Types) == 0 || slices.Contains(job.Types, name)
 }
 
-// Feasible returns why a job can never run, or nil.
-func Feasible(j *schema.Job, teams []config.Team, types []cloud.Type) error {
+// CheckFeasible returns why a job can never run, or nil.
+func CheckFeasible(job *schema.Job, teams []config.Team, types []cloud.MachineType) error {
 	var team *config.Team
 	for i := range teams {
-		if teams[i].Name == j.Team {
+		if teams[i].Name == job.Team {
 			team = &teams[i]
 		}
 	}
 	if team == nil {
-		return fmt.Errorf("%w %q", config.ErrNoTeam, j.Team)
+		return fmt.Errorf("%w %q", config.ErrUnknownTeam, job.Team)
 	}
-	n := 1.0
-	if j.Service {
-		n = float64(j.Tasks)
+	tasksAtOnce := 1.0
+	if job.Service {
+		tasksAtOnce = float64(job.Tasks)
 	}
-	if team.CPUsMax > 0 && j.CPUs*n > team.CPUsMax || team.GPUsMax > 0 && j.GPUs*n > team.GPUsMax {
+	if team.QuotaCPUs > 0 && job.CPUs*tasksAtOnce > team.QuotaCPUs || team.QuotaGPUs > 0 && job.GPUs*tasksAtOnce > team.QuotaGPUs {
 		return errors.New("needs more than the team's limit")
 	}
 	for i := range types {
-		if !Fits(j, &types[i]) {
+		if !TaskFits(job, &types[i]) {
 			continue
 		}
-		for _, z := range types[i].Zones {
-			if j.Zone == "" || j.Zone == z {
+		for _, zone := range types[i].Zones {
+			if job.Zone == "" || job.Zone == zone {
 				return nil
 			}
 		}
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-const good = `{"uid":"j-000412","lot":"train","crew":"vision","cut":"array","grade":"urgent","pieces":16,
+const validSubmission = `{"uid":"j-000412","lot":"train","crew":"vision","cut":"array","grade":"urgent","pieces":16,
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"pattern":"img-07","sizeGb":6.2,"stocks":["g8"],"yard":null,
  "samePlace":true,"spread":false,"loaners":true,"sawS":240.0,"stackS":30.0,"stowS":4.0,"dueS":900.0,"later":1}`
 
 func TestParse(t *testing.T) {
-	j, id, err := Parse([]byte(good))
-	if err != nil || id != "j-000412" || j.Tasks != 16 || j.Grade != 2 || !j.OneZone || j.Zone != "" || j.DueS != 900 {
+	j, id, err := Parse([]byte(validSubmission))
+	if err != nil || id != "j-000412" || j.Tasks != 16 || j.Priority != 2 || !j.OneZone || j.Zone != "" || j.DeadlineSeconds != 900 {
 		t.Fatalf("%+v %q %v", j, id, err)
 	}
 	for _, tc := range []struct{ old, new, id string }{
-		{good, `[1]`, ""}, {good, `null`, ""}, {good, ``, ""}, {good, good + "x", ""},
+		{validSubmission, `[1]`, ""}, {validSubmission, `null`, ""}, {validSubmission, ``, ""}, {validSubmission, validSubmission + "x", ""},
 		{`"j-000412"`, `"x-1"`, ""}, {`"j-000412"`, `7`, ""}, {`"j-000412"`, `"j-1/2"`, ""},
 		{`"array"`, `"gang"`, "j-000412"}, {`"urgent"`, `"high"`, "j-000412"},
 		{`"pieces":16`, `"pieces":0`, "j-000412"}, {`"pieces":16`, `"pieces":100001`, "j-000412"},
@@ -28,9 +28,9 @@
 		{`"later":1`, `"waitsOn":"j-000398"`, "j-000412"}, {`"later":1`, `"waitsOn":["x-1"]`, "j-000412"},
 		{`"later":1`, `"waitsOn":[null]`, "j-000412"}, {`"later":1`, `"waitsOn":[398]`, "j-000412"},
 		{`"later":1`, `"waitsOn":{"j-000398":1}`, "j-000412"},
-		{`"later":1`, `"later":"` + strings.Repeat("x", MaxBody) + `"`, ""},
+		{`"later":1`, `"later":"` + strings.Repeat("x", MaxBodyBytes) + `"`, ""},
 	} {
-		_, id, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, id, err := Parse([]byte(strings.Replace(validSubmission, tc.old, tc.new, 1)))
 		if err == nil || id != tc.id {
 			t.Errorf("%.60q: id %q, %v", tc.new, id, err)
 		}
@@ -45,7 +45,7 @@
 		`"waitsOn":[]`:   nil,
 		`"waitsOn":["j-000398","j-7","j-000398"]`: {"j-000398", "j-7"},
 	} {
-		j, _, err := Parse([]byte(strings.Replace(good, `"later":1`, text, 1)))
+		j, _, err := Parse([]byte(strings.Replace(validSubmission, `"later":1`, text, 1)))
 		if err != nil || !slices.Equal(j.Needs, want) {
 			t.Errorf("%s: %v, %v", text, j.Needs, err)
 		}
@@ -54,14 +54,14 @@
 
 // FuzzParse checks that whatever is accepted is in range and can be stored.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"uid":"j-1"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		j, id, err := Parse(body)
 		if err != nil {
 			return
 		}
-		if j.ID != id || !ValidID(id) || j.Tasks < 1 || j.Tasks > MaxTasks || j.CPUs <= 0 || j.MemGB < 0 {
+		if j.ID != id || !ValidJobID(id) || j.Tasks < 1 || j.Tasks > MaxTasks || j.CPUs <= 0 || j.MemGB < 0 {
 			t.Fatalf("accepted %+v", j)
 		}
 		if _, err := json.Marshal(j); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `
+const validConfig = `
 member = "a"
 site = "z"
 public_addr = "127.0.0.1:8080"
@@ -42,9 +42,9 @@
 `
 
 func TestParse(t *testing.T) {
-	c, err := Parse([]byte(good))
-	if err != nil || c.Settings.AnswerBound().Seconds() != 12.5 {
-		t.Fatalf("%+v, %v", c, err)
+	cfg, err := Parse([]byte(validConfig))
+	if err != nil || cfg.Settings.StalenessBound().Seconds() != 12.5 {
+		t.Fatalf("%+v, %v", cfg, err)
 	}
 	for _, tc := range []struct{ old, new, field string }{
 		{`member = "a"`, ``, "member"},
@@ -61,29 +61,29 @@
 		{`txn_ops = 12`, "txn_ops = 12\n[settings.state.next]\nvalue_kb = 0.0", "settings.state.next.value_kb"},
 		{`txn_ops = 12`, "txn_ops = 12\n[settings.state.next]\nwrite_rps = -3.0", "settings.state.next.write_rps"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := Parse([]byte(strings.Replace(validConfig, tc.old, tc.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.field) {
 			t.Errorf("%q: %v does not name %s", tc.new, err, tc.field)
 		}
 	}
 }
 
-// TestNextState shows that announced limits take the place of the present ones, and that those
+// TestNextKVLimits shows that announced limits take the place of the present ones, and that those
 // that are not announced stay.
-func TestNextState(t *testing.T) {
-	c, err := Parse([]byte(good))
-	if err != nil || c.Settings.NextState() != c.Settings.State.StateLimits {
-		t.Fatalf("%+v, %v", c, err)
+func TestNextKVLimits(t *testing.T) {
+	cfg, err := Parse([]byte(validConfig))
+	if err != nil || cfg.Settings.NextKVLimits() != cfg.Settings.KVStore.KVLimits {
+		t.Fatalf("%+v, %v", cfg, err)
 	}
-	c, err = Parse([]byte(strings.Replace(good, "txn_ops = 12", "txn_ops = 12\n[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 8.0\ntxn_ops = 4", 1)))
+	cfg, err = Parse([]byte(strings.Replace(validConfig, "txn_ops = 12", "txn_ops = 12\n[settings.state.next]\nwrite_rps = 18.0\nvalue_kb = 8.0\ntxn_ops = 4", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := c.Settings.NextState()
-	if want := (StateLimits{RPS: 250, WriteRPS: 18, ValueKB: 8, TxnOps: 4}); next != want {
+	next := cfg.Settings.NextKVLimits()
+	if want := (KVLimits{RPS: 250, WriteRPS: 18, ValueKB: 8, TxnOps: 4}); next != want {
 		t.Errorf("%+v, want %+v", next, want)
 	}
-	if got, want := c.Settings.State.Tighter(next), (StateLimits{RPS: 250, WriteRPS: 18, ValueKB: 4, TxnOps: 4}); got != want {
+	if got, want := cfg.Settings.KVStore.Min(next), (KVLimits{RPS: 250, WriteRPS: 18, ValueKB: 4, TxnOps: 4}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 }
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -31,26 +31,26 @@
 	}
 }
 
-// auditEvery is how often decisions are told in the log, if there are any.
-const auditEvery = units.Second
+// decisionLogPeriod is how often decisions are told in the log, if there are any.
+const decisionLogPeriod = units.Second
 
-// tellDecisions writes one line for all decisions since the last, with the revision and the age of
+// logDecisions writes one line for all decisions since the last, with the revision and the age of
 // the proof that they rest on, and the epochs under which they were made.
-func (c *Core) tellDecisions() {
+func (c *Controller) logDecisions() {
 	a := &c.audit
 	if a.starts+len(a.stops)+len(a.releases)+len(a.forgets)+len(a.answers) == 0 {
 		return
 	}
-	attrs := append(c.proof(), "epochs", c.epochs(), "starts", a.starts)
-	attrs = append(attrs, counts("stops", a.stops), counts("releases", a.releases), counts("forgets", a.forgets), counts("answers", a.answers))
+	attrs := append(c.proofAttrs(), "terms", c.termsAttr(), "starts", a.starts)
+	attrs = append(attrs, countsAttr("stops", a.stops), countsAttr("releases", a.releases), countsAttr("forgets", a.forgets), countsAttr("answers", a.answers))
 	c.log.Info("decisions", attrs...)
 	violations := a.violations
 	*a = newAudit()
 	a.violations = violations
 }
 
-// counts is a group of counts in the order of their names.
-func counts[K ~string](name string, of map[K]int) slog.Attr {
+// countsAttr is a group of counts in the order of their names.
+func countsAttr[K ~string](name string, of map[K]int) slog.Attr {
 	attrs := make([]any, 0, len(of))
 	for _, k := range slices.Sorted(maps.Keys(of)) {
 		attrs = append(attrs, slog.Int(string(k), of[k]))
@@ -58,70 +58,70 @@
 	return slog.Group(name, attrs...)
 }
 
-// proof is which revision the copy has reached and how long ago it was known to be complete.
-func (c *Core) proof() []any {
+// proofAttrs is which revision the copy has reached and how long ago it was known to be complete.
+func (c *Controller) proofAttrs() []any {
 	age := -1.0
-	if c.knownAt > 0 {
-		age = (c.now - c.knownAt).Seconds()
+	if c.provenAt > 0 {
+		age = (c.now - c.provenAt).Seconds()
 	}
-	return []any{"rev", c.replica.watchRev, "proof_age_s", age}
+	return []any{"revision", c.replica.watchRevision, "proof_age_s", age}
 }
 
-// epochs are the partitions that this controller owns, each with its epoch.
-func (c *Core) epochs() map[int]uint64 {
-	out := make(map[int]uint64, len(c.owned))
-	for n, o := range c.owned {
-		out[n] = o.epoch
+// termsAttr are the partitions that this controller owns, each with its epoch.
+func (c *Controller) termsAttr() map[int]uint64 {
+	out := make(map[int]uint64, len(c.led))
+	for n, o := range c.led {
+		out[n] = o.term
 	}
 	return out
 }
 
-// violated refuses something that an invariant forbids: it is logged with the facts and counted.
+// reportViolation refuses something that an invariant forbids: it is logged with the facts and counted.
 // Nothing should ever come here.
-func (c *Core) violated(invariant string, facts ...any) {
+func (c *Controller) reportViolation(invariant string, facts ...any) {
 	c.audit.violations[invariant]++
-	c.log.Error("invariant violated, refused", append([]any{"invariant", invariant}, append(facts, c.proof()...)...)...)
+	c.log.Error("invariant violated, refused", append([]any{"invariant", invariant}, append(facts, c.proofAttrs()...)...)...)
 }
 
 // Invariants, as the log calls them.
 const (
-	invariantStart   = "no start without right, need or acceptance"
-	invariantCommand = "no command without claim and recent copy"
-	invariantRelease = "no entry freed without proof"
-	invariantForget  = "no job cleared away without its end"
-	invariantAnswer  = "no answer older than a stored end"
+	invariantStart   = "no start without authority, dependencies done and acceptance"
+	invariantCommand = "no command without leadership and recent replica"
+	invariantRelease = "no entry released without proof"
+	invariantForget  = "no job removed without stored outcome"
+	invariantAnswer  = "no answer older than a stored outcome"
 )
 
-// rightsOver is what this controller may do with a machine now.
-func (c *Core) rightsOver(m *machine) rights {
-	return rights{commands: m.rt != nil && c.usable(m.part()), starts: c.mayLaunch()}
+// authorityOver is what this controller may do with a machine now.
+func (c *Controller) authorityOver(m *machine) authority {
+	return authority{mayCommand: m.agent != nil && c.leads(m.part()), mayStart: c.mayStartTasks()}
 }
 
-// cleared gives the orders that may leave for a machine: the last look at them, whatever path
+// auditCommands gives the orders that may leave for a machine: the last look at them, whatever path
 // they come by. ok is false if nothing may be said to the machine at all.
-func (c *Core) cleared(m *machine, orders []agent.Order) (out []agent.Order, ok bool) {
-	right := c.rightsOver(m)
-	if !right.commands {
-		c.violated(invariantCommand, "machine", m.name, "partition", m.g.part)
+func (c *Controller) auditCommands(m *machine, orders []agent.Command) (out []agent.Command, ok bool) {
+	right := c.authorityOver(m)
+	if !right.mayCommand {
+		c.reportViolation(invariantCommand, "machine", m.name, "partition", m.shard.partition)
 		return nil, false
 	}
 	if len(orders) == 0 {
 		return orders, true
 	}
-	entries := m.entriesByOrder()
+	entries := m.entriesByAttempt()
 	for _, o := range orders {
-		t, entered := entries[orderKey{o.Task, o.Attempt}]
+		t, entered := entries[attemptKey{o.Task, o.Attempt}]
 		facts := c.taskFactsOf(t)
-		switch o.Op {
-		case agent.Launch:
+		switch o.Action {
+		case agent.Start:
 			refusal := facts.mayStart(right)
 			if !entered || refusal != startAllowed {
-				c.violated(invariantStart, "task", o.Task, "attempt", o.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
+				c.reportViolation(invariantStart, "task", o.Task, "attempt", o.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
 				continue
 			}
 			c.audit.starts++
-		case agent.Kill:
-			reason := stopUnlisted
+		case agent.Stop:
+			reason := stopNotEntered
 			if entered {
 				reason = facts.mustStop()
 			}
@@ -130,63 +130,63 @@
 		out = append(out, o)
 	}
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		c.tellOrders(m, out)
+		c.logCommands(m, out)
 	}
 	return out, true
 }
 
-// stopUnlisted is the reason for stopping what no entry allows to run.
-const stopUnlisted stopReason = "not entered there"
+// stopNotEntered is the reason for stopping what no entry allows to run.
+const stopNotEntered stopReason = "not entered"
 
-// tellOrders writes the ids of what a machine is told, and the proof that it rests on.
-func (c *Core) tellOrders(m *machine, orders []agent.Order) {
-	attrs := append(c.proof(), "machine", m.name, "token", c.token(m), "session", m.rt.session)
+// logCommands writes the ids of what a machine is told, and the proof that it rests on.
+func (c *Controller) logCommands(m *machine, orders []agent.Command) {
+	attrs := append(c.proofAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
 	for _, o := range orders {
-		attrs = append(attrs, slog.Group(o.Op+" "+o.Task, "attempt", o.Attempt))
+		attrs = append(attrs, slog.Group(o.Action+" "+o.Task, "attempt", o.Attempt))
 	}
-	c.log.Debug("orders", attrs...)
+	c.log.Debug("commands", attrs...)
 }
 
-// orderKey is a task's attempt as orders name it.
-type orderKey struct {
+// attemptKey is a task's attempt as orders name it.
+type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// entriesByOrder are a machine's entries by what orders call them.
-func (m *machine) entriesByOrder() map[orderKey]schema.Task {
-	out := make(map[orderKey]schema.Task, len(m.doc.Tasks))
+// entriesByAttempt are a machine's entries by what orders call them.
+func (m *machine) entriesByAttempt() map[attemptKey]schema.Task {
+	out := make(map[attemptKey]schema.Task, len(m.doc.Tasks))
 	for _, t := range m.doc.Tasks {
-		out[orderKey{keyOf(t).task(), t.Attempt}] = t
+		out[attemptKey{keyOf(t).task(), t.Attempt}] = t
 	}
 	return out
 }
 
 // auditReleases takes back releases that nothing proves, and counts the others.
-func (gd *shardDraft) auditReleases() {
-	if !gd.own {
+func (gd *stagedShard) auditReleases() {
+	if !gd.ownShard {
 		return
 	}
 	c := gd.c
-	for _, d := range gd.drafts {
-		if len(d.keep) == len(d.m.doc.Tasks) && !d.m.gone || d.m.rt == nil && !d.m.gone {
+	for _, d := range gd.machines {
+		if len(d.kept) == len(d.machine.doc.Tasks) && !d.machine.deleted || d.machine.agent == nil && !d.machine.deleted {
 			continue
 		}
-		kept := make(map[taskKey]bool, len(d.keep))
-		for _, t := range d.keep {
+		kept := make(map[taskKey]bool, len(d.kept))
+		for _, t := range d.kept {
 			kept[keyOf(t)] = true
 		}
-		for _, t := range d.m.doc.Tasks {
-			if kept[keyOf(t)] && !d.m.gone {
+		for _, t := range d.machine.doc.Tasks {
+			if kept[keyOf(t)] && !d.machine.deleted {
 				continue
 			}
-			reason := releaseMachineGone
-			if !d.m.gone {
-				reason = c.taskFactsOf(t).mayRelease(c.machineFactsOf(d.m, t))
+			reason := releaseMachineDeleted
+			if !d.machine.deleted {
+				reason = c.taskFactsOf(t).mayRelease(c.machineFactsOf(d.machine, t))
 			}
 			if reason == keepEntry {
-				c.violated(invariantRelease, "task", keyOf(t).task(), "attempt", t.Attempt, "machine", d.m.name)
-				d.keep = append(slices.Clone(d.keep), t)
+				c.reportViolation(invariantRelease, "task", keyOf(t).task(), "attempt", t.Attempt, "machine", d.machine.name)
+				d.kept = append(slices.Clone(d.kept), t)
 				continue
 			}
 			c.audit.releases[reason]++
@@ -196,14 +196,14 @@
 
 // auditForgotten refuses to clear away jobs whose end is neither stored nor written in the same
 // transaction.
-func (b *batch) auditForgotten() {
+func (b *plan) auditForgotten() {
 	for _, s := range b.c.replica.jobShards {
 		for _, id := range slices.Sorted(maps.Keys(b.cleared[s])) {
 			j := b.c.replica.jobs[id]
-			_, stored := b.c.replica.finals.get(id)
-			written := slices.ContainsFunc(b.finals, func(op kv.Op) bool { return op.Set == schema.Finals+id })
-			if !stored && !written && (j == nil || !j.marked) {
-				b.c.violated(invariantForget, "job", id)
+			_, stored := b.c.replica.outcomes.get(id)
+			written := slices.ContainsFunc(b.jointOps, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
+			if !stored && !written && (j == nil || !j.cancellationShown) {
+				b.c.reportViolation(invariantForget, "job", id)
 				delete(b.cleared[s], id)
 			}
 		}
@@ -212,15 +212,15 @@
 
 // auditAnswer looks at an answer to a user a last time. What was found before the job's end was
 // shown gives way to the end: another controller may have told it to the user already.
-func (c *Core) auditAnswer(st *Status) *Status {
-	end, stored := c.replica.finals.get(st.ID)
+func (c *Controller) auditAnswer(st *JobStatus) *JobStatus {
+	end, stored := c.replica.outcomes.get(st.ID)
 	if stored && st.contradicts(end) {
-		if st.Stage == Done || st.Stage == Cancelled {
-			c.violated(invariantAnswer, "job", st.ID, "stage", st.Stage, "end", end.Stage)
+		if st.Stage == StageDone || st.Stage == StageCancelled {
+			c.reportViolation(invariantAnswer, "job", st.ID, "stage", st.Stage, "end", end.State)
 		}
-		st = finalStatus(st.ID, end)
+		st = outcomeStatus(st.ID, end)
 	}
-	if st.Stage == Done || st.Stage == Cancelled {
+	if st.Stage == StageDone || st.Stage == StageCancelled {
 		c.audit.answers[st.basisOf(stored)]++
 	}
 	return st
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -16,20 +16,20 @@
 // TestMayStart, TestMayRelease and TestMayForget look at each reason, and at what lacks just one
 // fact for it.
 func TestMayStart(t *testing.T) {
-	good, may := taskFacts{accepted: true, needsDone: true}, rights{commands: true, starts: true}
+	good, may := taskFacts{accepted: true, dependenciesDone: true}, authority{mayCommand: true, mayStart: true}
 	for name, tc := range map[string]struct {
 		facts taskFacts
-		right rights
+		right authority
 		want  startRefusal
 	}{
 		"all is well":       {good, may, startAllowed},
-		"job is over":       {taskFacts{needsDone: true}, may, startUnwanted},
-		"job is cancelled":  {taskFacts{accepted: true, needsDone: true, cancelled: true}, may, startUnwanted},
-		"task is completed": {taskFacts{accepted: true, needsDone: true, completed: true}, may, startUnwanted},
-		"to be stopped":     {taskFacts{accepted: true, needsDone: true, stopMarked: true}, may, startUnwanted},
-		"a need is open":    {taskFacts{accepted: true}, may, startNeedsOpen},
-		"no claim":          {good, rights{starts: true}, startNotEntitled},
-		"an old copy":       {good, rights{commands: true}, startCopyTooOld},
+		"job is over":       {taskFacts{dependenciesDone: true}, may, startMustNotRun},
+		"job is cancelled":  {taskFacts{accepted: true, dependenciesDone: true, cancelled: true}, may, startMustNotRun},
+		"task is completed": {taskFacts{accepted: true, dependenciesDone: true, completed: true}, may, startMustNotRun},
+		"to be stopped":     {taskFacts{accepted: true, dependenciesDone: true, stopRequested: true}, may, startMustNotRun},
+		"a need is open":    {taskFacts{accepted: true}, may, startDependenciesOpen},
+		"no claim":          {good, authority{mayStart: true}, startNotAuthorized},
+		"an old copy":       {good, authority{mayCommand: true}, startReplicaTooOld},
 	} {
 		if got := tc.facts.mayStart(tc.right); got != tc.want {
 			t.Errorf("%s: %q, want %q", name, got, tc.want)
@@ -45,16 +45,16 @@
 		machine machineFacts
 		want    releaseReason
 	}{
-		"wanted and absent":            {wanted, machineFacts{settled: true}, keepEntry},
-		"unwanted and absent":          {unwanted, machineFacts{settled: true}, releaseNotThere},
+		"wanted and absent":            {wanted, machineFacts{quiesced: true}, keepEntry},
+		"unwanted and absent":          {unwanted, machineFacts{quiesced: true}, releaseProvenAbsent},
 		"unwanted, a command may come": {unwanted, machineFacts{}, keepEntry},
-		"unwanted and there":           {unwanted, machineFacts{reported: true, settled: true}, keepEntry},
+		"unwanted and there":           {unwanted, machineFacts{reported: true, quiesced: true}, keepEntry},
 		"ended":                        {wanted, machineFacts{reported: true, ended: true, tokenSeen: true}, releaseReportedEnd},
 		"ended by an old report":       {wanted, machineFacts{reported: true, ended: true}, keepEntry},
-		"lease over":                   {wanted, machineFacts{reported: true, leaseOver: true}, releaseLeaseOver},
-		"completed, not stored":        {taskFacts{accepted: true, completed: true}, machineFacts{leaseOver: true}, keepEntry},
-		"completed and stored":         {taskFacts{accepted: true, completed: true, endStored: true}, machineFacts{}, releaseEndStored},
-		"machine deleted":              {wanted, machineFacts{machineGone: true}, releaseMachineGone},
+		"lease over":                   {wanted, machineFacts{reported: true, leaseExpired: true}, releaseLeaseExpired},
+		"completed, not stored":        {taskFacts{accepted: true, completed: true}, machineFacts{leaseExpired: true}, keepEntry},
+		"completed and stored":         {taskFacts{accepted: true, completed: true, completionStored: true}, machineFacts{}, releaseCompletionStored},
+		"machine deleted":              {wanted, machineFacts{machineDeleted: true}, releaseMachineDeleted},
 		"job over":                     {taskFacts{}, machineFacts{}, releaseJobOver},
 	} {
 		if got := tc.facts.mayRelease(tc.machine); got != tc.want {
@@ -71,10 +71,10 @@
 	}{
 		"nothing is over":              {jobFacts{}, keepJob},
 		"completed":                    {jobFacts{completed: true, entered: true}, forgetCompleted},
-		"cancelled":                    {jobFacts{cancelled: true, marked: true}, forgetCancelled},
-		"cancelled, tasks are entered": {jobFacts{cancelled: true, marked: true, entered: true}, keepJob},
-		"cancelled and completed":      {jobFacts{cancelled: true, marked: true, completed: true, entered: true}, keepJob},
-		"cancelled with another":       {jobFacts{cancelled: true, derived: true}, forgetDerived},
+		"cancelled":                    {jobFacts{cancelled: true, cancellationShown: true}, forgetCancelled},
+		"cancelled, tasks are entered": {jobFacts{cancelled: true, cancellationShown: true, entered: true}, keepJob},
+		"cancelled and completed":      {jobFacts{cancelled: true, cancellationShown: true, completed: true, entered: true}, keepJob},
+		"cancelled with another":       {jobFacts{cancelled: true, cancelledByDependency: true}, forgetCancelledByDependency},
 		"cancelled, mark not shown":    {jobFacts{cancelled: true}, keepJob},
 	} {
 		if got := tc.facts.mayForget(); got != tc.want {
@@ -87,8 +87,8 @@
 func TestInvariantsFire(t *testing.T) {
 	c, o, _ := foreignJob(t)
 	m := c.replica.machines["n-000001"]
-	entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-	launch := []agent.Order{{Op: agent.Launch, Task: "j-000001/0", Attempt: entry.Attempt}}
+	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
+	launch := []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: entry.Attempt}}
 	fired := func(invariant string, want bool) {
 		t.Helper()
 		if got := c.audit.violations[invariant] > 0; got != want {
@@ -96,51 +96,51 @@
 		}
 		clear(c.audit.violations)
 	}
-	if out, ok := c.cleared(m, launch); !ok || len(out) > 0 {
+	if out, ok := c.auditCommands(m, launch); !ok || len(out) > 0 {
 		t.Error("what is not entered is started")
 	}
 	fired(invariantStart, true)
 	c.apply(shardOfMachine(c.replica.layout), encode(machineWith(entry)), o.rev+1, false)
-	if out, ok := c.cleared(m, launch); !ok || len(out) != 1 {
+	if out, ok := c.auditCommands(m, launch); !ok || len(out) != 1 {
 		t.Error("what is entered is not started")
 	}
 	fired(invariantStart, false)
-	c.apply(schema.Cancels+"j-000001", []byte(`{}`), o.rev+2, false)
-	if out, _ := c.cleared(m, launch); len(out) > 0 {
+	c.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), o.rev+2, false)
+	if out, _ := c.auditCommands(m, launch); len(out) > 0 {
 		t.Error("a task of a cancelled job is started")
 	}
 	fired(invariantStart, true)
 
-	gd := &shardDraft{c: c, g: m.g, own: true, moveTo: -1, drafts: []*draft{{m: m}}}
-	m.rt.pieces[keyOf(entry)] = agent.Piece{Task: "j-000001/0", Attempt: entry.Attempt, State: agent.Running}
+	gd := &stagedShard{c: c, shard: m.shard, ownShard: true, transferTo: -1, machines: []*stagedMachine{{machine: m}}}
+	m.agent.tasks[keyOf(entry)] = agent.TaskStatus{Task: "j-000001/0", Attempt: entry.Attempt, State: agent.Running}
 	gd.auditReleases()
-	if len(gd.drafts[0].keep) != 1 {
+	if len(gd.machines[0].kept) != 1 {
 		t.Error("an entry is freed while its task runs")
 	}
 	fired(invariantRelease, true)
 
-	b := &batch{c: c, cleared: map[*jobShard]map[string]bool{c.replica.jobShardOf("j-000001"): {"j-000001": true}}}
+	b := &plan{c: c, cleared: map[*jobShard]map[string]bool{c.replica.jobShardOf("j-000001"): {"j-000001": true}}}
 	b.auditForgotten()
 	fired(invariantForget, false) // it is marked, so its end is stored
-	c.replica.jobs["j-000001"].marked = false
+	c.replica.jobs["j-000001"].cancellationShown = false
 	b.auditForgotten()
 	if b.cleared[c.replica.jobShardOf("j-000001")]["j-000001"] {
 		t.Error("a job without an end is cleared away")
 	}
 	fired(invariantForget, true)
 
-	c.learnEnd("j-000001", schema.Final{Stage: Cancelled})
-	if st := c.auditAnswer(&Status{ID: "j-000001", Stage: Pending}); st.Stage != Cancelled {
+	c.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
+	if st := c.auditAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); st.Stage != StageCancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
 	fired(invariantAnswer, false) // overtaken by the end, which is told instead
-	if st := c.auditAnswer(&Status{ID: "j-000001", Stage: Done}); st.Stage != Cancelled {
+	if st := c.auditAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); st.Stage != StageCancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
 	fired(invariantAnswer, true)
 
-	c.knownAt = c.now - c.cfg.Settings.AnswerBound() - units.Second
-	if _, ok := c.cleared(m, nil); ok {
+	c.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
+	if _, ok := c.auditCommands(m, nil); ok {
 		t.Error("a controller whose copy is old commands")
 	}
 	fired(invariantCommand, true)
@@ -152,21 +152,21 @@
 	var log bytes.Buffer
 	c, o, step := foreignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	c.knownAt = 0 // the proof is lost, and found again
-	c.entitledAt = c.now
+	c.provenAt = 0 // the proof is lost, and found again
+	c.mayActSince = c.now
 	for range 80 {
 		step()
 	}
-	entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-	step(o.news(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}))
+	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
+	step(o.news(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}))
 	for range 80 {
 		step()
 	}
 	for _, want := range []string{
-		`msg="may no longer act on the copy" rev=\d+ proof_age_s=-1 for_s=`,
-		`msg="may act on the copy" rev=\d+ proof_age_s=0\.\d+ complete_at=\d+ inc=test`,
-		`level=INFO msg=decisions rev=\d+ proof_age_s=0[.\d]* epochs=map\[0:1\] starts=1\b`,
-		`level=DEBUG msg=orders rev=\d+ proof_age_s=0[.\d]* machine=n-000001 token=\d+ session=1 "launch j-000001/0.attempt"=268435457`,
+		`msg="authority lost" revision=\d+ proof_age_s=-1 for_s=`,
+		`msg="authority gained" revision=\d+ proof_age_s=0\.\d+ complete_revision=\d+ incarnation=test`,
+		`level=INFO msg=decisions revision=\d+ proof_age_s=0[.\d]* terms=map\[0:1\] starts=1\b`,
+		`level=DEBUG msg=commands revision=\d+ proof_age_s=0[.\d]* machine=n-000001 fencing_token=\d+ agent_epoch=1 "launch j-000001/0.attempt"=268435457`,
 	} {
 		if !regexp.MustCompile(want).MatchString(log.String()) {
 			t.Errorf("no line %s in\n%s", want, strings.TrimSpace(log.String()))
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -12,26 +12,26 @@
 
 // foreignJob is a controller that commands n-000001, beside another that owns the partition of
 // j-000001, which is accepted and nowhere yet.
-func foreignJob(t *testing.T) (*Core, *outside, func(extra ...Msg) []Effect) {
+func foreignJob(t *testing.T) (*Controller, *fakeStore, func(extra ...Message) []Effect) {
 	t.Helper()
-	cfg := &config.Config{Member: "a", Others: []config.Peer{{Member: "b"}}}
+	cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}}}
 	s := &cfg.Settings
 	s.Size, s.Teams = 2, []config.Team{{Name: "red"}, {Name: "blue"}}
-	s.State.StateLimits = config.StateLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
-	c := quietCore(cfg)
-	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
+	s.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+	c := quietController(cfg)
+	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 	layout := c.replica.layout
-	layout.Format = schema.FormatChains
-	o.put(schema.LayoutOf, layout)
-	o.put(schema.NodeKey("b", "1"), schema.Registration{Incarnation: "1", Format: schema.FormatChains})
-	o.put(schema.PartKey(1), schema.Part{Epoch: 1, Member: "b", Inc: "1"})
+	layout.Format = schema.FormatDependencies
+	o.put(schema.LayoutKey, layout)
+	o.put(schema.RegistrationKey("b", "1"), schema.Registration{Incarnation: "1", Format: schema.FormatDependencies})
+	o.put(schema.PartitionKey(1), schema.Partition{Term: 1, Member: "b", Incarnation: "1"})
 	job := schema.Job{ID: "j-000001", Team: "blue", Tasks: 1, CPUs: 1, MemGB: 1}
-	o.put(schema.JobShardKey(schema.JobShardOf(job.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{job}})
+	o.put(schema.JobShardKey(schema.JobShardIndex(job.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{job}})
 	o.put(shardOfMachine(layout), machineWith())
 	now := units.Second
-	var msgs []Msg
-	step := func(extra ...Msg) []Effect {
+	var msgs []Message
+	step := func(extra ...Message) []Effect {
 		now += 25 * units.Millisecond
 		effects := c.Step(now, now+units.Micros(1e15), append(msgs, extra...))
 		msgs = nil
@@ -43,14 +43,14 @@
 	for range 200 {
 		step()
 	}
-	if m := c.replica.machines["n-000001"]; m == nil || m.rt == nil || !c.settled(m) {
+	if m := c.replica.machines["n-000001"]; m == nil || m.agent == nil || !c.quiesced(m) {
 		t.Fatal("the machine is not commanded")
 	}
 	return c, o, step
 }
 
 func shardOfMachine(layout schema.Layout) string {
-	return schema.MachineShardKey(schema.MachineShardOf("n-000001", layout.Groups))
+	return schema.MachineShardKey(schema.MachineShardIndex("n-000001", layout.MachineShards))
 }
 
 // machineWith is the document of n-000001 with some tasks.
@@ -63,19 +63,19 @@
 func launches(effects []Effect) int {
 	n := 0
 	for _, e := range effects {
-		var orders []agent.Order
+		var orders []agent.Command
 		switch e := e.(type) {
-		case WorkerCall:
-			if e.Cmd != nil {
-				orders = e.Cmd.Orders
+		case AgentCall:
+			if e.Commands != nil {
+				orders = e.Commands.Commands
 			}
 		case Reply:
-			if a, ok := e.Body.(agent.Answer); ok {
-				orders = a.Orders
+			if a, ok := e.Body.(agent.HeartbeatResponse); ok {
+				orders = a.Commands
 			}
 		}
 		for _, order := range orders {
-			if order.Op == agent.Launch {
+			if order.Action == agent.Start {
 				n++
 			}
 		}
@@ -84,16 +84,16 @@
 }
 
 // news is the answer to the open watch.
-func (o *outside) news(events ...kv.Event) Msg {
+func (o *fakeStore) news(events ...kv.Event) Message {
 	watch := o.waits[len(o.waits)-1]
 	o.waits = o.waits[:len(o.waits)-1]
 	for _, e := range events {
-		o.rev = max(o.rev, e.Stamp)
+		o.rev = max(o.rev, e.ModRevision)
 		if e.Set != "" {
-			o.keys[e.Set] = kv.Item{Key: e.Set, Value: e.Value, Stamp: e.Stamp}
+			o.keys[e.Set] = kv.KeyValue{Key: e.Set, Value: e.Value, ModRevision: e.ModRevision}
 		}
 	}
-	return StateDone{ID: watch.ID, Resp: kv.Response{Status: 200, Rev: o.rev, News: events}}
+	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: 200, Revision: o.rev, Events: events}}
 }
 
 // TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered
@@ -103,12 +103,12 @@
 	for name, cancelled := range map[string]bool{"accepted": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
 			c, o, step := foreignJob(t)
-			entry := schema.Task{Job: "j-000001", Num: 0, Attempt: 1<<28 | 1}
-			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), Stamp: o.rev + 1}}
+			entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
+			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}}
 			if cancelled {
 				events = append(events,
-					kv.Event{Set: schema.Cancels + entry.Job, Value: encode(map[string]string{"w": "x"}), Stamp: o.rev + 2},
-					kv.Event{Set: schema.Finals + entry.Job, Value: encode(schema.Final{Stage: Cancelled}), Stamp: o.rev + 2})
+					kv.Event{Set: schema.CancellationPrefix + entry.Job, Value: encode(map[string]string{"w": "x"}), ModRevision: o.rev + 2},
+					kv.Event{Set: schema.OutcomePrefix + entry.Job, Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: o.rev + 2})
 			}
 			got := launches(step(o.news(events...)))
 			for range 40 {
--- a/internal/controller/decisions.go
+++ b/internal/controller/decisions.go
@@ -11,23 +11,23 @@
 
 // taskFacts is what is known of a task that is entered on a machine, and of its job.
 type taskFacts struct {
-	accepted   bool // the job is among the accepted ones
-	cancelled  bool // the job is, itself or because of one that it needs
-	needsDone  bool // all jobs that it needs have a stored end "done"
-	completed  bool // the task is, as far as this controller knows
-	endStored  bool // its completion is stored
-	stopMarked bool // its entry says that it is to be stopped
+	accepted         bool // the job is among the accepted ones
+	cancelled        bool // the job is, itself or because of one that it needs
+	dependenciesDone bool // all jobs that it needs have a stored end "done"
+	completed        bool // the task is, as far as this controller knows
+	completionStored bool // its completion is stored
+	stopRequested    bool // its entry says that it is to be stopped
 }
 
 // taskFactsOf gathers the facts of an entry.
-func (c *Core) taskFactsOf(t schema.Task) taskFacts {
+func (c *Controller) taskFactsOf(t schema.Task) taskFacts {
 	j := c.replica.jobs[t.Job]
-	if j == nil || !j.known {
+	if j == nil || !j.accepted {
 		return taskFacts{}
 	}
 	return taskFacts{
-		accepted: true, cancelled: j.cancelled(), needsDone: j.chain.Ready(), completed: j.isDone(t.Num),
-		endStored: j.done.Has(t.Num), stopMarked: t.Stop > 0,
+		accepted: true, cancelled: j.cancelled(), dependenciesDone: j.dependency.Ready(), completed: j.isDone(t.Index),
+		completionStored: j.done.Contains(t.Index), stopRequested: t.StopMode > 0,
 	}
 }
 
@@ -35,11 +35,11 @@
 type stopReason string
 
 const (
-	keepRunning      stopReason = ""
-	stopNotAccepted  stopReason = "job is over"
-	stopCancelled    stopReason = "job is cancelled"
-	stopCompleted    stopReason = "task is completed"
-	stopMarkedByPlan stopReason = "its place is wanted"
+	keepRunning         stopReason = ""
+	stopNotAccepted     stopReason = "job is over"
+	stopCancelled       stopReason = "job is cancelled"
+	stopCompleted       stopReason = "task is completed"
+	stopRequestedByPlan stopReason = "requested by plan"
 )
 
 // mustStop tells whether the task must not run where it is entered.
@@ -49,62 +49,62 @@
 		return stopNotAccepted
 	case f.cancelled:
 		return stopCancelled
-	case f.stopMarked:
-		return stopMarkedByPlan
+	case f.stopRequested:
+		return stopRequestedByPlan
 	case f.completed:
 		return stopCompleted
 	}
 	return keepRunning
 }
 
-// rights is what a controller may do at a moment.
-type rights struct {
-	commands bool // it owns the machine's partition, and its copy is recent enough to command
-	starts   bool // its copy is recent enough for starts
+// authority is what a controller may do at a moment.
+type authority struct {
+	mayCommand bool // it owns the machine's partition, and its copy is recent enough to command
+	mayStart   bool // its copy is recent enough for starts
 }
 
 // startRefusal is why a task must not be started.
 type startRefusal string
 
 const (
-	startAllowed     startRefusal = ""
-	startNotEntitled startRefusal = "not entitled"
-	startCopyTooOld  startRefusal = "copy too old"
-	startNeedsOpen   startRefusal = "needed jobs are not done"
-	startUnwanted    startRefusal = "must not run"
+	startAllowed          startRefusal = ""
+	startNotAuthorized    startRefusal = "not authorized"
+	startReplicaTooOld    startRefusal = "replica too old"
+	startDependenciesOpen startRefusal = "dependencies not done"
+	startMustNotRun       startRefusal = "must not run"
 )
 
 // mayStart tells whether the task may be started now.
-func (f taskFacts) mayStart(r rights) startRefusal {
+func (f taskFacts) mayStart(r authority) startRefusal {
 	switch {
 	case f.mustStop() != keepRunning:
-		return startUnwanted
-	case !f.needsDone:
-		return startNeedsOpen
-	case !r.commands:
-		return startNotEntitled
-	case !r.starts:
-		return startCopyTooOld
+		return startMustNotRun
+	case !f.dependenciesDone:
+		return startDependenciesOpen
+	case !r.mayCommand:
+		return startNotAuthorized
+	case !r.mayStart:
+		return startReplicaTooOld
 	}
 	return startAllowed
 }
 
 // machineFacts is what a machine's commander knows of a task's presence there.
 type machineFacts struct {
-	reported    bool // the latest report has the task
-	ended       bool // and says that it has ended
-	tokenSeen   bool // the report shows the machine's present token
-	leaseOver   bool // the machine's session is surely over
-	settled     bool // no command can still arrive, so that absence from a report proves something
-	machineGone bool // the cloud has confirmed that the machine is deleted
+	reported       bool // the latest report has the task
+	ended          bool // and says that it has ended
+	tokenSeen      bool // the report shows the machine's present token
+	leaseExpired   bool // the machine's session is surely over
+	quiesced       bool // no command can still arrive, so that absence from a report proves something
+	machineDeleted bool // the cloud has confirmed that the machine is deleted
 }
 
 // machineFactsOf gathers them for an entry of a machine that this controller commands.
-func (c *Core) machineFactsOf(m *machine, t schema.Task) machineFacts {
-	piece, there := m.rt.pieces[keyOf(t)]
+func (c *Controller) machineFactsOf(m *machine, t schema.Task) machineFacts {
+	piece, there := m.agent.tasks[keyOf(t)]
 	return machineFacts{
-		reported: there && m.rt.heardAt > 0, ended: piece.State == agent.Ended, tokenSeen: m.rt.seen == c.token(m),
-		leaseOver: c.now > m.rt.leaseEnd, settled: c.settled(m), machineGone: m.gone,
+		reported: there && m.agent.heardAt > 0, ended: piece.State == agent.Ended, tokenSeen: m.agent.tokenSeen == c.fencingToken(m),
+		leaseExpired: c.now > m.agent.leaseEnd, quiesced: c.quiesced(m), machineDeleted: m.deleted,
 	}
 }
 
@@ -112,53 +112,53 @@
 type releaseReason string
 
 const (
-	keepEntry          releaseReason = ""
-	releaseEndStored   releaseReason = "end is stored"
-	releaseReportedEnd releaseReason = "reported as ended"
-	releaseLeaseOver   releaseReason = "lease is over"
-	releaseNotThere    releaseReason = "surely not there"
-	releaseMachineGone releaseReason = "machine is deleted"
-	releaseJobOver     releaseReason = "job is over"
+	keepEntry               releaseReason = ""
+	releaseCompletionStored releaseReason = "completion stored"
+	releaseReportedEnd      releaseReason = "reported as ended"
+	releaseLeaseExpired     releaseReason = "lease expired"
+	releaseProvenAbsent     releaseReason = "proven absent"
+	releaseMachineDeleted   releaseReason = "machine deleted"
+	releaseJobOver          releaseReason = "job is over"
 )
 
 // mayRelease tells whether the task is certainly not, or no longer, active on the machine.
 func (f taskFacts) mayRelease(m machineFacts) releaseReason {
 	switch {
-	case m.machineGone:
-		return releaseMachineGone
+	case m.machineDeleted:
+		return releaseMachineDeleted
 	case !f.accepted: // who clears a job away has stored its end with it
 		return releaseJobOver
-	case f.endStored:
-		return releaseEndStored
+	case f.completionStored:
+		return releaseCompletionStored
 	case f.completed: // not stored: without the entry it would run again
 		return keepEntry
-	case m.leaseOver:
-		return releaseLeaseOver
+	case m.leaseExpired:
+		return releaseLeaseExpired
 	case m.reported && m.ended && m.tokenSeen:
 		// Only a report under the present token tells of an end that lasts: an older one
 		// may be a late copy, and the attempt was started again in a later session.
 		return releaseReportedEnd
 	case m.reported:
 		return keepEntry
-	case f.mustStop() != keepRunning && m.settled:
-		return releaseNotThere
+	case f.mustStop() != keepRunning && m.quiesced:
+		return releaseProvenAbsent
 	}
 	return keepEntry
 }
 
 // jobFacts is what the owner of a job's partition knows of it.
 type jobFacts struct {
-	cancelled bool
-	marked    bool // its mark is shown, and goes with it
-	derived   bool // it is cancelled because of a job that it needs
-	entered   bool // tasks of it may be on machines
-	completed bool // all of its tasks are
+	cancelled             bool
+	cancellationShown     bool // its mark is shown, and goes with it
+	cancelledByDependency bool // it is cancelled because of a job that it needs
+	entered               bool // tasks of it may be on machines
+	completed             bool // all of its tasks are
 }
 
-func (j *job) facts(final schema.Final) jobFacts {
+func (j *job) facts(final schema.Outcome) jobFacts {
 	return jobFacts{
-		cancelled: j.cancelled(), marked: j.marked, derived: j.chain.Because() != "" || final.Because != "",
-		entered: len(j.bound) > 0, completed: j.doneCount() == j.spec.Tasks,
+		cancelled: j.cancelled(), cancellationShown: j.cancellationShown, cancelledByDependency: j.dependency.CancelledBy() != "" || final.CancelledBy != "",
+		entered: len(j.bindings) > 0, completed: j.doneCount() == j.spec.Tasks,
 	}
 }
 
@@ -166,10 +166,10 @@
 type forgetReason string
 
 const (
-	keepJob         forgetReason = ""
-	forgetCompleted forgetReason = "done"
-	forgetCancelled forgetReason = "cancelled"
-	forgetDerived   forgetReason = "cancelled with a needed job"
+	keepJob                     forgetReason = ""
+	forgetCompleted             forgetReason = "done"
+	forgetCancelled             forgetReason = "cancelled"
+	forgetCancelledByDependency forgetReason = "cancelled by dependency"
 )
 
 // mayForget tells whether the job may leave the accepted ones.
@@ -179,10 +179,10 @@
 		return forgetCompleted
 	case !f.cancelled || f.entered:
 		return keepJob
-	case f.marked:
+	case f.cancellationShown:
 		return forgetCancelled
-	case f.derived:
-		return forgetDerived
+	case f.cancelledByDependency:
+		return forgetCancelledByDependency
 	}
 	return keepJob // its end is known and its mark, which was written with it, is shown next
 }
@@ -191,21 +191,21 @@
 type answerBasis string
 
 const (
-	answerStoredEnd  answerBasis = "stored end"
-	answerDerivedEnd answerBasis = "end of a needed job"
-	answerRecentCopy answerBasis = "recent copy"
+	answerStoredOutcome  answerBasis = "stored outcome"
+	answerDerivedOutcome answerBasis = "derived outcome"
+	answerRecentReplica  answerBasis = "recent replica"
 )
 
 // basisOf tells what an answer with that state rests on.
-func (st *Status) basisOf(endStored bool) answerBasis {
+func (st *JobStatus) basisOf(endStored bool) answerBasis {
 	switch {
 	case endStored:
-		return answerStoredEnd
-	case st.Stage == Cancelled:
-		return answerDerivedEnd
+		return answerStoredOutcome
+	case st.Stage == StageCancelled:
+		return answerDerivedOutcome
 	}
-	return answerRecentCopy
+	return answerRecentReplica
 }
 
 // contradicts reports whether an answer is older than an end that is stored.
-func (st *Status) contradicts(end schema.Final) bool { return st.Stage != end.Stage }
+func (st *JobStatus) contradicts(end schema.Outcome) bool { return st.Stage != end.State }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -8,17 +8,17 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// shortfall is a job with the tasks that find no room in its partition.
-type shortfall struct {
-	j *job
-	n int
+// unmetDemand is a job with the tasks that find no room in its partition.
+type unmetDemand struct {
+	job   *job
+	tasks int
 }
 
-// shortfalls fits the waiting tasks of every partition into the free room of
+// unmetDemands fits the waiting tasks of every partition into the free room of
 // its machines, as far as can be told from what is stored, and returns what is
 // left over. Jobs of higher grade go first. With anywhere, the machines of all
 // partitions count for every job, as they do for what must be rented.
-func (c *Core) shortfalls(anywhere bool) []shortfall {
+func (c *Controller) unmetDemands(anywhere bool) []unmetDemand {
 	type freeMachine struct {
 		m *machine
 		resources
@@ -26,13 +26,13 @@
 	gaps := map[int][]*freeMachine{} // with something free
 	for _, m := range c.sortedMachines() {
 		t := c.machineType(m.doc.Type)
-		if t == nil || m.part() < 0 || m.rt != nil && (m.rt.hasNotice || m.rt.suspect || m.rt.draining || m.rt.retire != "") {
+		if t == nil || m.part() < 0 || m.agent != nil && (m.agent.hasNotice || m.agent.quarantined || m.agent.draining || m.agent.decommissionReason != "") {
 			continue
 		}
 		g := &freeMachine{m, resources{t.CPUs, t.GPUs, t.MemGB}}
 		for _, task := range m.doc.Tasks {
-			if j := c.unstored(task); j != nil {
-				g.fill(&j.spec, 1)
+			if j := c.unstoredJobOf(task); j != nil {
+				g.reserve(&j.spec, 1)
 			}
 		}
 		if g.cpus <= 0 {
@@ -44,12 +44,12 @@
 		}
 		gaps[p] = append(gaps[p], g)
 	}
-	var out []shortfall
+	var out []unmetDemand
 	using := c.teamUsage()
 	jobs := c.sortedJobs()
 	for grade := 3; grade >= 0; grade-- {
 		for _, j := range jobs {
-			if j.cancelled() || j.spec.Grade != grade || c.now < j.retryAt {
+			if j.cancelled() || j.spec.Priority != grade || c.now < j.retryAt {
 				continue
 			}
 			n := j.waiting()
@@ -57,7 +57,7 @@
 				continue
 			}
 			n = min(n, c.quotaRoom(j, using))
-			p := j.part
+			p := j.partition
 			if anywhere {
 				p = 0
 			}
@@ -65,7 +65,7 @@
 				if n == 0 {
 					break
 				}
-				if !c.allowed(j, g.m) {
+				if !c.placementAllowed(j, g.m) {
 					continue
 				}
 				k := int(min(g.cpus/j.spec.CPUs, float64(n)) + 1e-9)
@@ -73,16 +73,16 @@
 					k = min(k, int(g.gpus/j.spec.GPUs+1e-9))
 				}
 				if j.spec.MemGB > 0 {
-					k = min(k, int(g.mem/j.spec.MemGB+1e-9))
+					k = min(k, int(g.memoryGB/j.spec.MemGB+1e-9))
 				}
 				if k <= 0 {
 					continue
 				}
-				g.fill(&j.spec, float64(k))
+				g.reserve(&j.spec, float64(k))
 				n -= k
 			}
 			if n > 0 {
-				out = append(out, shortfall{j, n})
+				out = append(out, unmetDemand{j, n})
 			}
 		}
 	}
@@ -95,22 +95,22 @@
 // another partition, or about to be emptied, once stayed so for minutes.
 const starvingAfter = 30 * units.Second
 
-// ranOn is how long after its last failure a job whose tasks are active counts as well.
-const ranOn = 30 * units.Second
+// failureForgetPeriod is how long after its last failure a job whose tasks are active counts as well.
+const failureForgetPeriod = 30 * units.Second
 
 // starvingJobs lists the jobs that have waited for so long; it is to be called every second.
-func (c *Core) starvingJobs() []*job {
+func (c *Controller) starvingJobs() []*job {
 	var out []*job
 	using := c.teamUsage()
 	for _, j := range c.sortedJobs() {
-		if j.failures > 0 && j.active() > 0 && c.now-j.failedAt > ranOn {
+		if j.failures > 0 && j.active() > 0 && c.now-j.failedAt > failureForgetPeriod {
 			j.failures = 0 // what has run on for so long is no failure: the others need not wait for its end
 		}
 		switch {
 		case j.cancelled() || c.now < j.retryAt || j.waiting() == 0 || c.quotaRoom(j, using) == 0:
-			j.waitAt = 0
-		case j.waitAt == 0:
-			j.waitAt = c.now
+			j.waitingSince = 0
+		case j.waitingSince == 0:
+			j.waitingSince = c.now
 		case c.starving(j):
 			out = append(out, j)
 		}
@@ -119,57 +119,57 @@
 }
 
 // starving reports whether the job has waited for too long.
-func (c *Core) starving(j *job) bool { return c.waitedFor(j) > starvingAfter }
+func (c *Controller) starving(j *job) bool { return c.waitingTime(j) > starvingAfter }
 
 // overlooked reports whether none of the job's tasks was placed for some seconds: the
 // machine shards that arrays are to use are those with the most room, which may be of no use
 // to a job that is bound to a zone.
-func (c *Core) overlooked(j *job) bool { return c.waitedFor(j) > 5*units.Second }
+func (c *Controller) overlooked(j *job) bool { return c.waitingTime(j) > 5*units.Second }
 
-// roomOn is what the tasks bound to a machine leave of it.
-func (c *Core) roomOn(m *machine, t *cloud.Type) *resources {
+// freeCapacity is what the tasks bound to a machine leave of it.
+func (c *Controller) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	g := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
-		if j := c.live(task); j != nil {
-			g.fill(&j.spec, 1)
+		if j := c.unfinishedJobOf(task); j != nil {
+			g.reserve(&j.spec, 1)
 		}
 	}
 	return g
 }
 
 // hasRoomForAny reports whether one of the jobs could have a task on the machine now.
-func (c *Core) hasRoomForAny(m *machine, g *resources, jobs []*job) bool {
-	return slices.ContainsFunc(jobs, func(j *job) bool { return g.holds(&j.spec) && c.allowed(j, m) })
+func (c *Controller) hasRoomForAny(m *machine, g *resources, jobs []*job) bool {
+	return slices.ContainsFunc(jobs, func(j *job) bool { return g.hasRoomFor(&j.spec) && c.placementAllowed(j, m) })
 }
 
 // quotaRoom is how many more tasks of j its team's limit allows at once.
-func (c *Core) quotaRoom(j *job, using map[string]*usage) int {
+func (c *Controller) quotaRoom(j *job, using map[string]*usage) int {
 	t := c.team(j.spec.Team)
-	if t == nil || t.CPUsMax <= 0 {
+	if t == nil || t.QuotaCPUs <= 0 {
 		return j.spec.Tasks
 	}
 	used := 0.0
 	if u := using[j.spec.Team]; u != nil {
 		used = u.cpus
 	}
-	return max(0, int((t.CPUsMax-used)/j.spec.CPUs+1e-9))
+	return max(0, int((t.QuotaCPUs-used)/j.spec.CPUs+1e-9))
 }
 
-// passUnusedShards hands machine shards that are of no use here to the partition that lacks room.
-func (c *Core) passUnusedShards(b *batch) {
-	if !c.every("pass"+strconv.Itoa(b.o.n), 500*units.Millisecond) {
+// transferUnusedShards hands machine shards that are of no use here to the partition that lacks room.
+func (c *Controller) transferUnusedShards(b *plan) {
+	if !c.isDue("pass"+strconv.Itoa(b.leadership.partition), 500*units.Millisecond) {
 		return
 	}
-	short := c.shortfalls(false)
+	short := c.unmetDemands(false)
 	lack := map[int]float64{}
 	for _, s := range short {
-		lack[s.j.part] += float64(s.n) * s.j.spec.CPUs
+		lack[s.job.partition] += float64(s.tasks) * s.job.spec.CPUs
 	}
-	if lack[b.o.n] > 0 {
+	if lack[b.leadership.partition] > 0 {
 		return
 	}
 	to := -1
-	for _, n := range c.teamParts {
+	for _, n := range c.teamPartitions {
 		if lack[n] > 0 && (to < 0 || lack[n] > lack[to]) {
 			to = n
 		}
@@ -179,42 +179,42 @@
 	}
 	passed := 0
 	for _, gd := range b.shards {
-		if !gd.own || gd.changed || c.now-gd.g.movedAt < shardRestPeriod || !b.room(gd) || lack[to] <= 0 || passed >= maxShardsPassed || !c.unused(gd) {
+		if !gd.ownShard || gd.changed || c.now-gd.shard.movedAt < shardTransferPeriod || !b.fitsShard(gd) || lack[to] <= 0 || passed >= maxShardsTransferred || !c.shardUnused(gd) {
 			continue
 		}
 		passed++
-		gd.moveTo = to
-		b.touch(gd)
-		for _, d := range gd.drafts {
-			if t := c.machineType(d.m.doc.Type); t != nil {
+		gd.transferTo = to
+		b.writeShard(gd)
+		for _, d := range gd.machines {
+			if t := c.machineType(d.machine.doc.Type); t != nil {
 				lack[to] -= t.CPUs
 			}
 		}
-		c.log.Info("pass machine shard on", "shard", gd.g.n, "machines", len(gd.drafts), "from", b.o.n, "to", to)
+		c.log.Info("transferring machine shard", "shard", gd.shard.number, "machines", len(gd.machines), "from", b.leadership.partition, "to", to)
 	}
 }
 
-// shardRestPeriod is how long a machine shard stays where it was passed to. Two owners may each
+// shardTransferPeriod is how long a machine shard stays where it was passed to. Two owners may each
 // think that the other lacks room, since only the owner knows which jobs back off;
 // they once handed the same machine shards to and fro without end.
-const shardRestPeriod = 30 * units.Second
+const shardTransferPeriod = 30 * units.Second
 
-// maxShardsPassed is how many machine shards are passed on together: their machines take no
+// maxShardsTransferred is how many machine shards are passed on together: their machines take no
 // new work until their new commander has heard them.
-const maxShardsPassed = 2
+const maxShardsTransferred = 2
 
-// unused reports whether a machine shard has machines, and none of this partition's jobs
+// shardUnused reports whether a machine shard has machines, and none of this partition's jobs
 // has a task there. Others' tasks may: a commander is not their placer.
-func (c *Core) unused(gd *shardDraft) bool {
-	for _, d := range gd.drafts {
+func (c *Controller) shardUnused(gd *stagedShard) bool {
+	for _, d := range gd.machines {
 		if !d.usable || len(d.added) > 0 {
 			return false
 		}
-		for _, t := range d.keep {
-			if j := c.replica.jobs[t.Job]; j != nil && j.known && j.part == gd.g.part {
+		for _, t := range d.kept {
+			if j := c.replica.jobs[t.Job]; j != nil && j.accepted && j.partition == gd.shard.partition {
 				return false
 			}
 		}
 	}
-	return len(gd.drafts) > 0
+	return len(gd.machines) > 0
 }
--- a/internal/controller/waiting_test.go
+++ b/internal/controller/dependencies_test.go
@@ -12,38 +12,38 @@
 
 // chainStore is a store in which j-000002 needs j-000001, whose end is as given, and j-000003
 // needs j-000002.
-func chainStore(end schema.Final) (*Core, *outside) {
+func chainStore(end schema.Outcome) (*Controller, *fakeStore) {
 	cfg := &config.Config{Member: "a"}
 	s := &cfg.Settings
 	s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
-	s.State.StateLimits = config.StateLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
-	c := quietCore(cfg)
-	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
+	s.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+	c := quietController(cfg)
+	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 	layout := c.replica.layout
-	layout.Format = schema.FormatChains
-	o.put(schema.LayoutOf, layout)
-	o.put(schema.Finals+"j-000001", end)
-	second := schema.Job{ID: "j-000002", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-000001"}}
-	third := schema.Job{ID: "j-000003", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.IDs{"j-000002"}}
-	o.put(schema.JobShardKey(schema.JobShardOf(second.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{second}})
-	o.put(schema.JobShardKey(schema.JobShardOf(third.ID, layout.Shelves)), schema.JobShard{Jobs: []schema.Job{third}})
+	layout.Format = schema.FormatDependencies
+	o.put(schema.LayoutKey, layout)
+	o.put(schema.OutcomePrefix+"j-000001", end)
+	second := schema.Job{ID: "j-000002", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-000001"}}
+	third := schema.Job{ID: "j-000003", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-000002"}}
+	o.put(schema.JobShardKey(schema.JobShardIndex(second.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{second}})
+	o.put(schema.JobShardKey(schema.JobShardIndex(third.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{third}})
 	return c, o
 }
 
 // TestReadEnds has a controller that has just loaded read the ends of needed jobs by itself: a
 // copy does not have them, and a job that waits for one would wait for good.
 func TestReadEnds(t *testing.T) {
-	c, o := chainStore(schema.Final{Stage: Done, Done: 1, At: 77})
+	c, o := chainStore(schema.Outcome{State: StageDone, TasksDone: 1, RecordedAt: 77})
 	step := o.stepper(c)
 	for range 100 {
 		step()
 	}
 	j := c.replica.jobs["j-000002"]
-	if !j.chain.Ready() || j.since() != 77 || j.waiting() != 1 {
-		t.Errorf("ready %v, since %d", j.chain.Ready(), j.since())
+	if !j.dependency.Ready() || j.eligibleSince() != 77 || j.waiting() != 1 {
+		t.Errorf("ready %v, since %d", j.dependency.Ready(), j.eligibleSince())
 	}
-	if third := c.replica.jobs["j-000003"]; third.chain.Ready() || third.waiting() != 0 {
+	if third := c.replica.jobs["j-000003"]; third.dependency.Ready() || third.waiting() != 0 {
 		t.Error("j-000003 does not wait for j-000002")
 	}
 }
@@ -51,29 +51,29 @@
 // TestAnswerOnlyWhatIsKnown asks about a job before the end of one that it needs, through
 // another, has been read: it must not be called pending, since it is cancelled.
 func TestAnswerOnlyWhatIsKnown(t *testing.T) {
-	c, o := chainStore(schema.Final{Stage: Cancelled})
+	c, o := chainStore(schema.Outcome{State: StageCancelled})
 	now := units.Second
-	var msgs []Msg
+	var msgs []Message
 	asked := false
-	var slow []Msg // the answer about the end, which takes longer than others
+	var slow []Message // the answer about the end, which takes longer than others
 	for n := range 400 {
 		now += 5 * units.Millisecond
-		var next []Msg
+		var next []Message
 		if n == 100 {
 			next, slow = slow, nil
 		}
 		if c.replica.synced && !asked {
 			asked = true
-			msgs = append(msgs, UserReq{To: 7, Kind: Poll, ID: "j-000003"})
+			msgs = append(msgs, UserRequest{RequestID: 7, Kind: QueryJob, JobID: "j-000003"})
 		}
 		for _, e := range c.Step(now, now+units.Micros(1e15), msgs) {
-			if r, ok := e.(Reply); ok && r.To == 7 {
-				if st, ok := r.Body.(*Status); !ok || st.Stage != Cancelled || st.Because == "" {
+			if r, ok := e.(Reply); ok && r.RequestID == 7 {
+				if st, ok := r.Body.(*JobStatus); !ok || st.Stage != StageCancelled || st.CancelledBy == "" {
 					t.Errorf("answered %d, %+v", r.Status, r.Body)
 				}
 				return
 			}
-			if call, ok := e.(StateCall); ok && call.Req.Key == schema.Finals+"j-000001" {
+			if call, ok := e.(StoreCall); ok && call.Request.Key == schema.OutcomePrefix+"j-000001" {
 				slow = append(slow, o.answer(e)...)
 				continue
 			}
@@ -89,8 +89,8 @@
 // owner, whose copy does not have that end, tried to write it for ever, and since that failed
 // nothing that was in the same transaction was ever stored.
 func TestEndStoredBesideEntry(t *testing.T) {
-	c, o := chainStore(schema.Final{Stage: Cancelled, At: 77})
-	o.put(schema.Finals+"j-000002", schema.Final{Stage: Cancelled, At: 78, Because: "j-000001"})
+	c, o := chainStore(schema.Outcome{State: StageCancelled, RecordedAt: 77})
+	o.put(schema.OutcomePrefix+"j-000002", schema.Outcome{State: StageCancelled, RecordedAt: 78, CancelledBy: "j-000001"})
 	o.guarded = true
 	step := o.stepper(c)
 	for range 600 {
@@ -98,7 +98,7 @@
 	}
 	for key, item := range o.keys {
 		var shard schema.JobShard
-		if strings.HasPrefix(key, schema.JobShards) && c.decode(key, item.Value, &shard) && len(shard.Jobs) > 0 {
+		if strings.HasPrefix(key, schema.JobShardPrefix) && c.decode(key, item.Value, &shard) && len(shard.Jobs) > 0 {
 			t.Errorf("%s still has %s", key, shard.Jobs[0].ID)
 		}
 	}
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -8,8 +8,8 @@
 // updateClassAverages works out the average task time of each class of jobs, as the
 // mean over its jobs whose own average is known. A class keeps its last average while
 // none of its jobs is known.
-func (c *Core) updateClassAverages() {
-	if !c.every("class averages", classAveragePeriod) {
+func (c *Controller) updateClassAverages() {
+	if !c.isDue("class averages", classAveragePeriod) {
 		return
 	}
 	sum, known := map[string]units.Micros{}, map[string]units.Micros{}
@@ -20,19 +20,19 @@
 		}
 	}
 	for class, n := range known {
-		c.classAverage[class] = sum[class] / n
+		c.classAverages[class] = sum[class] / n
 	}
 }
 
 // borrowedAverage is the task time that a job is taken to have while none of its tasks
 // has completed: that of its class, or else its owner's estimate. The average over all
 // jobs would put a new job of short tasks behind those of long ones.
-func (c *Core) borrowedAverage(j *job) units.Micros {
-	if average := c.classAverage[j.spec.Class]; average > 0 {
+func (c *Controller) borrowedAverage(j *job) units.Micros {
+	if average := c.classAverages[j.spec.Class]; average > 0 {
 		return average
 	}
-	if j.spec.EstS > 0 {
-		return max(minAverage, units.FromSeconds(j.spec.EstS))
+	if j.spec.EstimatedSeconds > 0 {
+		return max(minTaskTime, units.FromSeconds(j.spec.EstimatedSeconds))
 	}
-	return firstGuess
+	return defaultTaskTime
 }
--- a/internal/controller/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -11,20 +11,20 @@
 // TestBorrowedAverage guards against an average over jobs of all kinds, under which new
 // jobs of short tasks waited behind jobs of long ones.
 func TestBorrowedAverage(t *testing.T) {
-	c := quietCore(&config.Config{Member: "a", Settings: config.Settings{Size: 1, Teams: []config.Team{{Name: "red"}}}})
+	c := quietController(&config.Config{Member: "a", Settings: config.Settings{Size: 1, Teams: []config.Team{{Name: "red"}}}})
 	c.now = units.Second
 	add := func(id, class string, estimateS float64, averageS float64) *job {
 		j := c.replica.job(id)
-		j.known, j.spec = true, schema.Job{ID: id, Class: class, EstS: estimateS}
+		j.accepted, j.spec = true, schema.Job{ID: id, Class: class, EstimatedSeconds: estimateS}
 		if averageS > 0 {
-			j.avg, j.avgOf = units.FromSeconds(averageS), 10
+			j.storedAverage, j.storedAverageCount = units.FromSeconds(averageS), 10
 		}
 		return j
 	}
 	add("j-1", "long", 0, 50)
 	add("j-2", "long", 0, 70)
 	short := add("j-3", "short", 0, 5)
-	c.replica.byAge = nil
+	c.replica.jobsByAge = nil
 	c.updateClassAverages()
 	for _, tc := range []struct {
 		j    *job
@@ -33,14 +33,14 @@
 		{add("j-4", "long", 9, 0), 60 * units.Second},
 		{add("j-5", "short", 9, 0), 5 * units.Second},
 		{add("j-6", "unseen", 9, 0), 9 * units.Second},
-		{add("j-7", "unseen", 0, 0), firstGuess},
+		{add("j-7", "unseen", 0, 0), defaultTaskTime},
 	} {
 		if got := c.borrowedAverage(tc.j); got != tc.want {
 			t.Errorf("%s of class %s: %v, want %v", tc.j.id, tc.j.spec.Class, got, tc.want)
 		}
 	}
-	short.known = false
-	c.replica.byAge = nil
+	short.accepted = false
+	c.replica.jobsByAge = nil
 	c.now += 2 * classAveragePeriod
 	c.updateClassAverages()
 	if got := c.borrowedAverage(c.replica.job("j-5")); got != 5*units.Second {
--- a/internal/controller/format_test.go
+++ b/internal/controller/featuregate_test.go
@@ -11,7 +11,7 @@
 // TestRegistrations raises the format only when every configured member is registered with it
 // and no process with an earlier one is.
 func TestRegistrations(t *testing.T) {
-	const now, before = schema.FormatChains, schema.FormatBefore
+	const now, before = schema.FormatDependencies, schema.FormatInitial
 	for name, tc := range map[string]struct {
 		formats map[string]int // by member and incarnation
 		want    bool
@@ -23,20 +23,20 @@
 		"one is registered twice":       {map[string]int{"a/1": now, "a/2": now, "b/1": now}, false},
 		"a stranger is old":             {map[string]int{"a/1": now, "b/1": now, "c/1": now, "d/1": before}, false},
 	} {
-		cfg := &config.Config{Member: "a", Others: []config.Peer{{Member: "b"}, {Member: "c"}}}
-		cfg.Settings.Size, cfg.Settings.State.ValueKB, cfg.Settings.State.TxnOps = 3, 4, 12
-		c := quietCore(cfg)
+		cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}, {Member: "c"}}}
+		cfg.Settings.Size, cfg.Settings.KVStore.ValueKB, cfg.Settings.KVStore.TxnOps = 3, 4, 12
+		c := quietController(cfg)
 		stamp := uint64(10)
 		for key, format := range tc.formats {
 			stamp++
-			c.apply(schema.Nodes+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
+			c.apply(schema.RegistrationPrefix+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
 		}
-		guards, ok := c.registrations()
+		guards, ok := c.memberRegistrations()
 		if ok != tc.want || ok && len(guards) != len(tc.formats) {
 			t.Errorf("%s: %v, %v", name, ok, guards)
 		}
 		for _, g := range guards {
-			if g.Stamp == 0 {
+			if g.ModRevision == 0 {
 				t.Errorf("%s: %s is guarded as absent", name, g.Key)
 			}
 		}
@@ -48,13 +48,13 @@
 func TestMoved(t *testing.T) {
 	for _, parentFirst := range []bool{true, false} {
 		cfg := &config.Config{Member: "a"}
-		cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 100
-		c := quietCore(cfg)
+		cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+		c := quietController(cfg)
 		of := len(c.replica.machineShards)
 		whole := schema.MachineShard{}
 		shelf := schema.JobShard{}
 		for i := range 6 {
-			whole.Machines = append(whole.Machines, schema.Machine{Name: fmt.Sprintf("n-%06d", 3+i*of), Addr: "x", Tasks: schema.Tasks{{Job: "j-000001", Num: i, Attempt: 7}}})
+			whole.Machines = append(whole.Machines, schema.Machine{Name: fmt.Sprintf("n-%06d", 3+i*of), Addr: "x", Tasks: schema.Tasks{{Job: "j-000001", Index: i, Attempt: 7}}})
 			shelf.Jobs = append(shelf.Jobs, schema.Job{ID: fmt.Sprintf("j-%06d", 5+i*len(c.replica.jobShards)), Tasks: 1})
 		}
 		c.apply(schema.MachineShardKey(3), encode(whole), 10, false)
@@ -63,13 +63,13 @@
 		for name, m := range c.replica.machines {
 			known[name] = m
 		}
-		var docs []piece
-		gd := &shardDraft{c: c, g: c.replica.machineShards[3], moveTo: -1}
-		for _, m := range c.replica.machineShards[3].members {
-			gd.drafts = append(gd.drafts, &draft{m: m, gd: gd, keep: m.doc.Tasks})
+		var docs []splitDocument
+		gd := &stagedShard{c: c, shard: c.replica.machineShards[3], transferTo: -1}
+		for _, m := range c.replica.machineShards[3].machines {
+			gd.machines = append(gd.machines, &stagedMachine{machine: m, shard: gd, kept: m.doc.Tasks})
 		}
-		docs = append(docs, gd.cut(3)...)
-		docs = append(docs, c.cutJobShard(c.replica.jobShards[5], 2, "mark")...)
+		docs = append(docs, gd.split(3)...)
+		docs = append(docs, c.splitJobShard(c.replica.jobShards[5], 2, "mark")...)
 		for i := range docs {
 			d := docs[i]
 			if !parentFirst {
@@ -77,23 +77,23 @@
 			}
 			c.apply(d.key, d.value, 20, false)
 		}
-		if len(c.replica.machines) != 6 || len(c.replica.jobs["j-000001"].bound) != 6 {
-			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bound))
+		if len(c.replica.machines) != 6 || len(c.replica.jobs["j-000001"].bindings) != 6 {
+			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bindings))
 		}
 		for name, m := range c.replica.machines {
-			if m != known[name] || c.replica.machineShardOf(name) != m.g || m.g.spread != 3*of {
-				t.Errorf("%s is in group %d of %d, or made anew", name, m.g.n, m.g.spread)
+			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.spread != 3*of {
+				t.Errorf("%s is in group %d of %d, or made anew", name, m.shard.number, m.shard.spread)
 			}
 		}
 		total := 0
 		for _, g := range c.replica.machineShards {
-			total += len(g.members)
+			total += len(g.machines)
 		}
 		if total != 6 {
 			t.Errorf("groups have %d members", total)
 		}
 		for _, j := range shelf.Jobs {
-			if got := c.replica.jobs[j.ID]; got == nil || !got.known {
+			if got := c.replica.jobs[j.ID]; got == nil || !got.accepted {
 				t.Errorf("%s is lost", j.ID)
 			}
 		}
@@ -108,8 +108,8 @@
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			cfg := &config.Config{Member: "a"}
-			cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 100
-			c := quietCore(cfg)
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+			c := quietController(cfg)
 			of := len(c.replica.jobShards)
 			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
 			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
@@ -119,15 +119,15 @@
 				doc   schema.JobShard
 				stamp uint64
 			}{
-				{schema.JobShardKey(5), schema.JobShard{Spread: 2 * of, Jobs: []schema.Job{stays}}, 20},
-				{schema.JobShardKey(5 + of), schema.JobShard{Spread: 4 * of, Jobs: []schema.Job{moves}}, 30},
-				{schema.JobShardKey(5 + 3*of), schema.JobShard{Spread: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
+				{schema.JobShardKey(5), schema.JobShard{ShardCount: 2 * of, Jobs: []schema.Job{stays}}, 20},
+				{schema.JobShardKey(5 + of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{moves}}, 30},
+				{schema.JobShardKey(5 + 3*of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
 			}
 			for _, i := range order {
 				c.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
 			}
 			for _, want := range []schema.Job{stays, moves, movesTwice} {
-				if j := c.replica.jobs[want.ID]; j == nil || !j.known || j.chain == nil {
+				if j := c.replica.jobs[want.ID]; j == nil || !j.accepted || j.dependency == nil {
 					t.Errorf("%s is lost", want.ID)
 				}
 			}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -19,13 +19,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// outside answers what a core asks, at once and without a fault, and counts it.
-type outside struct {
-	keys    map[string]kv.Item
+// fakeStore answers what a core asks, at once and without a fault, and counts it.
+type fakeStore struct {
+	keys    map[string]kv.KeyValue
 	rev     uint64
-	waits   []StateCall // open watches
+	waits   []StoreCall // open watches
 	seq     uint64
-	asked   map[kv.Kind]int
+	asked   map[kv.RequestKind]int
 	workers int
 
 	guarded bool // conditions of transactions are checked
@@ -36,14 +36,14 @@
 }
 
 // tooLarge notes a transaction that the state service would not take.
-func (o *outside) tooLarge(txn *kv.Txn) {
+func (o *fakeStore) tooLarge(txn *kv.Txn) {
 	if o.mostOps == 0 {
 		return
 	}
-	if len(txn.Apply) > o.mostOps || len(txn.Guards) > 4*o.mostOps {
-		o.refused = append(o.refused, fmt.Sprintf("%d changes, %d conditions", len(txn.Apply), len(txn.Guards)))
+	if len(txn.Operations) > o.mostOps || len(txn.Conditions) > 4*o.mostOps {
+		o.refused = append(o.refused, fmt.Sprintf("%d changes, %d conditions", len(txn.Operations), len(txn.Conditions)))
 	}
-	for _, op := range txn.Apply {
+	for _, op := range txn.Operations {
 		if len(op.Value) > o.most {
 			o.refused = append(o.refused, fmt.Sprintf("%s: %d bytes", op.Set, len(op.Value)))
 		}
@@ -51,29 +51,29 @@
 }
 
 // failedGuards lists the conditions of a transaction that do not hold.
-func (o *outside) failedGuards(txn *kv.Txn) []string {
+func (o *fakeStore) failedGuards(txn *kv.Txn) []string {
 	var failed []string
-	for _, g := range txn.Guards {
-		if o.guarded && o.keys[g.Key].Stamp != g.Stamp {
+	for _, g := range txn.Conditions {
+		if o.guarded && o.keys[g.Key].ModRevision != g.ModRevision {
 			failed = append(failed, g.Key)
 		}
 	}
 	return failed
 }
 
-// quietCore is a controller with the default policy that logs nothing.
-func quietCore(cfg *config.Config) *Core {
+// quietController is a controller with the default policy that logs nothing.
+func quietController(cfg *config.Config) *Controller {
 	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
 }
 
 // stepper drives a controller whose effects are answered from outside: each call is one
 // step, 25 ms after the one before.
-func (o *outside) stepper(c *Core) func() {
+func (o *fakeStore) stepper(c *Controller) func() {
 	now := units.Second
-	var msgs []Msg
+	var msgs []Message
 	return func() {
 		now += 25 * units.Millisecond
-		var next []Msg
+		var next []Message
 		for _, e := range c.Step(now, now+units.Micros(1e15), msgs) {
 			next = append(next, o.answer(e)...)
 		}
@@ -84,16 +84,16 @@
 // pageBytes is how much one answer of the state service may hold.
 const pageBytes = 512 << 10
 
-func (o *outside) put(key string, doc any) {
+func (o *fakeStore) put(key string, doc any) {
 	o.rev++
-	o.keys[key] = kv.Item{Key: key, Value: encode(doc), Stamp: o.rev}
+	o.keys[key] = kv.KeyValue{Key: key, Value: encode(doc), ModRevision: o.rev}
 }
 
-func (o *outside) list(q kv.Request) kv.Response {
-	r := kv.Response{Status: 200, Rev: o.rev}
+func (o *fakeStore) list(q kv.Request) kv.Response {
+	r := kv.Response{Status: 200, Revision: o.rev}
 	var names []string
 	for k := range o.keys {
-		if strings.HasPrefix(k, q.Key) && k > q.Since {
+		if strings.HasPrefix(k, q.Key) && k > q.After {
 			names = append(names, k)
 		}
 	}
@@ -111,65 +111,65 @@
 }
 
 // answer gives the messages that an effect brings back.
-func (o *outside) answer(e Effect) []Msg {
+func (o *fakeStore) answer(e Effect) []Message {
 	switch e := e.(type) {
-	case StateCall:
-		o.asked[e.Req.Kind]++
-		r := kv.Response{Status: 200, Rev: o.rev}
-		switch e.Req.Kind {
+	case StoreCall:
+		o.asked[e.Request.Kind]++
+		r := kv.Response{Status: 200, Revision: o.rev}
+		switch e.Request.Kind {
 		case kv.Get:
-			it, ok := o.keys[e.Req.Key]
-			r.Status, r.Key, r.Value, r.Stamp = 200, it.Key, it.Value, it.Stamp
+			it, ok := o.keys[e.Request.Key]
+			r.Status, r.Key, r.Value, r.ModRevision = 200, it.Key, it.Value, it.ModRevision
 			if !ok {
 				r.Status = 404
 			}
 		case kv.List:
-			r = o.list(e.Req)
-		case kv.Grant:
-			r.Permit = 1
+			r = o.list(e.Request)
+		case kv.GrantLease:
+			r.LeaseID = 1
 		case kv.Watch:
-			if e.Req.Rev >= o.rev {
+			if e.Request.Revision >= o.rev {
 				o.waits = append(o.waits, e)
 				return nil
 			}
-		case kv.Commit:
-			o.tooLarge(e.Req.Txn)
-			if failed := o.failedGuards(e.Req.Txn); len(failed) > 0 {
-				return []Msg{StateDone{ID: e.ID, Resp: kv.Response{Status: 409, Rev: o.rev, Failed: failed}}}
+		case kv.Transact:
+			o.tooLarge(e.Request.Txn)
+			if failed := o.failedGuards(e.Request.Txn); len(failed) > 0 {
+				return []Message{StoreResult{CallID: e.CallID, Response: kv.Response{Status: 409, Revision: o.rev, FailedKeys: failed}}}
 			}
-			o.changes += len(e.Req.Txn.Apply)
+			o.changes += len(e.Request.Txn.Operations)
 			o.rev++
-			r.Rev = o.rev
-			for _, op := range e.Req.Txn.Apply {
+			r.Revision = o.rev
+			for _, op := range e.Request.Txn.Operations {
 				if op.Set != "" {
-					o.keys[op.Set] = kv.Item{Key: op.Set, Value: op.Value, Stamp: o.rev}
+					o.keys[op.Set] = kv.KeyValue{Key: op.Set, Value: op.Value, ModRevision: o.rev}
 				} else {
 					delete(o.keys, op.Delete)
 				}
 			}
-			out := []Msg{StateDone{ID: e.ID, Resp: r}}
+			out := []Message{StoreResult{CallID: e.CallID, Response: r}}
 			for _, w := range o.waits { // the core has applied its own commit already
-				out = append(out, StateDone{ID: w.ID, Resp: kv.Response{Status: 200, Rev: o.rev}})
+				out = append(out, StoreResult{CallID: w.CallID, Response: kv.Response{Status: 200, Revision: o.rev}})
 			}
 			o.waits = nil
 			return out
 		}
-		return []Msg{StateDone{ID: e.ID, Resp: r}}
+		return []Message{StoreResult{CallID: e.CallID, Response: r}}
 	case CloudCall:
-		d := CloudDone{ID: e.ID, Status: 503}
+		d := CloudResult{CallID: e.CallID, Status: 503}
 		if e.Op == CloudCatalog {
 			d.Status = 200
-			d.Catalog.Types = []cloud.Type{{Name: "big", CPUs: 32, MemGB: 256, FetchGBs: 1, Price: 1, BootS: 30, Zones: []string{"a"}}}
+			d.Catalog.Types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, FetchGBPerSecond: 1, HourlyPrice: 1, BootSeconds: 30, Zones: []string{"a"}}}
 		}
-		return []Msg{d}
-	case WorkerCall:
+		return []Message{d}
+	case AgentCall:
 		o.workers++
 		o.seq++
-		r := &agent.Report{Machine: e.Addr, Addr: e.Addr, Type: "big", Zone: "a", Session: 1, Seq: o.seq}
-		if e.Cmd != nil {
-			r.Token = e.Cmd.Token
+		r := &agent.Heartbeat{Machine: e.Address, Addr: e.Address, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq}
+		if e.Commands != nil {
+			r.FencingToken = e.Commands.FencingToken
 		}
-		return []Msg{WorkerDone{ID: e.ID, Status: 200, Report: r}}
+		return []Message{AgentResult{CallID: e.CallID, Status: 200, Heartbeat: r}}
 	}
 	return nil
 }
@@ -191,29 +191,29 @@
 			cfg := &config.Config{Member: "a"}
 			s := &cfg.Settings
 			s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
-			s.State.ValueKB, s.State.TxnOps, s.State.RPS, s.State.WriteRPS = tc.valueKB, tc.ops, 350, 35
-			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+			s.KVStore.ValueKB, s.KVStore.TxnOps, s.KVStore.RPS, s.KVStore.WriteRPS = tc.valueKB, tc.ops, 350, 35
+			s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 			s.Cloud.RPS, s.Cloud.ListLagS = 10, 8
-			c := quietCore(cfg)
-			o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
+			c := quietController(cfg)
+			o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 			fill(o, c, tc.machines, tc.tasks, tc.jobs, 400)
 
 			bytes := 0
 			for k, it := range o.keys {
 				bytes += len(it.Value)
-				if len(it.Value) > c.valueMax()*9/10 {
-					t.Errorf("%s: %d bytes of %d", k, len(it.Value), c.valueMax())
+				if len(it.Value) > c.maxValueBytes()*9/10 {
+					t.Errorf("%s: %d bytes of %d", k, len(it.Value), c.maxValueBytes())
 				}
 			}
 			step := o.stepper(c)
 			for range 400 { // until it owns the partition
 				step()
-				if c.usable(0) {
+				if c.leads(0) {
 					break
 				}
 			}
-			if !c.usable(0) || len(c.replica.machines) != tc.machines {
-				t.Fatalf("owns %v, knows %d machines", c.ownedParts(), len(c.replica.machines))
+			if !c.leads(0) || len(c.replica.machines) != tc.machines {
+				t.Fatalf("owns %v, knows %d machines", c.ledPartitions(), len(c.replica.machines))
 			}
 			if most := bytes/pageBytes + 1; o.asked[kv.List] > most {
 				t.Errorf("%d pages of %d KB", o.asked[kv.List], bytes>>10)
@@ -233,7 +233,7 @@
 			}
 			kept := func() (n int) {
 				for _, m := range c.replica.machines {
-					if m.views[1].until > c.now {
+					if m.occupancies[1].validUntil > c.now {
 						n++
 					}
 				}
@@ -245,7 +245,7 @@
 			}
 			m := c.sortedMachines()[7]
 			o.seq++
-			c.handle(ReportReq{Report: agent.Report{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Session: 1, Seq: o.seq, Token: c.token(m)}})
+			c.handle(HeartbeatRequest{Heartbeat: agent.Heartbeat{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq, FencingToken: c.fencingToken(m)}})
 			if after := kept(); after < before-1 {
 				t.Errorf("one report dropped the views of %d machines", before-after)
 			}
@@ -270,27 +270,27 @@
 	cfg := &config.Config{Member: "a"}
 	s := &cfg.Settings
 	s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
-	s.State.StateLimits = config.StateLimits{RPS: 3500, WriteRPS: 400, ValueKB: 16, TxnOps: 32}
+	s.KVStore.KVLimits = config.KVLimits{RPS: 3500, WriteRPS: 400, ValueKB: 16, TxnOps: 32}
 	valueKB, ops := 2.0, 4
-	s.State.Next = &config.NextLimits{ValueKB: &valueKB, TxnOps: &ops}
-	s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+	s.KVStore.Next = &config.KVLimitsOverride{ValueKB: &valueKB, TxnOps: &ops}
+	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 8
-	c := quietCore(cfg)
-	o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
-	layout := schema.Layout{Groups: 48, Shelves: 24}
-	o.put(schema.LayoutOf, layout)
-	c.replica.layOut(layout)
+	c := quietController(cfg)
+	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+	layout := schema.Layout{MachineShards: 48, JobShards: 24}
+	o.put(schema.LayoutKey, layout)
+	c.replica.applyLayout(layout)
 	fill(o, c, machines, 8, jobs, 1) // no task waits
-	pack := schema.Pack{Jobs: map[string]schema.Done{}}
+	pack := schema.ProgressSegment{Jobs: map[string]schema.JobProgress{}}
 	for j := range 40 {
-		pack.Jobs[fmt.Sprintf("j-%06d", j*577)] = schema.Done{Ranges: longRanges, AvgS: 7, Of: 40}
+		pack.Jobs[fmt.Sprintf("j-%06d", j*577)] = schema.JobProgress{DoneRanges: longRanges, AverageSeconds: 7, Samples: 40}
 	}
 	o.put(schema.ProgressKey(0, 0), pack)
-	o.most, o.mostOps = int(s.State.ValueKB*1024), s.State.TxnOps
+	o.most, o.mostOps = int(s.KVStore.ValueKB*1024), s.KVStore.TxnOps
 	step := o.stepper(c)
 	long := func() (n int) {
 		for key, it := range o.keys {
-			if strings.HasPrefix(key, schema.Active) && len(it.Value) > int(valueKB*1024) {
+			if strings.HasPrefix(key, schema.ActivePrefix) && len(it.Value) > int(valueKB*1024) {
 				n++
 			}
 		}
@@ -317,20 +317,20 @@
 		t.Errorf("%d changes", o.changes)
 	}
 	for id := range pack.Jobs {
-		if j := c.replica.jobs[id]; j == nil || j.done.String() != longRanges || j.pack == nil || j.avgOf != 40 {
+		if j := c.replica.jobs[id]; j == nil || j.done.String() != longRanges || j.progressSegment == nil || j.storedAverageCount != 40 {
 			t.Fatalf("the progress of %s is lost", id)
 		}
 	}
 	for _, m := range c.replica.machines {
-		if c.replica.machineShardOf(m.name) != m.g || !slices.Contains(m.g.members, m) {
-			t.Fatalf("%s is in group %d", m.name, m.g.n)
+		if c.replica.machineShardOf(m.name) != m.shard || !slices.Contains(m.shard.machines, m) {
+			t.Fatalf("%s is in group %d", m.name, m.shard.number)
 		}
 	}
 }
 
 // fill stores a fleet in use: tasks spread as they are after a while, neighbours
 // seldom together.
-func fill(o *outside, c *Core, machines, tasks, jobs, tasksOfJob int) {
+func fill(o *fakeStore, c *Controller, machines, tasks, jobs, tasksOfJob int) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	groups := make([]schema.MachineShard, len(c.replica.machineShards))
 	for i := range machines {
@@ -338,10 +338,10 @@
 		m := schema.Machine{Name: name, Addr: name, MachineKind: schema.MachineKind{Type: "big", Zone: "a", Spot: i%4 == 0}}
 		for range tasks {
 			j := rng.IntN(jobs)
-			m.Tasks = append(m.Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", j*577), Num: rng.IntN(400), Attempt: 3<<28 | uint64(rng.IntN(9000))})
+			m.Tasks = append(m.Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", j*577), Index: rng.IntN(400), Attempt: 3<<28 | uint64(rng.IntN(9000))})
 		}
 		g := c.replica.machineShardOf(name)
-		groups[g.n].Machines = append(groups[g.n].Machines, m)
+		groups[g.number].Machines = append(groups[g.number].Machines, m)
 	}
 	for n, g := range groups {
 		o.put(schema.MachineShardKey(n), g)
@@ -349,9 +349,9 @@
 	shelves := make([]schema.JobShard, len(c.replica.jobShards))
 	for j := range jobs {
 		id := fmt.Sprintf("j-%06d", j*577)
-		n := schema.JobShardOf(id, len(shelves))
+		n := schema.JobShardIndex(id, len(shelves))
 		shelves[n].Jobs = append(shelves[n].Jobs, schema.Job{ID: id, Class: "some-class", Team: "red", Tasks: tasksOfJob, CPUs: 2, MemGB: 7.4, Spot: true,
-			Image: fmt.Sprintf("img-%02d", rng.IntN(18)), ImageGB: float64(rng.IntN(300)) / 100, EstS: float64(rng.IntN(90000)) / 1000, At: 1e15 + rng.Int64N(5e8)})
+			Image: fmt.Sprintf("img-%02d", rng.IntN(18)), ImageGB: float64(rng.IntN(300)) / 100, EstimatedSeconds: float64(rng.IntN(90000)) / 1000, AcceptedAt: 1e15 + rng.Int64N(5e8)})
 	}
 	for n, s := range shelves {
 		o.put(schema.JobShardKey(n), s)
@@ -365,14 +365,14 @@
 	for i := range 21 {
 		m = append(m, schema.Machine{Name: fmt.Sprintf("n-%06d", i), Addr: "10.1.2.3:9000"})
 		for k := range 10 {
-			m[i].Tasks = append(m[i].Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", i*k*31), Num: k * 7, Attempt: 3<<28 | uint64(i*k)})
+			m[i].Tasks = append(m[i].Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", i*k*31), Index: k * 7, Attempt: 3<<28 | uint64(i*k)})
 		}
 	}
 	raw, err := json.Marshal(schema.MachineShard{Machines: m})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if plain := schema.Plain(raw); len(plain) < 4096 || len(raw) > 3600 {
+	if plain := schema.PlainJSON(raw); len(plain) < 4096 || len(raw) > 3600 {
 		t.Errorf("%d bytes, plain %d", len(raw), len(plain))
 	}
 }
--- a/internal/controller/layout_test.go
+++ b/internal/controller/layout_test.go
@@ -13,8 +13,8 @@
 // documents, and start their tasks once more.
 func TestLayout(t *testing.T) {
 	const valueKB = 8
-	limited, open := []config.Team{{Name: "red", CPUsMax: 1000}}, []config.Team{{Name: "red"}}
-	narrow, wide := schema.LayoutFor(valueKB, 1000), schema.LayoutFor(valueKB, 0)
+	limited, open := []config.Team{{Name: "red", QuotaCPUs: 1000}}, []config.Team{{Name: "red"}}
+	narrow, wide := schema.NewLayout(valueKB, 1000), schema.NewLayout(valueKB, 0)
 	if narrow == wide {
 		t.Fatal("the limit makes no difference")
 	}
@@ -34,16 +34,16 @@
 			cfg := &config.Config{Member: "a"}
 			s := &cfg.Settings
 			s.Size, s.Teams = 1, tc.teams
-			s.State.ValueKB, s.State.TxnOps, s.State.RPS, s.State.WriteRPS = valueKB, 12, 350, 35
-			s.Workers.ReportS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
-			o := &outside{keys: map[string]kv.Item{}, asked: map[kv.Kind]int{}}
+			s.KVStore.ValueKB, s.KVStore.TxnOps, s.KVStore.RPS, s.KVStore.WriteRPS = valueKB, 12, 350, 35
+			s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+			o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 			if tc.stored != nil {
-				o.put(schema.LayoutOf, tc.stored)
+				o.put(schema.LayoutKey, tc.stored)
 			}
 			if tc.groups {
-				o.put(schema.MachineShardKey(wide.Groups-1), schema.MachineShard{Machines: []schema.Machine{{Name: "n-000047", Addr: "x"}}})
+				o.put(schema.MachineShardKey(wide.MachineShards-1), schema.MachineShard{Machines: []schema.Machine{{Name: "n-000047", Addr: "x"}}})
 			}
-			c := quietCore(cfg)
+			c := quietController(cfg)
 			step := o.stepper(c)
 			for range 100 {
 				step()
@@ -51,13 +51,13 @@
 			if !c.replica.synced {
 				t.Fatal("not loaded")
 			}
-			if got := (schema.Layout{Groups: len(c.replica.machineShards), Shelves: len(c.replica.jobShards)}); got != tc.want {
+			if got := (schema.Layout{MachineShards: len(c.replica.machineShards), JobShards: len(c.replica.jobShards)}); got != tc.want {
 				t.Errorf("%+v, want %+v", got, tc.want)
 			}
 			if tc.groups && c.replica.machines["n-000047"] == nil {
 				t.Error("the machine is not found")
 			}
-			if _, ok := o.keys[schema.LayoutOf]; !ok {
+			if _, ok := o.keys[schema.LayoutKey]; !ok {
 				t.Error("the layout is not stored")
 			}
 		})
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -12,78 +12,78 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// Msg is something that happened outside.
-type Msg any
+// Message is something that happened outside.
+type Message any
 
-// UserKind tells what a user asks.
-type UserKind int
+// UserRequestKind tells what a user asks.
+type UserRequestKind int
 
 // What users ask.
 const (
-	Submit UserKind = iota
-	Poll
-	Abort
+	SubmitJob UserRequestKind = iota
+	QueryJob
+	CancelJob
 )
 
-// UserReq is a user's request. To names the request in the Reply.
-type UserReq struct {
-	To   uint64
-	Kind UserKind
-	ID   string      // empty when a submission is too broken to have one
-	Job  *schema.Job // nil when the submission is malformed
-	Why  error       // what is malformed
+// UserRequest is a user's request. To names the request in the Reply.
+type UserRequest struct {
+	RequestID uint64
+	Kind      UserRequestKind
+	JobID     string      // empty when a submission is too broken to have one
+	Job       *schema.Job // nil when the submission is malformed
+	Malformed error       // what is malformed
 }
 
-// ReadyReq is a health probe.
-type ReadyReq struct{ To uint64 }
+// ReadyRequest is a health probe.
+type ReadyRequest struct{ RequestID uint64 }
 
-// ReportReq is a worker's report.
-type ReportReq struct {
-	To     uint64
-	Report agent.Report
+// HeartbeatRequest is a worker's report.
+type HeartbeatRequest struct {
+	RequestID uint64
+	Heartbeat agent.Heartbeat
 }
 
-// StateDone answers a StateCall.
-type StateDone struct {
-	ID   uint64
-	Resp kv.Response
+// StoreResult answers a StateCall.
+type StoreResult struct {
+	CallID   uint64
+	Response kv.Response
 }
 
-// CloudDone answers a CloudCall. Status 0 means that there was no answer.
-type CloudDone struct {
-	ID      uint64
-	Status  int
-	Catalog cloud.Catalog
-	Names   cloud.Names
-	Page    cloud.Page
+// CloudResult answers a CloudCall. Status 0 means that there was no answer.
+type CloudResult struct {
+	CallID   uint64
+	Status   int
+	Catalog  cloud.Catalog
+	Machines cloud.MachineNames
+	Page     cloud.MachinePage
 }
 
-// WorkerDone answers a WorkerCall. Status 0 means that there was no answer, and
+// AgentResult answers a WorkerCall. Status 0 means that there was no answer, and
 // that the command may yet be carried out.
-type WorkerDone struct {
-	ID     uint64
-	Status int
-	Report *agent.Report
+type AgentResult struct {
+	CallID    uint64
+	Status    int
+	Heartbeat *agent.Heartbeat
 }
 
 // PeerHeartbeat is another controller's heartbeat.
-type PeerHeartbeat struct{ Beat peer.Heartbeat }
+type PeerHeartbeat struct{ Heartbeat peer.Heartbeat }
 
 // Effect is something to do outside.
 type Effect any
 
 // Reply answers a request.
 type Reply struct {
-	To          uint64
-	Status      int
-	Body        any // encoded as JSON; nil: no body
-	RetryAfterS int
+	RequestID         uint64
+	Status            int
+	Body              any // encoded as JSON; nil: no body
+	RetryAfterSeconds int
 }
 
-// StateCall calls the state service.
-type StateCall struct {
-	ID  uint64
-	Req kv.Request
+// StoreCall calls the state service.
+type StoreCall struct {
+	CallID  uint64
+	Request kv.Request
 }
 
 // CloudOp names a call of the cloud.
@@ -92,26 +92,26 @@
 // Calls of the cloud.
 const (
 	CloudCatalog CloudOp = iota
-	CloudHire
+	CloudRent
 	CloudDelete
 	CloudList
 )
 
 // CloudCall calls the cloud.
 type CloudCall struct {
-	ID    uint64
-	Op    CloudOp
-	Hire  cloud.Hire
-	Names cloud.Names
-	Since string
+	CallID   uint64
+	Op       CloudOp
+	Rental   cloud.RentalRequest
+	Machines cloud.MachineNames
+	After    string
 }
 
-// WorkerCall sends a direct command, or asks for a report when Cmd is nil.
-type WorkerCall struct {
-	ID   uint64
-	Addr string
-	Cmd  *agent.Command
+// AgentCall sends a direct command, or asks for a report when Cmd is nil.
+type AgentCall struct {
+	CallID   uint64
+	Address  string
+	Commands *agent.CommandRequest
 }
 
-// SendHeartbeat goes to every other controller.
-type SendHeartbeat struct{ Beat peer.Heartbeat }
+// BroadcastHeartbeat goes to every other controller.
+type BroadcastHeartbeat struct{ Heartbeat peer.Heartbeat }
--- a/internal/controller/placing.go
+++ b/internal/controller/placement.go
@@ -7,11 +7,11 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// allowed checks type, kind and zone, given where the job's other tasks may
+// placementAllowed checks type, kind and zone, given where the job's other tasks may
 // be; those in doubt count as well.
-func (c *Core) allowed(j *job, m *machine) bool {
+func (c *Controller) placementAllowed(j *job, m *machine) bool {
 	s := &j.spec
-	if !api.TypeAllowed(s, m.doc.Type) || m.doc.Spot && !s.Spot || s.Zone != "" && s.Zone != m.doc.Zone {
+	if !api.AllowsType(s, m.doc.Type) || m.doc.Spot && !s.Spot || s.Zone != "" && s.Zone != m.doc.Zone {
 		return false
 	}
 	return !s.OneZone && !s.Spread || zoneAllowed(j, m.doc.Zone)
@@ -20,11 +20,11 @@
 // zoneAllowed reports whether one more task of j may be in the zone.
 func zoneAllowed(j *job, zone string) bool {
 	same := 0
-	for n, o := range j.bound {
-		if j.stored(n) {
+	for n, o := range j.bindings {
+		if j.completionStored(n) {
 			continue
 		}
-		if o.m.doc.Zone == zone {
+		if o.machine.doc.Zone == zone {
 			same++
 		} else if j.spec.OneZone {
 			return false
@@ -33,20 +33,20 @@
 	return !j.spec.Spread || same+1 <= (j.spec.Tasks+1)/2
 }
 
-func (d *draft) fits(j *job) bool {
-	return d.holds(&j.spec) && d.gd.bytes >= taskBytes
+func (d *stagedMachine) fits(j *job) bool {
+	return d.hasRoomFor(&j.spec) && d.shard.bytesLeft >= taskEntryBytes
 }
 
-// choose finds the best machine for a task of j, or none.
-func (b *batch) choose(j *job) *draft {
-	var best *draft
+// chooseMachine finds the best machine for a task of j, or none.
+func (b *plan) chooseMachine(j *job) *stagedMachine {
+	var best *stagedMachine
 	bestScore := math.Inf(-1)
 	starving, passed := b.c.starving(j), b.c.overlooked(j)
-	for _, d := range b.drafts {
-		if !d.fits(j) || !b.room(d.gd) || !b.c.allowed(j, d.m) {
+	for _, d := range b.machines {
+		if !d.fits(j) || !b.fitsShard(d.shard) || !b.c.placementAllowed(j, d.machine) {
 			continue
 		}
-		if !j.spec.Service && !starving && b.keptFrom(j, d, passed) {
+		if !j.spec.Service && !starving && b.withheldFrom(j, d, passed) {
 			continue
 		}
 		if score := b.score(j, d); score > bestScore {
@@ -56,14 +56,14 @@
 	return best
 }
 
-// keptFrom reports whether the room on a machine is not for this array now: its machine shard is
+// withheldFrom reports whether the room on a machine is not for this array now: its machine shard is
 // not among those of this batch, the jobs of its own partition wait for the room, or the
 // machine is kept free for another job.
-func (b *batch) keptFrom(j *job, d *draft, passed bool) bool {
-	if b.picked && !passed && !d.gd.picked && !d.gd.changed || b.claimedByOwner(d.gd) {
+func (b *plan) withheldFrom(j *job, d *stagedMachine, passed bool) bool {
+	if b.shardsPicked && !passed && !d.shard.picked && !d.shard.changed || b.reservedForLeader(d.shard) {
 		return true
 	}
-	reservedFor := b.o.reservedFor[d.m.name].job
+	reservedFor := b.leadership.reservations[d.machine.name].job
 	return reservedFor != "" && reservedFor != j.id
 }
 
@@ -72,7 +72,7 @@
 	scoreServiceImage = 1000.0 // it has the service's image: a start must not wait for a fetch
 	scoreArrayImage   = 120.0
 	scoreOwn          = 70.0 // this controller commands it
-	scoreWritten      = 50.0 // its machine shard is written by this batch anyway
+	scoreShardWritten = 50.0 // its machine shard is written by this batch anyway
 	scoreLasting      = 300.0
 	scoreRented       = 150.0
 	scoreSpot         = 100.0
@@ -80,58 +80,58 @@
 
 // score says how well a machine suits a task of j: the fuller the better, so that large
 // gaps stay whole.
-func (b *batch) score(j *job, d *draft) float64 {
+func (b *plan) score(j *job, d *stagedMachine) float64 {
 	score := -d.cpus
-	if d.has(j.spec.Image) && j.spec.Service {
+	if d.hasImage(j.spec.Image) && j.spec.Service {
 		score += scoreServiceImage
-	} else if d.has(j.spec.Image) {
+	} else if d.hasImage(j.spec.Image) {
 		score += scoreArrayImage
 	}
-	if d.gd.own {
+	if d.shard.ownShard {
 		score += scoreOwn
 	}
 	// What lasts goes on machines that stay, so that rented ones fall idle
 	// and can be given back; what ends soon leaves the others free.
-	rented := b.c.rented(d.m.name)
+	rented := b.c.rented(d.machine.name)
 	switch {
 	case j.spec.Service && !rented:
 		score += scoreLasting
-	case !j.spec.Service && d.m.doc.Spot && j.spec.CkptS > 0:
+	case !j.spec.Service && d.machine.doc.Spot && j.spec.CheckpointIntervalSeconds > 0:
 		score += scoreLasting // it loses little when the machine is taken back
-	case !j.spec.Service && d.m.doc.Spot:
+	case !j.spec.Service && d.machine.doc.Spot:
 		score += scoreSpot
 	case !j.spec.Service && rented:
 		score += scoreRented
 	}
-	if d.gd.changed {
-		score += scoreWritten
+	if d.shard.changed {
+		score += scoreShardWritten
 	}
 	return score
 }
 
-// put binds task n of j to d in this batch.
-func (b *batch) put(d *draft, j *job, n int) {
-	if !j.chain.Ready() { // whoever asks: nothing starts before what it needs is done
-		b.c.log.Error("a job that waits for others was to be placed", "job", j.id)
+// place binds task n of j to d in this batch.
+func (b *plan) place(d *stagedMachine, j *job, n int) {
+	if !j.dependency.Ready() { // whoever asks: nothing starts before what it needs is done
+		b.c.log.Error("refused to place blocked job", "job", j.id)
 		return
 	}
-	b.touch(d.gd)
+	b.writeShard(d.shard)
 	// Attempts only grow: the epoch does with every take-over, the count within
 	// one. All tasks of a batch share theirs, so that neighbours are written as
 	// one range; an attempt must differ only from others of the same task.
 	if b.attempt == 0 {
-		b.o.seq++
-		b.attempt = b.o.epoch<<28 | b.o.seq
+		b.leadership.plansPlaced++
+		b.attempt = b.leadership.term<<28 | b.leadership.plansPlaced
 	}
-	t := schema.Task{Job: j.id, Num: n, Attempt: b.attempt}
+	t := schema.Task{Job: j.id, Index: n, Attempt: b.attempt}
 	d.added = append(d.added, t)
-	d.resources.fill(&j.spec, 1)
-	d.gd.bytes -= taskBytes
-	d.live++
-	b.size -= taskBytes
-	addUse(b.using, &j.spec, 1)
-	j.bind(n, bind{d.m, t.Attempt}) // taken back if the batch is not stored
+	d.resources.reserve(&j.spec, 1)
+	d.shard.bytesLeft -= taskEntryBytes
+	d.active++
+	b.bytesLeft -= taskEntryBytes
+	addUse(b.usage, &j.spec, 1)
+	j.addBinding(n, binding{d.machine, t.Attempt}) // taken back if the batch is not stored
 	// Only here: an entry that is read once more, because something else on its machine has
 	// changed, is no new place, and a job beside it waited for minutes.
-	j.waitAt = 0
+	j.waitingSince = 0
 }
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -13,8 +13,8 @@
 // others that the watch shows after it. The task must stay where it is.
 func TestLoadBesideChanges(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.Size, cfg.Settings.State.ValueKB = 1, 4
-	c := quietCore(cfg)
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 4
+	c := quietController(cfg)
 	group := func(stamp uint64, machine string, tasks ...schema.Task) {
 		t.Helper()
 		doc := schema.MachineShard{Machines: []schema.Machine{{Name: machine, Addr: "x", Tasks: tasks}}}
@@ -24,37 +24,37 @@
 		}
 		c.apply(c.replica.machineShardOf(machine).key, raw, stamp, false)
 	}
-	first := schema.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 5}
-	second := schema.Task{Job: "j-000001", Num: 3, Attempt: 1<<28 | 9}
+	first := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 5}
+	second := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 9}
 	group(100, "n-000010")
 	group(140, "n-000060", second) // read late
 	group(110, "n-000010", first)  // the watch catches up
 	group(120, "n-000010")
-	b, ok := c.replica.jobs["j-000001"].bound[3]
-	if !ok || b.m.name != "n-000060" || b.attempt != second.Attempt {
+	b, ok := c.replica.jobs["j-000001"].bindings[3]
+	if !ok || b.machine.name != "n-000060" || b.attempt != second.Attempt {
 		t.Fatalf("bound: %v, to %+v", ok, b)
 	}
 	group(150, "n-000060")
-	if j := c.replica.jobs["j-000001"]; j != nil && len(j.bound) > 0 {
-		t.Errorf("still bound: %+v", j.bound)
+	if j := c.replica.jobs["j-000001"]; j != nil && len(j.bindings) > 0 {
+		t.Errorf("still bound: %+v", j.bindings)
 	}
 }
 
 // TestManyGaps has a job with more gaps among its done tasks than may be stored go on
 // by filling them: it once waited for good.
 func TestManyGaps(t *testing.T) {
-	j := &job{id: "j-1", known: true, bound: map[int]bind{}, live: -1}
+	j := &job{id: "j-1", accepted: true, bindings: map[int]binding{}, activeCount: -1}
 	j.spec.Tasks = 1000
 	for n := 1; n < 900; n += 3 {
 		j.done = j.done.With(n)
 	}
 	m := &machine{name: "n-1"}
 	started := 0
-	for n := j.next(0); n >= 0; n = j.next(n + 1) {
+	for n := j.nextUnbound(0); n >= 0; n = j.nextUnbound(n + 1) {
 		if n >= j.done.End() {
 			t.Fatalf("task %d would make what is stored longer", n)
 		}
-		j.bind(n, bind{m, 1})
+		j.addBinding(n, binding{m, 1})
 		started++
 	}
 	if started == 0 || started > maxProgressGaps {
--- a/internal/dag/chain_test.go
+++ b/internal/dag/graph_test.go
@@ -9,14 +9,14 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// unknown is a store of ends in which none is found.
-func unknown(string) (End, bool) { return End{}, false }
+// noOutcome is a store of ends in which none is found.
+func noOutcome(string) (Outcome, bool) { return Outcome{}, false }
 
 func build(t *testing.T, jobs ...Job) *Graph {
 	t.Helper()
 	g := New()
 	for _, j := range jobs {
-		if cancelled := g.Add(j, unknown); len(cancelled) > 0 {
+		if cancelled := g.Add(j, noOutcome); len(cancelled) > 0 {
 			t.Fatalf("%s cancels %v", j.ID, cancelled)
 		}
 	}
@@ -30,13 +30,13 @@
 	if g.Node("c").Ready() || !g.Node("a").Ready() {
 		t.Fatal("c is ready, or a is not")
 	}
-	g.Ended("a", End{Done, 5})
-	g.Ended("a", End{Done, 99}) // an end never changes
+	g.RecordOutcome("a", Outcome{Done, 5})
+	g.RecordOutcome("a", Outcome{Done, 99}) // an end never changes
 	g.Remove("a")
-	if n := g.Node("c"); n.Ready() || !slices.Equal(n.WaitsFor(), []string{"b"}) {
-		t.Fatalf("c is ready, or waits for %v", n.WaitsFor())
+	if n := g.Node("c"); n.Ready() || !slices.Equal(n.UnmetNeeds(), []string{"b"}) {
+		t.Fatalf("c is ready, or waits for %v", n.UnmetNeeds())
 	}
-	if _, ready := g.Ended("b", End{Done, 3}); !slices.Equal(ready, []string{"c"}) {
+	if _, ready := g.RecordOutcome("b", Outcome{Done, 3}); !slices.Equal(ready, []string{"c"}) {
 		t.Fatalf("ready: %v", ready)
 	}
 	if n := g.Node("c"); !n.Ready() || n.ReadyAt() != 5 {
@@ -47,28 +47,28 @@
 	}
 }
 
-// TestEndBeforeEntry has ends arrive before the jobs that need them, as they do when a copy
+// TestOutcomeBeforeAdd has ends arrive before the jobs that need them, as they do when a copy
 // of the store is loaded.
-func TestEndBeforeEntry(t *testing.T) {
+func TestOutcomeBeforeAdd(t *testing.T) {
 	g := New()
-	g.Add(Job{ID: "c", Needs: []string{"a", "b"}}, func(id string) (End, bool) { return End{Done, 7}, id == "a" })
-	g.Add(Job{ID: "d", Needs: []string{"c"}}, unknown)
+	g.Add(Job{ID: "c", Needs: []string{"a", "b"}}, func(id string) (Outcome, bool) { return Outcome{Done, 7}, id == "a" })
+	g.Add(Job{ID: "d", Needs: []string{"c"}}, noOutcome)
 	if got := g.Unresolved(9); !slices.Equal(got, []string{"b"}) {
 		t.Fatalf("unresolved: %v", got)
 	}
-	if g.Known("d") || g.Node("c").Ready() {
+	if g.Resolved("d") || g.Node("c").Ready() {
 		t.Fatal("the state of d is known, or c is ready")
 	}
-	g.Ended("b", End{Done, 2})
-	if !g.Known("d") || !g.Node("c").Ready() || g.Node("c").ReadyAt() != 7 {
+	g.RecordOutcome("b", Outcome{Done, 2})
+	if !g.Resolved("d") || !g.Node("c").Ready() || g.Node("c").ReadyAt() != 7 {
 		t.Fatal("c is not ready at 7")
 	}
 	if len(g.Unresolved(9)) > 0 {
 		t.Error("something is still to be read")
 	}
 	// One that is entered after all is not to be read, and one that left is, while it is needed.
-	g.Add(Job{ID: "f", Needs: []string{"e"}}, unknown)
-	g.Add(Job{ID: "e"}, unknown)
+	g.Add(Job{ID: "f", Needs: []string{"e"}}, noOutcome)
+	g.Add(Job{ID: "e"}, noOutcome)
 	if len(g.Unresolved(9)) > 0 {
 		t.Error("e is among the accepted ones")
 	}
@@ -82,18 +82,18 @@
 // different ends and jobs entered afterwards included.
 func TestCancelled(t *testing.T) {
 	g := build(t, Job{ID: "a"}, Job{ID: "b"}, Job{ID: "c", Needs: []string{"a", "b"}}, Job{ID: "d", Needs: []string{"c"}}, Job{ID: "e", Needs: []string{"b"}})
-	g.Ended("b", End{Done, 1})
-	cancelled, ready := g.Ended("a", End{Outcome: Cancelled})
+	g.RecordOutcome("b", Outcome{Done, 1})
+	cancelled, ready := g.RecordOutcome("a", Outcome{State: Cancelled})
 	if !slices.Equal(cancelled, []string{"c", "d"}) || len(ready) > 0 {
 		t.Fatalf("cancelled %v, ready %v", cancelled, ready)
 	}
-	if !g.Node("d").Cancelled() || g.Node("d").Because() != "c" || g.Node("e").Cancelled() {
+	if !g.Node("d").Cancelled() || g.Node("d").CancelledBy() != "c" || g.Node("e").Cancelled() {
 		t.Error("d is not cancelled because of c, or e is")
 	}
-	if got := g.Add(Job{ID: "f", Needs: []string{"d"}}, unknown); !slices.Equal(got, []string{"f"}) || g.Node("f").Ready() {
+	if got := g.Add(Job{ID: "f", Needs: []string{"d"}}, noOutcome); !slices.Equal(got, []string{"f"}) || g.Node("f").Ready() {
 		t.Errorf("f: %v", got)
 	}
-	if c, r := g.Ended("c", End{Done, 1}); len(c)+len(r) > 0 {
+	if c, r := g.RecordOutcome("c", Outcome{Done, 1}); len(c)+len(r) > 0 {
 		t.Error("a cancelled job became done")
 	}
 }
@@ -101,17 +101,17 @@
 // TestInherit has a job count with the highest priority and earliest deadline of all that
 // need it, and no more once those are cancelled or over.
 func TestInherit(t *testing.T) {
-	g := build(t, Job{ID: "a", Grade: 0}, Job{ID: "b", Grade: 1, Needs: []string{"a"}}, Job{ID: "c", Grade: 2, DueAt: 50, Needs: []string{"b"}}, Job{ID: "d", Grade: 3, DueAt: 70, Needs: []string{"b"}})
-	want := func(id string, grade int, due units.Micros) {
+	g := build(t, Job{ID: "a", Priority: 0}, Job{ID: "b", Priority: 1, Needs: []string{"a"}}, Job{ID: "c", Priority: 2, DueAt: 50, Needs: []string{"b"}}, Job{ID: "d", Priority: 3, DueAt: 70, Needs: []string{"b"}})
+	want := func(id string, priority int, due units.Micros) {
 		t.Helper()
-		if n := g.Node(id); n.Grade() != grade || n.DueAt() != due {
-			t.Errorf("%s: grade %d, due %d; want %d, %d", id, n.Grade(), n.DueAt(), grade, due)
+		if n := g.Node(id); n.Priority() != priority || n.DueAt() != due {
+			t.Errorf("%s: grade %d, due %d; want %d, %d", id, n.Priority(), n.DueAt(), priority, due)
 		}
 	}
 	want("a", 3, 50)
-	g.Ended("d", End{Outcome: Cancelled})
+	g.RecordOutcome("d", Outcome{State: Cancelled})
 	want("a", 2, 50)
-	g.Ended("c", End{Outcome: Cancelled})
+	g.RecordOutcome("c", Outcome{State: Cancelled})
 	g.Remove("c")
 	want("b", 1, 0)
 	want("a", 1, 0)
@@ -130,10 +130,10 @@
 			}
 		}
 		ids = append(ids, j.ID)
-		g.Add(j, unknown)
+		g.Add(j, noOutcome)
 	}
 	for _, id := range ids {
-		g.Ended(id, End{Done, 1})
+		g.RecordOutcome(id, Outcome{Done, 1})
 		g.Remove(id)
 	}
 	if len(g.nodes)+len(g.unresolved) > 0 {
@@ -147,27 +147,27 @@
 	const n = 3000
 	g := New()
 	for i := range n {
-		g.Add(Job{ID: fmt.Sprintf("other-%d", i)}, unknown)
-		g.Add(Job{ID: fmt.Sprintf("out-%d", i), Needs: []string{"hub"}}, unknown)
-		g.Add(Job{ID: fmt.Sprintf("line-%d", i), Needs: []string{fmt.Sprintf("line-%d", i-1)}}, unknown)
+		g.Add(Job{ID: fmt.Sprintf("other-%d", i)}, noOutcome)
+		g.Add(Job{ID: fmt.Sprintf("out-%d", i), Needs: []string{"hub"}}, noOutcome)
+		g.Add(Job{ID: fmt.Sprintf("line-%d", i), Needs: []string{fmt.Sprintf("line-%d", i-1)}}, noOutcome)
 	}
 	var all []string
 	for i := range n {
 		all = append(all, fmt.Sprintf("other-%d", i))
 	}
-	work := func(most int, what string, do func()) {
+	work := func(limit int, what string, do func()) {
 		t.Helper()
 		before := g.Visited()
 		do()
-		if got := g.Visited() - before; got > most {
+		if got := g.Visited() - before; got > limit {
 			t.Errorf("%s looks at %d nodes", what, got)
 		}
 	}
-	work(2*n, "wide fan-in", func() { g.Add(Job{ID: "in", Needs: all}, unknown) })
-	work(5, "one end of many", func() { g.Ended("other-7", End{Done, 1}) })
-	work(2*n, "wide fan-out", func() { g.Ended("hub", End{Outcome: Cancelled}) })
-	work(4, "a new last link", func() { g.Add(Job{ID: "last", Needs: []string{fmt.Sprintf("line-%d", n-1)}}, unknown) })
-	work(4*n, "a long chain", func() { g.Ended("line-0", End{Outcome: Cancelled}) })
+	work(2*n, "wide fan-in", func() { g.Add(Job{ID: "in", Needs: all}, noOutcome) })
+	work(5, "one end of many", func() { g.RecordOutcome("other-7", Outcome{Done, 1}) })
+	work(2*n, "wide fan-out", func() { g.RecordOutcome("hub", Outcome{State: Cancelled}) })
+	work(4, "a new last link", func() { g.Add(Job{ID: "last", Needs: []string{fmt.Sprintf("line-%d", n-1)}}, noOutcome) })
+	work(4*n, "a long chain", func() { g.RecordOutcome("line-0", Outcome{State: Cancelled}) })
 	if !g.Node("last").Cancelled() || !g.Node("out-17").Cancelled() {
 		t.Error("a link was left behind")
 	}
--- a/internal/fairshare/hsrtf_test.go
+++ b/internal/fairshare/allocation_test.go
@@ -7,59 +7,59 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-const s = units.Second
+const second = units.Second
 
 // Worked by hand from the paper's equations 1, 3, 4 and 5.
-func TestRemaining(t *testing.T) {
+func TestRemainingTime(t *testing.T) {
 	for _, tc := range []struct {
 		unfinished, capacity int
 		avg, want            units.Micros
 	}{
-		{10, 4, 20 * s, 60 * s}, // three waves
-		{8, 4, 20 * s, 40 * s},
-		{1, 4, 20 * s, 20 * s},
-		{0, 4, 20 * s, 0},
-		{3, 0, 20 * s, 60 * s}, // no room at all: one at a time
+		{10, 4, 20 * second, 60 * second}, // three waves
+		{8, 4, 20 * second, 40 * second},
+		{1, 4, 20 * second, 20 * second},
+		{0, 4, 20 * second, 0},
+		{3, 0, 20 * second, 60 * second}, // no room at all: one at a time
 	} {
-		if got := Remaining(tc.unfinished, tc.capacity, tc.avg); got != tc.want {
+		if got := RemainingTime(tc.unfinished, tc.capacity, tc.avg); got != tc.want {
 			t.Errorf("Remaining(%d, %d, %v) = %v, want %v", tc.unfinished, tc.capacity, tc.avg, got, tc.want)
 		}
 	}
 }
 
-func TestStarvation(t *testing.T) {
+func TestStarvationRatio(t *testing.T) {
 	// Alone: ceil(12/6) x 10 s = 20 s. It has waited 30 s, holds room for two
 	// tasks and has eight to do: ceil(8/2) x 10 s = 40 s. (30 + 40) / 20 = 3.5.
-	j := &Job{Total: 12, Unfinished: 8, Capacity: 6, Average: 10 * s, Age: 30 * s, PerTask: 2, Share: 4}
-	if got := Starvation(j); math.Abs(got-3.5) > 1e-9 {
+	job := &Job{TotalTasks: 12, UnfinishedTasks: 8, MaxParallel: 6, AverageTaskTime: 10 * second, Age: 30 * second, TaskSize: 2, Share: 4}
+	if got := StarvationRatio(job); math.Abs(got-3.5) > 1e-9 {
 		t.Errorf("got %v, want 3.5", got)
 	}
 	// A new job on the whole slice is not starved.
-	j = &Job{Total: 12, Unfinished: 12, Capacity: 6, Average: 10 * s, PerTask: 2}
-	if got := Starvation(j); got != 1 {
+	job = &Job{TotalTasks: 12, UnfinishedTasks: 12, MaxParallel: 6, AverageTaskTime: 10 * second, TaskSize: 2}
+	if got := StarvationRatio(job); got != 1 {
 		t.Errorf("got %v, want 1", got)
 	}
 }
 
-func TestShares(t *testing.T) {
+func TestAllocate(t *testing.T) {
 	job := func(id string, unfinished int) Job {
-		return Job{ID: id, Total: unfinished, Unfinished: unfinished, Capacity: 10, Average: 10 * s, PerTask: 1}
+		return Job{ID: id, TotalTasks: unfinished, UnfinishedTasks: unfinished, MaxParallel: 10, AverageTaskTime: 10 * second, TaskSize: 1}
 	}
 	// Remaining times 10 s and 30 s: three to one of 20.
-	got := Shares([]Job{job("long", 30), job("short", 10)}, 8)
+	got := Allocate([]Job{job("long", 30), job("short", 10)}, 8)
 	if got[0].ID != "short" || got[0].Share != 6 || got[1].Share != 2 {
 		t.Errorf("inverse shares: %+v", got)
 	}
 	// The short job can use 10 of its 15: the other has the rest.
-	got = Shares([]Job{job("long", 30), job("short", 10)}, 20)
+	got = Allocate([]Job{job("long", 30), job("short", 10)}, 20)
 	if got[0].Share != 10 || got[1].Share != 10 {
 		t.Errorf("unusable room: %+v", got)
 	}
 	// The long job has waited three times its own length: its ratio of 4
 	// outweighs three times the remaining time.
 	starved := job("long", 30)
-	starved.Age = 90 * s
-	got = Shares([]Job{starved, job("short", 10)}, 7)
+	starved.Age = 90 * second
+	got = Allocate([]Job{starved, job("short", 10)}, 7)
 	if got[0].ID != "short" || math.Abs(got[1].Share-4) > 1e-9 {
 		t.Errorf("starvation: %+v", got)
 	}
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -2,78 +2,78 @@
 
 import "encoding/json"
 
-// Guard demands that a key has the stated stamp; zero: that it does not exist.
-type Guard struct {
-	Key   string `json:"key"`
-	Stamp uint64 `json:"stamp"`
+// Condition demands that a key has the stated stamp; zero: that it does not exist.
+type Condition struct {
+	Key         string `json:"key"`
+	ModRevision uint64 `json:"stamp"`
 }
 
-// Op sets or deletes a key.
-type Op struct {
-	Set    string          `json:"set,omitempty"`
-	Value  json.RawMessage `json:"v,omitempty"`
-	Permit uint64          `json:"permit,omitempty"`
-	Delete string          `json:"delete,omitempty"`
+// Operation sets or deletes a key.
+type Operation struct {
+	Set     string          `json:"set,omitempty"`
+	Value   json.RawMessage `json:"v,omitempty"`
+	LeaseID uint64          `json:"permit,omitempty"`
+	Delete  string          `json:"delete,omitempty"`
 }
 
 // Txn is one atomic change.
 type Txn struct {
-	Guards []Guard `json:"guards"`
-	Apply  []Op    `json:"apply,omitempty"`
+	Conditions []Condition `json:"guards"`
+	Operations []Operation `json:"apply,omitempty"`
 }
 
-// Item is a key with its value.
-type Item struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
+// KeyValue is a key with its value.
+type KeyValue struct {
+	Key         string          `json:"key"`
+	Value       json.RawMessage `json:"v"`
+	ModRevision uint64          `json:"stamp"`
 }
 
 // Event is one change of a watch.
 type Event struct {
-	Set    string          `json:"set,omitempty"`
-	Delete string          `json:"delete,omitempty"`
-	Value  json.RawMessage `json:"v,omitempty"`
-	Stamp  uint64          `json:"stamp"`
+	Set         string          `json:"set,omitempty"`
+	Delete      string          `json:"delete,omitempty"`
+	Value       json.RawMessage `json:"v,omitempty"`
+	ModRevision uint64          `json:"stamp"`
 }
 
-// Kind says which call a Request makes.
-type Kind int
+// RequestKind says which call a Request makes.
+type RequestKind int
 
 // The calls of the state service.
 const (
-	Get Kind = iota
+	Get RequestKind = iota
 	List
-	Commit
-	Grant
-	Renew
+	Transact
+	GrantLease
+	RenewLease
 	Watch
 )
 
 // Request is one call.
 type Request struct {
-	Kind   Kind
-	Key    string // Get; List and Watch: prefix
-	Since  string // List
-	Rev    uint64 // Watch
-	Txn    *Txn
-	TTLMs  int64
-	HoldMs int64
-	Permit uint64
+	Kind       RequestKind
+	Key        string // Get; List and Watch: prefix
+	After      string // List
+	Revision   uint64 // Watch
+	Txn        *Txn
+	TTLMillis  int64
+	WaitMillis int64
+	LeaseID    uint64
 }
 
 // Response is the answer to a Request. Status 0 means that there was none: the
 // request may have been carried out, or may yet be.
 type Response struct {
-	Status    int      `json:"-"`
-	Rev       uint64   `json:"ledgerRev"`
-	Failed    []string `json:"failed"`
-	Permit    uint64   `json:"permit"`
-	Items     []Item   `json:"items"`
-	Truncated bool     `json:"truncated"`
-	News      []Event  `json:"news"`
+	Status     int        `json:"-"`
+	Revision   uint64     `json:"ledgerRev"`
+	FailedKeys []string   `json:"failed"`
+	LeaseID    uint64     `json:"permit"`
+	Items      []KeyValue `json:"items"`
+	Truncated  bool       `json:"truncated"`
+	Events     []Event    `json:"news"`
 
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"v"`
-	Stamp uint64          `json:"stamp"`
+	Key         string          `json:"key"`
+	Value       json.RawMessage `json:"v"`
+	ModRevision uint64          `json:"stamp"`
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/heartbeats.go
@@ -31,26 +31,26 @@
 	Ran int64 // microseconds; 0: not known
 }
 
-// streamLife is how long a stream is used before it is opened anew. After a cut a
+// maxStreamAge is how long a stream is used before it is opened anew. After a cut a
 // connection may be dead without an error, and take what is written for minutes;
 // until it is opened anew, the other side counts this controller as unheard.
-const streamLife = 10 * time.Second
+const maxStreamAge = 10 * time.Second
 
 // Listen takes heartbeats until ctx ends.
-func Listen(ctx context.Context, addr string, got func(Heartbeat)) error {
-	ln, err := net.Listen("tcp4", addr)
+func Listen(ctx context.Context, addr string, handle func(Heartbeat)) error {
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(66)
-	g.Go(func() error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.SetLimit(66)
+	group.Go(func() error {
 		<-ctx.Done()
-		return ln.Close()
+		return listener.Close()
 	})
-	g.Go(func() error {
+	group.Go(func() error {
 		for {
-			c, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				if ctx.Err() != nil {
 					return nil
@@ -58,57 +58,57 @@
 				time.Sleep(50 * time.Millisecond) // out of sockets: wait, then go on
 				continue
 			}
-			if !g.TryGo(func() error { receive(c, got); return nil }) {
-				_ = c.Close()
+			if !group.TryGo(func() error { receive(conn, handle); return nil }) {
+				_ = conn.Close()
 			}
 		}
 	})
-	return g.Wait()
+	return group.Wait()
 }
 
-func receive(c net.Conn, got func(Heartbeat)) {
-	defer c.Close()
-	dec := gob.NewDecoder(c)
+func receive(conn net.Conn, handle func(Heartbeat)) {
+	defer conn.Close()
+	decoder := gob.NewDecoder(conn)
 	for {
-		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
-		var b Heartbeat
-		if dec.Decode(&b) != nil {
+		_ = conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+		var heartbeat Heartbeat
+		if decoder.Decode(&heartbeat) != nil {
 			return
 		}
-		got(b)
+		handle(heartbeat)
 	}
 }
 
 // Send keeps a stream to addr and sends whatever comes from heartbeats.
-func Send(ctx context.Context, addr string, beats <-chan Heartbeat) {
-	var c net.Conn
-	var enc *gob.Encoder
+func Send(ctx context.Context, addr string, heartbeats <-chan Heartbeat) {
+	var conn net.Conn
+	var encoder *gob.Encoder
 	var opened time.Time
-	drop := func() {
-		if c != nil {
-			_ = c.Close()
+	closeStream := func() {
+		if conn != nil {
+			_ = conn.Close()
 		}
-		c = nil
+		conn = nil
 	}
-	defer drop()
+	defer closeStream()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case b := <-beats:
-			if time.Since(opened) > streamLife {
-				drop()
+		case heartbeat := <-heartbeats:
+			if time.Since(opened) > maxStreamAge {
+				closeStream()
 			}
-			if c == nil {
-				d, err := net.DialTimeout("tcp4", addr, time.Second)
+			if conn == nil {
+				dialed, err := net.DialTimeout("tcp4", addr, time.Second)
 				if err != nil {
 					continue
 				}
-				c, enc, opened = d, gob.NewEncoder(d), time.Now()
+				conn, encoder, opened = dialed, gob.NewEncoder(dialed), time.Now()
 			}
-			_ = c.SetWriteDeadline(time.Now().Add(2 * time.Second))
-			if enc.Encode(&b) != nil {
-				drop()
+			_ = conn.SetWriteDeadline(time.Now().Add(2 * time.Second))
+			if encoder.Encode(&heartbeat) != nil {
+				closeStream()
 			}
 		}
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -15,18 +15,18 @@
 
 // Bounds on the work a script may do.
 const (
-	loadSteps = 1_000_000
-	callSteps = 10_000
+	maxLoadSteps = 1_000_000
+	maxCallSteps = 10_000
 )
 
 // Policy is what a script may set, checked.
 type Policy struct {
-	Refresh    units.Micros // how often shares start from the waiting order anew
-	SpareShare float64      // free room kept, as a part of what is used
-	ReturnIdle float64      // an idle rented machine is kept so many boot times
-	Spot       bool         // whether spot machines are rented
-	HireMost   int          // machines in one rental request
-	weight     *starlark.Function
+	RefreshInterval    units.Micros // how often shares start from the waiting order anew
+	SpareCapacityShare float64      // free room kept, as a part of what is used
+	ScaleInIdleBoots   float64      // an idle rented machine is kept so many boot times
+	UseSpot            bool         // whether spot machines are rented
+	MaxLaunchBatch     int          // machines in one rental request
+	weight             *starlark.Function
 }
 
 // Job is what the weight of a job may depend on.
@@ -40,7 +40,7 @@
 
 // Default is the policy without a script.
 func Default() *Policy {
-	return &Policy{Refresh: 10 * units.Second, SpareShare: 0.10, ReturnIdle: 1.5, Spot: true, HireMost: 4}
+	return &Policy{RefreshInterval: 10 * units.Second, SpareCapacityShare: 0.10, ScaleInIdleBoots: 1.5, UseSpot: true, MaxLaunchBatch: 4}
 }
 
 // Load reads the script at path; an empty path gives the defaults.
@@ -62,80 +62,80 @@
 	if err != nil {
 		return nil, fmt.Errorf("policy: %w", err)
 	}
-	lines := map[string]int32{}
-	for _, st := range file.Stmts {
-		switch st := st.(type) {
+	lineOf := map[string]int32{}
+	for _, stmt := range file.Stmts {
+		switch stmt := stmt.(type) {
 		case *syntax.AssignStmt:
-			if id, ok := st.LHS.(*syntax.Ident); ok {
-				lines[id.Name] = id.NamePos.Line
+			if ident, ok := stmt.LHS.(*syntax.Ident); ok {
+				lineOf[ident.Name] = ident.NamePos.Line
 			}
 		case *syntax.DefStmt:
-			lines[st.Name.Name] = st.Name.NamePos.Line
+			lineOf[stmt.Name.Name] = stmt.Name.NamePos.Line
 		}
 	}
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(loadSteps)
+	thread.SetMaxExecutionSteps(maxLoadSteps)
 	globals, err := starlark.ExecFileOptions(opts, thread, name, src, nil)
 	if err != nil {
-		return nil, fmt.Errorf("policy: %s: %w", name, where(err))
+		return nil, fmt.Errorf("policy: %s: %w", name, withPosition(err))
 	}
 	p := Default()
 	for _, key := range globals.Keys() {
-		if err := p.set(key, globals[key]); err != nil {
-			return nil, fmt.Errorf("policy: %s:%d: %s: %w", name, lines[key], key, err)
+		if err := p.setOption(key, globals[key]); err != nil {
+			return nil, fmt.Errorf("policy: %s:%d: %s: %w", name, lineOf[key], key, err)
 		}
 	}
 	return p, nil
 }
 
-// where adds the position in the script to an error of evaluation.
-func where(err error) error {
-	if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
-		return fmt.Errorf("line %d: %w", e.CallStack.At(0).Pos.Line, err)
+// withPosition adds the position in the script to an error of evaluation.
+func withPosition(err error) error {
+	if evalErr, ok := err.(*starlark.EvalError); ok && len(evalErr.CallStack) > 0 {
+		return fmt.Errorf("line %d: %w", evalErr.CallStack.At(0).Pos.Line, err)
 	}
 	return err
 }
 
-func (p *Policy) set(key string, v starlark.Value) error {
+func (p *Policy) setOption(key string, value starlark.Value) error {
 	if key[0] == '_' {
 		return nil // the script's own
 	}
-	number := func(lo, hi float64) (float64, error) {
-		x, ok := starlark.AsFloat(v)
+	numberIn := func(low, high float64) (float64, error) {
+		number, ok := starlark.AsFloat(value)
 		if !ok {
-			return 0, fmt.Errorf("needs a number, got %s", v.Type())
+			return 0, fmt.Errorf("needs a number, got %s", value.Type())
 		}
-		if x < lo || x > hi {
-			return 0, fmt.Errorf("must be from %v to %v, got %v", lo, hi, x)
+		if number < low || number > high {
+			return 0, fmt.Errorf("must be from %v to %v, got %v", low, high, number)
 		}
-		return x, nil
+		return number, nil
 	}
 	var err error
-	var x float64
+	var number float64
 	switch key {
 	case "refresh_s":
-		x, err = number(0.1, 600)
-		p.Refresh = units.FromSeconds(x)
+		number, err = numberIn(0.1, 600)
+		p.RefreshInterval = units.FromSeconds(number)
 	case "spare_share":
-		p.SpareShare, err = number(0, 5)
+		p.SpareCapacityShare, err = numberIn(0, 5)
 	case "return_idle_boots":
-		p.ReturnIdle, err = number(0, 1000)
+		p.ScaleInIdleBoots, err = numberIn(0, 1000)
 	case "hire_most":
-		x, err = number(1, 50)
-		p.HireMost = int(x)
+		number, err = numberIn(1, 50)
+		p.MaxLaunchBatch = int(number)
 	case "spot":
-		b, ok := v.(starlark.Bool)
+		boolean, ok := value.(starlark.Bool)
 		if !ok {
-			return fmt.Errorf("needs True or False, got %s", v.Type())
+			return fmt.Errorf("needs True or False, got %s", value.Type())
 		}
-		p.Spot = bool(b)
+		p.UseSpot = bool(boolean)
 	case "weight":
-		f, ok := v.(*starlark.Function)
-		if !ok || f.NumParams() != 1 {
+		function, ok := value.(*starlark.Function)
+		if !ok || function.NumParams() != 1 {
 			return fmt.Errorf("needs a function of one job")
 		}
-		p.weight = f
-		if _, err := p.call(Job{Class: "example", Grade: "standard", Tasks: 1, AgeS: 1}); err != nil {
+		p.weight = function
+		if _, err := p.callWeight(Job{Class: "example", Grade: "standard", Tasks: 1, AgeS: 1}); err != nil {
 			return err
 		}
 	default:
@@ -146,39 +146,39 @@
 
 // Weight is the script's weight for a job, or 1 with an error that says why
 // there is none.
-func (p *Policy) Weight(j Job) (float64, error) {
+func (p *Policy) Weight(job Job) (float64, error) {
 	if p.weight == nil {
 		return 1, nil
 	}
-	w, err := p.call(j)
+	weight, err := p.callWeight(job)
 	if err != nil {
 		return 1, err
 	}
-	return w, nil
+	return weight, nil
 }
 
-func (p *Policy) call(j Job) (float64, error) {
-	d := starlark.NewDict(5)
-	for _, kv := range []struct {
-		k string
-		v starlark.Value
+func (p *Policy) callWeight(job Job) (float64, error) {
+	arg := starlark.NewDict(5)
+	for _, field := range []struct {
+		name  string
+		value starlark.Value
 	}{
-		{"class", starlark.String(j.Class)}, {"grade", starlark.String(j.Grade)}, {"tasks", starlark.MakeInt(j.Tasks)},
-		{"age_s", starlark.Float(j.AgeS)}, {"due_in_s", starlark.Float(j.DueInS)},
+		{"class", starlark.String(job.Class)}, {"grade", starlark.String(job.Grade)}, {"tasks", starlark.MakeInt(job.Tasks)},
+		{"age_s", starlark.Float(job.AgeS)}, {"due_in_s", starlark.Float(job.DueInS)},
 	} {
-		if err := d.SetKey(starlark.String(kv.k), kv.v); err != nil {
+		if err := arg.SetKey(starlark.String(field.name), field.value); err != nil {
 			return 0, err
 		}
 	}
 	thread := &starlark.Thread{Name: "weight", Print: func(*starlark.Thread, string) {}}
-	thread.SetMaxExecutionSteps(callSteps)
-	v, err := starlark.Call(thread, p.weight, starlark.Tuple{d}, nil)
+	thread.SetMaxExecutionSteps(maxCallSteps)
+	value, err := starlark.Call(thread, p.weight, starlark.Tuple{arg}, nil)
 	if err != nil {
-		return 0, where(err)
+		return 0, withPosition(err)
 	}
-	w, ok := starlark.AsFloat(v)
-	if !ok || w < 0.01 || w > 100 {
-		return 0, fmt.Errorf("weight must be a number from 0.01 to 100, got %v", v)
+	weight, ok := starlark.AsFloat(value)
+	if !ok || weight < 0.01 || weight > 100 {
+		return 0, fmt.Errorf("weight must be a number from 0.01 to 100, got %v", value)
 	}
-	return w, nil
+	return weight, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -7,12 +7,12 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-func TestExample(t *testing.T) {
+func TestExampleScript(t *testing.T) {
 	p, err := Load("../../examples/policy.star")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.SpareShare != 0.15 || p.Refresh != 10*units.Second {
+	if p.SpareCapacityShare != 0.15 || p.RefreshInterval != 10*units.Second {
 		t.Errorf("%+v", p)
 	}
 	for _, tc := range []struct {
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestBad(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for src, want := range map[string]string{
 		"x = = 1":                          "bad.star:1",
 		"\nspeed = 3":                      "bad.star:2: speed: unknown setting",
@@ -42,7 +42,7 @@
 			t.Errorf("%q: %v does not say %q", src, err, want)
 		}
 	}
-	if p, err := Load(""); err != nil || !p.Spot {
+	if p, err := Load(""); err != nil || !p.UseSpot {
 		t.Errorf("no script: %+v, %v", p, err)
 	}
 }
--- a/internal/schema/before_test.go
+++ b/internal/schema/before_test.go
@@ -29,36 +29,36 @@
 
 // TestReadsBefore reads the documents of the version before, whole.
 func TestReadsBefore(t *testing.T) {
-	shelf := golden[JobShard](t, "shelf_large")
-	if len(shelf.Jobs) != 30 || shelf.Spread != 0 || shelf.Mark != "inc-2" {
-		t.Errorf("shelf: %d jobs, %+v", len(shelf.Jobs), shelf.Mark)
+	jobShard := golden[JobShard](t, "shelf_large")
+	if len(jobShard.Jobs) != 30 || jobShard.ShardCount != 0 || jobShard.WriteTag != "inc-2" {
+		t.Errorf("shelf: %d jobs, %+v", len(jobShard.Jobs), jobShard.WriteTag)
 	}
-	want := Job{ID: "j-000577", Class: "tiles", Team: "red", Grade: 1, Tasks: 2, CPUs: 2, GPUs: 1, MemGB: 7.4, Types: []string{"big", "small"},
-		Zone: "a", Image: "img-01", ImageGB: 1.25, EstS: 40.5, CkptS: 30, SaveS: 4, DueS: 900, At: 1e15 + 1}
+	want := Job{ID: "j-000577", Class: "tiles", Team: "red", Priority: 1, Tasks: 2, CPUs: 2, GPUs: 1, MemGB: 7.4, Types: []string{"big", "small"},
+		Zone: "a", Image: "img-01", ImageGB: 1.25, EstimatedSeconds: 40.5, CheckpointIntervalSeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: 900, AcceptedAt: 1e15 + 1}
 	if got := golden[JobShard](t, "shelf_small").Jobs[0]; fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", want) {
 		t.Errorf("job: %+v", got)
 	}
-	group := golden[MachineShard](t, "group_large")
+	machineShard := golden[MachineShard](t, "group_large")
 	tasks := 0
-	for _, m := range group.Machines {
+	for _, m := range machineShard.Machines {
 		tasks += len(m.Tasks)
 	}
-	if m := group.Machines[5]; group.Part != 2 || len(group.Machines) != 20 || tasks != 190 || !m.Retired || m.Handover != 1 || m.Zone != "b" || m.Tasks[1].Stop != StopSave || m.Tasks[1].Ran != 124 {
-		t.Errorf("group: %d machines, %d tasks, %+v", len(group.Machines), tasks, m)
+	if m := machineShard.Machines[5]; machineShard.Partition != 2 || len(machineShard.Machines) != 20 || tasks != 190 || !m.Decommissioned || m.TokenIncrements != 1 || m.Zone != "b" || m.Tasks[1].StopMode != StopGracefully || m.Tasks[1].DoneTenths != 124 {
+		t.Errorf("group: %d machines, %d tasks, %+v", len(machineShard.Machines), tasks, m)
 	}
-	if g := golden[MachineShard](t, "group_small"); g.Handover != 2 || g.Machines[0].Addr != "10.1.0.2:9000" {
+	if g := golden[MachineShard](t, "group_small"); g.Handovers != 2 || g.Machines[0].Addr != "10.1.0.2:9000" {
 		t.Errorf("group: %+v", g)
 	}
-	if p := golden[Pack](t, "pack"); p.Jobs["j-000577"] != (Done{Ranges: "0-7,9", AvgS: 41.5, Of: 9}) {
+	if p := golden[ProgressSegment](t, "pack"); p.Jobs["j-000577"] != (JobProgress{DoneRanges: "0-7,9", AverageSeconds: 41.5, Samples: 9}) {
 		t.Errorf("progress: %+v", p)
 	}
-	if f := golden[Final](t, "final_done"); f != (Final{Stage: "done", Done: 16, Mark: "inc-6"}) {
+	if f := golden[Outcome](t, "final_done"); f != (Outcome{State: "done", TasksDone: 16, WriteTag: "inc-6"}) {
 		t.Errorf("end: %+v", f)
 	}
-	if p := golden[Part](t, "part"); p != (Part{Epoch: 7, Member: "bay-1", Inc: "f00d", Mark: "inc-8"}) {
+	if p := golden[Partition](t, "part"); p != (Partition{Term: 7, Member: "bay-1", Incarnation: "f00d", WriteTag: "inc-8"}) {
 		t.Errorf("partition: %+v", p)
 	}
-	if l := golden[Layout](t, "layout"); l != (Layout{Groups: 24, Shelves: 24}) {
+	if l := golden[Layout](t, "layout"); l != (Layout{MachineShards: 24, JobShards: 24}) {
 		t.Errorf("layout: %+v", l)
 	}
 	if r := golden[Registration](t, "registration"); r != (Registration{Incarnation: "f00d"}) {
@@ -123,7 +123,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dec := json.NewDecoder(bytes.NewReader(Plain(raw)))
+	dec := json.NewDecoder(bytes.NewReader(PlainJSON(raw)))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
 		t.Errorf("%T: %v", doc, err)
@@ -133,19 +133,19 @@
 // TestWritesBefore shows that documents without anything new have nothing that the version
 // before would lose when it writes them anew.
 func TestWritesBefore(t *testing.T) {
-	shelf, group := golden[JobShard](t, "shelf_large"), golden[MachineShard](t, "group_large")
+	jobShard, machineShard := golden[JobShard](t, "shelf_large"), golden[MachineShard](t, "group_large")
 	var s shelfBefore
-	strictly(t, shelf, &s)
-	if len(s.Jobs) != 30 || s.Jobs[7].ID != shelf.Jobs[7].ID {
+	strictly(t, jobShard, &s)
+	if len(s.Jobs) != 30 || s.Jobs[7].ID != jobShard.Jobs[7].ID {
 		t.Errorf("%d jobs", len(s.Jobs))
 	}
 	var g groupBefore
-	strictly(t, group, &g)
-	if len(g.Machines) != 20 || g.Machines[7].Name != group.Machines[7].Name {
+	strictly(t, machineShard, &g)
+	if len(g.Machines) != 20 || g.Machines[7].Name != machineShard.Machines[7].Name {
 		t.Errorf("%d machines", len(g.Machines))
 	}
 	var l layoutBefore
-	strictly(t, Layout{Groups: 24, Shelves: 30}, &l)
+	strictly(t, Layout{MachineShards: 24, JobShards: 30}, &l)
 	if l != (layoutBefore{24, 30}) {
 		t.Errorf("layout: %+v", l)
 	}
@@ -154,7 +154,7 @@
 // TestShutsOutBefore shows that a process of the version before that starts after all others
 // know the new format finds no layout: it never finishes to load, and so changes nothing.
 func TestShutsOutBefore(t *testing.T) {
-	raw, err := json.Marshal(Layout{Groups: 24, Shelves: 30, Format: FormatChains})
+	raw, err := json.Marshal(Layout{MachineShards: 24, JobShards: 30, Format: FormatDependencies})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,50 +163,50 @@
 		t.Errorf("%s: it reads %+v, %v", raw, before, err)
 	}
 	var now Layout
-	if err := json.Unmarshal(raw, &now); err != nil || now != (Layout{Groups: 24, Shelves: 30, Format: FormatChains}) {
+	if err := json.Unmarshal(raw, &now); err != nil || now != (Layout{MachineShards: 24, JobShards: 30, Format: FormatDependencies}) {
 		t.Errorf("%s: %+v, %v", raw, now, err)
 	}
 }
 
-// TestNews shows that what is new is stored and read back.
-func TestNews(t *testing.T) {
-	in := JobShard{Spread: 120, Jobs: []Job{{ID: "j-000412", Needs: IDs{"j-000398", "j-7"}}}}
+// TestNewFields shows that what is new is stored and read back.
+func TestNewFields(t *testing.T) {
+	in := JobShard{ShardCount: 120, Jobs: []Job{{ID: "j-000412", Needs: JobIDs{"j-000398", "j-7"}}}}
 	raw, err := json.Marshal(in)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out JobShard
-	if err := json.Unmarshal(raw, &out); err != nil || out.Spread != 120 || !slices.Equal(out.Jobs[0].Needs, in.Jobs[0].Needs) {
+	if err := json.Unmarshal(raw, &out); err != nil || out.ShardCount != 120 || !slices.Equal(out.Jobs[0].Needs, in.Jobs[0].Needs) {
 		t.Errorf("%+v, %v", out, err)
 	}
-	if !strings.Contains(string(Plain(raw)), `"000398,7"`) {
-		t.Errorf("%s is not the short form", Plain(raw))
+	if !strings.Contains(string(PlainJSON(raw)), `"000398,7"`) {
+		t.Errorf("%s is not the short form", PlainJSON(raw))
 	}
 }
 
-// TestShard finds every name in exactly one document, also where siblings were split
+// TestFindShard finds every name in exactly one document, also where siblings were split
 // differently: once names of a document whose sibling was split twice were not found.
-func TestShard(t *testing.T) {
+func TestFindShard(t *testing.T) {
 	spread := map[int]int{4: 32, 20: 32, 12: 16, 1: 24, 9: 24, 17: 24} // of 8: 4 into 4 and 12, 4 then into 4 and 20; 1 into three
 	levels := []int{32, 24, 16}
 	for id := range 500 {
-		n := Shard(fmt.Sprintf("n-%06d", id), 8, levels, func(n int) int { return spread[n] })
+		n := FindShard(fmt.Sprintf("n-%06d", id), 8, levels, func(n int) int { return spread[n] })
 		of := max(8, spread[n])
 		if id%of != n {
 			t.Fatalf("%d is not one of document %d of %d", id, n, of)
 		}
-		owners := 0
+		found := 0
 		for doc := range 32 {
 			s, split := spread[doc]
 			if doc < 8 && !split {
 				s = 8
 			}
 			if s > 0 && id%s == doc {
-				owners++
+				found++
 			}
 		}
-		if owners != 1 {
-			t.Fatalf("%d stands in %d documents", id, owners)
+		if found != 1 {
+			t.Fatalf("%d stands in %d documents", id, found)
 		}
 	}
 }
@@ -214,8 +214,8 @@
 // TestUnion joins sets of tasks as a job's progress stands in two documents for a while.
 func TestUnion(t *testing.T) {
 	for _, tc := range [][3]string{{"0-3,9", "2-5,7", "0-5,7,9"}, {"", "4", "4"}, {"0-3", "4-6", "0-6"}, {"1,3,5", "2,4", "1-5"}} {
-		a, errA := ParseSet(tc[0])
-		b, errB := ParseSet(tc[1])
+		a, errA := ParseTaskSet(tc[0])
+		b, errB := ParseTaskSet(tc[1])
 		if got := a.Union(b).String(); got != tc[2] || b.Union(a).String() != tc[2] || errA != nil || errB != nil {
 			t.Errorf("%s and %s: %s", tc[0], tc[1], got)
 		}
--- a/internal/schema/tasks.go
+++ b/internal/schema/tasks.go
@@ -20,63 +20,63 @@
 
 const jobPrefix = "j-"
 
-func (t *Task) flags() string {
-	f := ""
-	switch t.Stop {
-	case StopSave:
-		f = "S"
-	case StopNow:
-		f = "K"
+func (t *Task) flagText() string {
+	flags := ""
+	switch t.StopMode {
+	case StopGracefully:
+		flags = "S"
+	case StopImmediately:
+		flags = "K"
 	}
-	if t.Ran > 0 {
-		f += "!" + strconv.Itoa(t.Ran)
+	if t.DoneTenths > 0 {
+		flags += "!" + strconv.Itoa(t.DoneTenths)
 	}
-	return f
+	return flags
 }
 
-func (ts Tasks) text() string {
+func (ts Tasks) encode() string {
 	sorted := slices.Clone(ts)
 	slices.SortStableFunc(sorted, func(a, b Task) int {
 		if c := strings.Compare(a.Job, b.Job); c != 0 {
 			return c
 		}
-		return a.Num - b.Num
+		return a.Index - b.Index
 	})
 	var b strings.Builder
-	for i := 0; i < len(sorted); {
-		t, k := sorted[i], i+1
-		for k < len(sorted) {
-			n := sorted[k]
-			if n.Job != t.Job || n.Num != t.Num+k-i || n.Attempt != t.Attempt || n.Stop != t.Stop || n.Ran != t.Ran {
+	for start := 0; start < len(sorted); {
+		first, end := sorted[start], start+1
+		for end < len(sorted) {
+			next := sorted[end]
+			if next.Job != first.Job || next.Index != first.Index+end-start || next.Attempt != first.Attempt || next.StopMode != first.StopMode || next.DoneTenths != first.DoneTenths {
 				break
 			}
-			k++
+			end++
 		}
 		switch {
-		case i == 0 || sorted[i-1].Job != t.Job:
-			if i > 0 {
+		case start == 0 || sorted[start-1].Job != first.Job:
+			if start > 0 {
 				b.WriteByte(';')
 			}
-			b.WriteString(strings.TrimPrefix(t.Job, jobPrefix))
+			b.WriteString(strings.TrimPrefix(first.Job, jobPrefix))
 			b.WriteByte(':')
 		default:
 			b.WriteByte(',')
 		}
-		b.WriteString(strconv.Itoa(t.Num))
-		if k-i > 1 {
+		b.WriteString(strconv.Itoa(first.Index))
+		if end-start > 1 {
 			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(t.Num + k - i - 1))
+			b.WriteString(strconv.Itoa(first.Index + end - start - 1))
 		}
 		b.WriteByte('~')
-		b.WriteString(strconv.FormatUint(t.Attempt, 36))
-		b.WriteString(t.flags())
-		i = k
+		b.WriteString(strconv.FormatUint(first.Attempt, 36))
+		b.WriteString(first.flagText())
+		start = end
 	}
 	return b.String()
 }
 
 // MarshalJSON writes the text form.
-func (ts Tasks) MarshalJSON() ([]byte, error) { return json.Marshal(ts.text()) }
+func (ts Tasks) MarshalJSON() ([]byte, error) { return json.Marshal(ts.encode()) }
 
 // UnmarshalJSON reads the text form.
 func (ts *Tasks) UnmarshalJSON(raw []byte) error {
@@ -84,57 +84,57 @@
 	if err := json.Unmarshal(raw, &text); err != nil {
 		return fmt.Errorf("tasks: %w", err)
 	}
-	got, err := ParseTasks(text)
-	*ts = got
+	parsed, err := ParseTasks(text)
+	*ts = parsed
 	return err
 }
 
 // ParseTasks reads the text form.
 func ParseTasks(text string) (Tasks, error) {
-	var out Tasks
+	var tasks Tasks
 	if text == "" {
-		return out, nil
+		return tasks, nil
 	}
-	for _, of := range strings.Split(text, ";") {
-		job, list, ok := strings.Cut(of, ":")
+	for _, jobText := range strings.Split(text, ";") {
+		job, ranges, ok := strings.Cut(jobText, ":")
 		if !ok {
-			return nil, fmt.Errorf("tasks: no job in %q", of)
+			return nil, fmt.Errorf("tasks: no job in %q", jobText)
 		}
-		for _, f := range strings.Split(list, ",") {
-			nums, rest, ok := strings.Cut(f, "~")
+		for _, rangeText := range strings.Split(ranges, ",") {
+			indexes, attemptText, ok := strings.Cut(rangeText, "~")
 			if !ok {
-				return nil, fmt.Errorf("tasks: no attempt in %q", f)
+				return nil, fmt.Errorf("tasks: no attempt in %q", rangeText)
 			}
-			t := Task{Job: jobPrefix + job}
+			task := Task{Job: jobPrefix + job}
 			var err error
-			if head, ran, ok := strings.Cut(rest, "!"); ok {
-				rest = head
-				if t.Ran, err = strconv.Atoi(ran); err != nil {
-					return nil, fmt.Errorf("tasks: %q: %w", f, err)
+			if remainder, tenths, ok := strings.Cut(attemptText, "!"); ok {
+				attemptText = remainder
+				if task.DoneTenths, err = strconv.Atoi(tenths); err != nil {
+					return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
 				}
 			}
-			if r, ok := strings.CutSuffix(rest, "S"); ok {
-				rest, t.Stop = r, StopSave
-			} else if r, ok := strings.CutSuffix(rest, "K"); ok {
-				rest, t.Stop = r, StopNow
+			if trimmed, ok := strings.CutSuffix(attemptText, "S"); ok {
+				attemptText, task.StopMode = trimmed, StopGracefully
+			} else if trimmed, ok := strings.CutSuffix(attemptText, "K"); ok {
+				attemptText, task.StopMode = trimmed, StopImmediately
 			}
-			if t.Attempt, err = strconv.ParseUint(rest, 36, 64); err != nil {
-				return nil, fmt.Errorf("tasks: %q: %w", f, err)
+			if task.Attempt, err = strconv.ParseUint(attemptText, 36, 64); err != nil {
+				return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
 			}
-			lo, hi, two := strings.Cut(nums, "-")
-			if t.Num, err = strconv.Atoi(lo); err != nil {
-				return nil, fmt.Errorf("tasks: %q: %w", f, err)
+			firstText, lastText, isRange := strings.Cut(indexes, "-")
+			if task.Index, err = strconv.Atoi(firstText); err != nil {
+				return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
 			}
-			last := t.Num
-			if two {
-				if last, err = strconv.Atoi(hi); err != nil {
-					return nil, fmt.Errorf("tasks: %q: %w", f, err)
+			last := task.Index
+			if isRange {
+				if last, err = strconv.Atoi(lastText); err != nil {
+					return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
 				}
 			}
-			for ; t.Num <= last; t.Num++ {
-				out = append(out, t)
+			for ; task.Index <= last; task.Index++ {
+				tasks = append(tasks, task)
 			}
 		}
 	}
-	return out, nil
+	return tasks, nil
 }
--- a/internal/server/web_test.go
+++ b/internal/server/http_test.go
@@ -15,26 +15,26 @@
 	"frostdock.example/frostdock/internal/policy"
 )
 
-// alone is a controller with so many sockets that reaches neither state service nor cloud.
-func alone(t *testing.T, sockets int) *Node {
+// newIsolatedServer is a controller with so many sockets that reaches neither state service nor cloud.
+func newIsolatedServer(t *testing.T, sockets int) *Server {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
-	cfg.Outside.State, cfg.Outside.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	cfg.Settings.Size, cfg.Settings.Limits.Sockets = 1, sockets
-	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.ReportS = 22, 47, 3
-	n := New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+	cfg.Settings.Size, cfg.Settings.ProcessLimits.Sockets = 1, sockets
+	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.HeartbeatS = 22, 47, 3
+	s := New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go func() { _ = n.loop(ctx) }()
-	return n
+	go func() { _ = s.loop(ctx) }()
+	return s
 }
 
 // TestStatuses asks a controller that has not reached its state service yet.
 func TestStatuses(t *testing.T) {
-	n := alone(t, 100)
+	s := newIsolatedServer(t, 100)
 	ln := fasthttputil.NewInmemoryListener()
 	defer ln.Close()
-	go func() { _ = fasthttp.Serve(ln, n.web.handle) }()
+	go func() { _ = fasthttp.Serve(ln, s.http.handle) }()
 	client := &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return ln.Dial() }}
 	for _, tc := range []struct {
 		method, path, body string
@@ -72,14 +72,14 @@
 	}
 }
 
-// TestCrowded has more machines than the controller has sockets report: once most connections
+// TestNearConnLimit has more machines than the controller has sockets report: once most connections
 // are taken, workers are told to close theirs, so that all of them get through in turn.
-func TestCrowded(t *testing.T) {
-	n := alone(t, 50)
-	n.web.server = n.web.newServer()
+func TestNearConnLimit(t *testing.T) {
+	s := newIsolatedServer(t, 50)
+	s.http.http = s.http.newFastHTTPServer()
 	ln := fasthttputil.NewInmemoryListener()
 	defer ln.Close()
-	go func() { _ = n.web.server.Serve(ln) }()
+	go func() { _ = s.http.http.Serve(ln) }()
 	closed := 0
 	for i := range 100 { // each keeps its connection unless it is told otherwise
 		client := &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return ln.Dial() }}
--- a/internal/server/clients_test.go
+++ b/internal/server/outbound_test.go
@@ -33,14 +33,14 @@
 	return ln.Addr().String()
 }
 
-// commandAge is how long after its decision a command may still leave, with time for a busy machine.
-const commandAge = 1400 * time.Millisecond
+// maxCommandAge is how long after its decision a command may still leave, with time for a busy machine.
+const maxCommandAge = 1400 * time.Millisecond
 
 // TestNoOldCommand has so many machines not answer that the commands under way are as many as
 // may be. A command that waits for its turn must not leave long after it was decided: what it
 // starts may be cancelled by then, and the right to start may have lapsed.
 func TestNoOldCommand(t *testing.T) {
-	n := alone(t, 64)
+	s := newIsolatedServer(t, 64)
 	silent := silentWorker(t)
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -48,27 +48,27 @@
 	}
 	defer ln.Close()
 	var mu sync.Mutex
-	var got []time.Time
+	var received []time.Time
 	go func() {
 		_ = fasthttp.Serve(ln, func(ctx *fasthttp.RequestCtx) {
 			mu.Lock()
-			got = append(got, time.Now())
+			received = append(received, time.Now())
 			mu.Unlock()
 			_, _ = io.WriteString(ctx, "{}")
 		})
 	}()
-	command := &agent.Command{Token: 1, Session: 1, Orders: []agent.Order{{Op: agent.Launch, Task: "j-000001/0", Attempt: 1}}}
-	for i := range 4 * cap(n.calls.telling) {
-		n.effect(controller.WorkerCall{ID: uint64(1000 + i), Addr: silent, Cmd: command})
+	command := &agent.CommandRequest{FencingToken: 1, Epoch: 1, Commands: []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: 1}}}
+	for i := range 4 * cap(s.outbound.commandSlots) {
+		s.execute(controller.AgentCall{CallID: uint64(1000 + i), Address: silent, Commands: command})
 	}
 	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
-	decided := time.Now()
-	n.effect(controller.WorkerCall{ID: 1, Addr: ln.Addr().String(), Cmd: command})
+	decidedAt := time.Now()
+	s.execute(controller.AgentCall{CallID: 1, Address: ln.Addr().String(), Commands: command})
 	time.Sleep(7 * time.Second)
 	mu.Lock()
 	defer mu.Unlock()
-	for _, at := range got {
-		if age := at.Sub(decided); age > commandAge {
+	for _, receivedAt := range received {
+		if age := receivedAt.Sub(decidedAt); age > maxCommandAge {
 			t.Errorf("a command left %v after it was decided", age)
 		}
 	}
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -10,161 +10,161 @@
 )
 
 // cloud rents machines.
-type cloudService struct {
-	w     *World
-	types []cloud.Type
-	left  map[string]int // offers: type/zone/spot -> machines still to be had
-	hires map[string][]string
-	rows  map[string]*row
-	next  int
-	down  bool
-	past  []snapshot
-	lag   units.Micros
-	boot  float64 // how many times longer machines take to come up
-	fail  float64 // chance that a machine never comes up
+type fakeCloud struct {
+	world           *World
+	machineTypes    []cloud.MachineType
+	available       map[string]int // offers: type/zone/spot -> machines still to be had
+	scaleOuts       map[string][]string
+	machines        map[string]*machine
+	nextMachine     int
+	down            bool
+	snapshots       []snapshot
+	listDelay       units.Micros
+	bootFactor      float64 // how many times longer machines take to come up
+	bootFailureRate float64 // chance that a machine never comes up
 }
 
-type row struct {
-	l    cloud.Listed
-	born units.Micros
+type machine struct {
+	listed    cloud.ListedMachine
+	createdAt units.Micros
 }
 
 type snapshot struct {
-	at   units.Micros
-	rows []cloud.Listed
+	at       units.Micros
+	machines []cloud.ListedMachine
 }
 
-func newCloud(w *World) *cloudService {
-	c := &cloudService{w: w, left: map[string]int{}, hires: map[string][]string{}, rows: map[string]*row{}, lag: 8 * units.Second, boot: 1}
-	w.every(units.Second, c.snap)
+func newCloud(w *World) *fakeCloud {
+	c := &fakeCloud{world: w, available: map[string]int{}, scaleOuts: map[string][]string{}, machines: map[string]*machine{}, listDelay: 8 * units.Second, bootFactor: 1}
+	w.every(units.Second, c.recordSnapshot)
 	return c
 }
 
-func offer(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
+func offerKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
 
-func (c *cloudService) typ(name string) *cloud.Type {
-	for i := range c.types {
-		if c.types[i].Name == name {
-			return &c.types[i]
+func (c *fakeCloud) machineType(name string) *cloud.MachineType {
+	for i := range c.machineTypes {
+		if c.machineTypes[i].Name == name {
+			return &c.machineTypes[i]
 		}
 	}
 	return nil
 }
 
-// snap remembers the list, which is shown late.
-func (c *cloudService) snap() {
-	s := snapshot{at: c.w.now}
-	for _, r := range c.rows {
-		l := r.l
-		l.AgeS = (c.w.now - r.born).Seconds()
-		s.rows = append(s.rows, l)
+// recordSnapshot remembers the list, which is shown late.
+func (c *fakeCloud) recordSnapshot() {
+	taken := snapshot{at: c.world.now}
+	for _, current := range c.machines {
+		listed := current.listed
+		listed.AgeSeconds = (c.world.now - current.createdAt).Seconds()
+		taken.machines = append(taken.machines, listed)
 	}
-	sort.Slice(s.rows, func(a, b int) bool { return s.rows[a].Name < s.rows[b].Name })
-	c.past = append(c.past, s)
-	if len(c.past) > 60 {
-		c.past = c.past[1:]
+	sort.Slice(taken.machines, func(a, b int) bool { return taken.machines[a].Name < taken.machines[b].Name })
+	c.snapshots = append(c.snapshots, taken)
+	if len(c.snapshots) > 60 {
+		c.snapshots = c.snapshots[1:]
 	}
 }
 
-func (c *cloudService) from(node string, e controller.CloudCall, done func(controller.CloudDone)) {
-	call(c.w, node, "cloud", 5*units.Second, func(answer func(controller.CloudDone)) {
-		d := controller.CloudDone{Status: 200}
+func (c *fakeCloud) call(caller string, request controller.CloudCall, done func(controller.CloudResult)) {
+	call(c.world, caller, "cloud", 5*units.Second, func(answer func(controller.CloudResult)) {
+		result := controller.CloudResult{Status: 200}
 		if c.down {
-			d.Status = 503
-			answer(d)
+			result.Status = 503
+			answer(result)
 			return
 		}
-		switch e.Op {
+		switch request.Op {
 		case controller.CloudCatalog:
-			d.Catalog.Types = c.types
-		case controller.CloudHire:
-			d.Names.Machines, d.Status = c.hire(e.Hire)
+			result.Catalog.Types = c.machineTypes
+		case controller.CloudRent:
+			result.Machines.Names, result.Status = c.scaleOut(request.Rental)
 		case controller.CloudDelete:
-			for _, n := range e.Names.Machines {
-				c.remove(n)
+			for _, name := range request.Machines.Names {
+				c.remove(name)
 			}
 		case controller.CloudList:
-			at := c.w.now - c.lag
-			if c.w.rng.Float64() < 0.1 {
-				at -= c.lag
+			at := c.world.now - c.listDelay
+			if c.world.rng.Float64() < 0.1 {
+				at -= c.listDelay
 			}
-			var s snapshot
-			for _, x := range c.past {
-				if x.at <= at {
-					s = x
+			var shown snapshot
+			for _, taken := range c.snapshots {
+				if taken.at <= at {
+					shown = taken
 				}
 			}
-			d.Page.Machines = s.rows
+			result.Page.Machines = shown.machines
 		}
-		answer(d)
-	}, func(d controller.CloudDone, ok bool) {
+		answer(result)
+	}, func(result controller.CloudResult, ok bool) {
 		if !ok {
-			d = controller.CloudDone{}
+			result = controller.CloudResult{}
 		}
-		d.ID = e.ID
-		done(d)
+		result.CallID = request.CallID
+		done(result)
 	})
 }
 
-func (c *cloudService) hire(h cloud.Hire) ([]string, int) {
-	if names, ok := c.hires[h.Name]; ok {
+func (c *fakeCloud) scaleOut(request cloud.RentalRequest) ([]string, int) {
+	if names, ok := c.scaleOuts[request.Name]; ok {
 		return names, 200
 	}
-	key := offer(h.Type, h.Zone, h.Spot)
-	n := min(h.Count, c.left[key])
-	t := c.typ(h.Type)
-	if t == nil || h.Count < 1 || h.Count > 50 {
+	key := offerKey(request.Type, request.Zone, request.Spot)
+	count := min(request.Count, c.available[key])
+	machineType := c.machineType(request.Type)
+	if machineType == nil || request.Count < 1 || request.Count > 50 {
 		return nil, 400
 	}
-	if n == 0 {
+	if count == 0 {
 		return nil, 503
 	}
-	c.left[key] -= n
+	c.available[key] -= count
 	var names []string
-	for range n {
-		name := c.create(h.Type, h.Zone, h.Spot)
+	for range count {
+		name := c.create(request.Type, request.Zone, request.Spot)
 		names = append(names, name)
-		if c.w.rng.Float64() < c.fail {
+		if c.world.rng.Float64() < c.bootFailureRate {
 			continue
 		}
-		boot := units.FromSeconds(t.BootS * (0.6 + 0.9*c.w.rng.Float64()) * c.boot)
-		c.w.after(boot, func() { c.up(name) })
+		boot := units.FromSeconds(machineType.BootSeconds * (0.6 + 0.9*c.world.rng.Float64()) * c.bootFactor)
+		c.world.after(boot, func() { c.bootCompleted(name) })
 	}
-	c.hires[h.Name] = names
+	c.scaleOuts[request.Name] = names
 	return names, 200
 }
 
-func (c *cloudService) create(typ, zone string, spot bool) string {
-	name := fmt.Sprintf("n-%06d", c.next)
-	c.next++
-	c.rows[name] = &row{l: cloud.Listed{Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: cloud.Starting}, born: c.w.now}
+func (c *fakeCloud) create(typ, zone string, spot bool) string {
+	name := fmt.Sprintf("n-%06d", c.nextMachine)
+	c.nextMachine++
+	c.machines[name] = &machine{listed: cloud.ListedMachine{Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: cloud.Starting}, createdAt: c.world.now}
 	return name
 }
 
-func (c *cloudService) up(name string) {
-	r := c.rows[name]
-	if r == nil {
+func (c *fakeCloud) bootCompleted(name string) {
+	listing := c.machines[name]
+	if listing == nil {
 		return
 	}
-	r.l.State = cloud.Running
-	c.w.addWorker(name, r.l, c.typ(r.l.Type))
+	listing.listed.State = cloud.Running
+	c.world.addWorker(name, listing.listed, c.machineType(listing.listed.Type))
 }
 
 // remove takes a machine away at once, with all that is on it.
-func (c *cloudService) remove(name string) {
-	if r := c.rows[name]; r != nil {
-		c.left[offer(r.l.Type, r.l.Zone, r.l.Spot)]++
-		delete(c.rows, name)
+func (c *fakeCloud) remove(name string) {
+	if listing := c.machines[name]; listing != nil {
+		c.available[offerKey(listing.listed.Type, listing.listed.Zone, listing.listed.Spot)]++
+		delete(c.machines, name)
 	}
-	c.w.removeWorker(name)
+	c.world.removeWorker(name)
 }
 
-// die stops a machine; the list shows it as running for a while.
-func (c *cloudService) die(name string) {
-	c.w.removeWorker(name)
-	c.w.after(30*units.Second, func() {
-		if r := c.rows[name]; r != nil {
-			r.l.State = cloud.Failed
+// crash stops a machine; the list shows it as running for a while.
+func (c *fakeCloud) crash(name string) {
+	c.world.removeWorker(name)
+	c.world.after(30*units.Second, func() {
+		if listing := c.machines[name]; listing != nil {
+			listing.listed.State = cloud.Failed
 		}
 	})
 }
--- a/internal/simulator/chaos_test.go
+++ b/internal/simulator/random_faults_test.go
@@ -11,16 +11,16 @@
 	"testing"
 )
 
-// picker draws one of some words.
-func picker(rng *rand.Rand) func(words ...string) string {
+// chooser draws one of some words.
+func chooser(rng *rand.Rand) func(words ...string) string {
 	return func(words ...string) string { return words[rng.IntN(len(words))] }
 }
 
-// chaos writes a scenario of random jobs and overlapping troubles.
-func chaos(seed uint64) string {
+// overlappingFaults writes a scenario of random jobs and overlapping troubles.
+func overlappingFaults(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var b strings.Builder
-	pick := picker(rng)
+	pick := chooser(rng)
 	fmt.Fprintf(&b, "set nodes=%d end=420 seed=%d flaky=%.3f keep=%s copies=%s lease=%s cancel=%s value=%s\n", 2+rng.IntN(3), seed, rng.Float64()*0.06,
 		pick("20", "10000"), pick("0", "0.1"), pick("12", "22"), pick("40", "47"), pick("4", "100")) // large values: many machines in one document
 	b.WriteString("team red cpus=20 max=40\nteam blue max=60\nteam green cpus=30\n")
@@ -46,48 +46,48 @@
 		id++
 	}
 	for range 12 {
-		at, d := 3+rng.Float64()*280, 3+rng.Float64()*40
+		at, duration := 3+rng.Float64()*280, 3+rng.Float64()*40
 		switch rng.IntN(14) {
 		case 0:
 			fmt.Fprintf(&b, "at %.1f crash node0 for=%.1f\n", at, 0.2+rng.Float64()*8)
 		case 1:
 			fmt.Fprintf(&b, "at %.1f roll every=%.1f for=%.1f\n", at, 1+rng.Float64()*15, 0.2+rng.Float64()*6)
 		case 2:
-			fmt.Fprintf(&b, "at %.1f hang busiest for=%.1f\n", at, d)
+			fmt.Fprintf(&b, "at %.1f hang busiest for=%.1f\n", at, duration)
 		case 3:
-			fmt.Fprintf(&b, "at %.1f cut node%d state for=%.1f mode=%s\n", at, rng.IntN(2), d, pick("hold", "drop"))
+			fmt.Fprintf(&b, "at %.1f cut node%d state for=%.1f mode=%s\n", at, rng.IntN(2), duration, pick("hold", "drop"))
 		case 4:
-			fmt.Fprintf(&b, "at %.1f cut node* n-* for=%.1f mode=%s\n", at, d/2, pick("hold", "drop"))
+			fmt.Fprintf(&b, "at %.1f cut node* n-* for=%.1f mode=%s\n", at, duration/2, pick("hold", "drop"))
 		case 5:
-			fmt.Fprintf(&b, "at %.1f cut node0 * for=%.1f mode=%s\n", at, d, pick("hold", "drop"))
+			fmt.Fprintf(&b, "at %.1f cut node0 * for=%.1f mode=%s\n", at, duration, pick("hold", "drop"))
 		case 6:
-			fmt.Fprintf(&b, "at %.1f outage for=%.1f\n", at, d)
+			fmt.Fprintf(&b, "at %.1f outage for=%.1f\n", at, duration)
 		case 7:
-			fmt.Fprintf(&b, "at %.1f refuse node0 for=%.1f\n", at, d)
+			fmt.Fprintf(&b, "at %.1f refuse node0 for=%.1f\n", at, duration)
 		case 8:
-			fmt.Fprintf(&b, "at %.1f sick busiest for=%.1f\n", at, d)
+			fmt.Fprintf(&b, "at %.1f sick busiest for=%.1f\n", at, duration)
 		case 9:
-			fmt.Fprintf(&b, "at %.1f %s busiest for=%.1f\n", at, pick("die", "notice", "take", "reboot"), d)
+			fmt.Fprintf(&b, "at %.1f %s busiest for=%.1f\n", at, pick("die", "notice", "take", "reboot"), duration)
 		case 10:
-			fmt.Fprintf(&b, "at %.1f cut n-00000%d * for=%.1f mode=deaf\n", at, 1+rng.IntN(5), d*2)
+			fmt.Fprintf(&b, "at %.1f cut n-00000%d * for=%.1f mode=deaf\n", at, 1+rng.IntN(5), duration*2)
 		case 11: // workers are all that this controller reaches
-			fmt.Fprintf(&b, "at %.1f cut node0 state for=%.1f\nat %.1f cut node0 node* for=%.1f\n", at, d*2, at, d*2)
+			fmt.Fprintf(&b, "at %.1f cut node0 state for=%.1f\nat %.1f cut node0 node* for=%.1f\n", at, duration*2, at, duration*2)
 		case 12:
 			fmt.Fprintf(&b, "at %.1f crash node0,node1 for=%.2f\nat %.1f crash node0 for=%.2f\n", at, rng.Float64(), at+rng.Float64()*4, rng.Float64())
 		case 13:
-			fmt.Fprintf(&b, "at %.1f cloud_outage for=%.1f\nat %.1f cut node1 n-* for=%.1f mode=hold\n", at, d, at+1, d)
+			fmt.Fprintf(&b, "at %.1f cloud_outage for=%.1f\nat %.1f cut node1 n-* for=%.1f mode=hold\n", at, duration, at+1, duration)
 		}
 	}
 	return b.String()
 }
 
-// fleet writes a scenario of a fleet that fills many documents, in two zones, with
+// largeFleet writes a scenario of a fleet that fills many documents, in two zones, with
 // troubles that take many machines or all controllers at once, within moments of
 // each other.
-func fleet(seed uint64) string {
+func largeFleet(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var b strings.Builder
-	pick := picker(rng)
+	pick := chooser(rng)
 	fmt.Fprintf(&b, "set nodes=5 end=460 seed=%d flaky=%.3f copies=%s report=%s lease=31 cancel=56 value=%s writes=35 ops=%s\n", seed, rng.Float64()*0.02,
 		pick("0", "0.02"), pick("6", "10"), pick("2", "4", "16"), pick("12", "32"))
 	b.WriteString("team red cpus=300 max=1300\nteam blue\nteam green cpus=200 max=1100\n")
@@ -128,33 +128,33 @@
 	at := 20.0
 	for at < 300 {
 		for n := 1 + rng.IntN(3); n > 0; n-- { // some together
-			t, d := at+rng.Float64()*8, 5+rng.Float64()*60
+			t, duration := at+rng.Float64()*8, 5+rng.Float64()*60
 			node := fmt.Sprintf("node%d", rng.IntN(5))
 			switch rng.IntN(13) {
 			case 0, 1:
-				fmt.Fprintf(&b, "at %.1f crash node0,node1,node2,node3,node4 for=%.2f\n", t, either(rng, 0.2, 6))
+				fmt.Fprintf(&b, "at %.1f crash node0,node1,node2,node3,node4 for=%.2f\n", t, aboutOneOf(rng, 0.2, 6))
 			case 2:
-				fmt.Fprintf(&b, "at %.1f crash %s for=%.2f\nat %.1f crash %s for=%.2f\n", t, node, either(rng, 0.2, 6), t+rng.Float64()*7, node, either(rng, 0.2, 6))
+				fmt.Fprintf(&b, "at %.1f crash %s for=%.2f\nat %.1f crash %s for=%.2f\n", t, node, aboutOneOf(rng, 0.2, 6), t+rng.Float64()*7, node, aboutOneOf(rng, 0.2, 6))
 			case 3:
-				fmt.Fprintf(&b, "at %.1f roll every=%.1f for=%.2f\n", t, 2+rng.Float64()*13, either(rng, 0.2, 6))
+				fmt.Fprintf(&b, "at %.1f roll every=%.1f for=%.2f\n", t, 2+rng.Float64()*13, aboutOneOf(rng, 0.2, 6))
 			case 4:
-				fmt.Fprintf(&b, "at %.1f zonecut %s for=%.1f mode=%s\n", t, pick("a", "b"), d, pick("hold", "drop"))
+				fmt.Fprintf(&b, "at %.1f zonecut %s for=%.1f mode=%s\n", t, pick("a", "b"), duration, pick("hold", "drop"))
 			case 5:
-				fmt.Fprintf(&b, "at %.1f lose n=%d for=%.1f mode=%s\n", t, 5+rng.IntN(50), d, pick("hold", "drop"))
+				fmt.Fprintf(&b, "at %.1f lose n=%d for=%.1f mode=%s\n", t, 5+rng.IntN(50), duration, pick("hold", "drop"))
 			case 6:
-				fmt.Fprintf(&b, "at %.1f hang any n=%d for=%.1f\n", t, 5+rng.IntN(30), d)
+				fmt.Fprintf(&b, "at %.1f hang any n=%d for=%.1f\n", t, 5+rng.IntN(30), duration)
 			case 7:
 				fmt.Fprintf(&b, "at %.1f die any n=%d for=30\n", t, 2+rng.IntN(18))
 			case 8:
-				fmt.Fprintf(&b, "at %.1f freeze %s for=%.1f\n", t, node, d)
+				fmt.Fprintf(&b, "at %.1f freeze %s for=%.1f\n", t, node, duration)
 			case 9:
-				fmt.Fprintf(&b, "at %.1f outage for=%.1f\n", t, d/3)
+				fmt.Fprintf(&b, "at %.1f outage for=%.1f\n", t, duration/3)
 			case 10:
-				fmt.Fprintf(&b, "at %.1f cut %s state for=%.1f mode=%s\nat %.1f cut %s node* for=%.1f\n", t, node, d, pick("hold", "drop"), t, node, d)
+				fmt.Fprintf(&b, "at %.1f cut %s state for=%.1f mode=%s\nat %.1f cut %s node* for=%.1f\n", t, node, duration, pick("hold", "drop"), t, node, duration)
 			case 11:
-				fmt.Fprintf(&b, "at %.1f cut %s n-* for=%.1f mode=%s\nat %.1f reboot any n=%d\n", t, node, d, pick("hold", "drop"), t, 1+rng.IntN(8))
+				fmt.Fprintf(&b, "at %.1f cut %s n-* for=%.1f mode=%s\nat %.1f reboot any n=%d\n", t, node, duration, pick("hold", "drop"), t, 1+rng.IntN(8))
 			case 12:
-				fmt.Fprintf(&b, "at %.1f cut node* node* for=%.1f\nat %.1f refuse %s for=%.1f\n", t, d, t, node, d)
+				fmt.Fprintf(&b, "at %.1f cut node* node* for=%.1f\nat %.1f refuse %s for=%.1f\n", t, duration, t, node, duration)
 			}
 		}
 		at += 15 + rng.Float64()*45
@@ -162,8 +162,8 @@
 	return b.String()
 }
 
-// meetingJobs writes what the users of a day of meetings submit.
-func meetingJobs(b *strings.Builder, rng *rand.Rand, pick func(of ...string) string) {
+// writeJobs writes what the users of a day of meetings submit.
+func writeJobs(b *strings.Builder, rng *rand.Rand, pick func(of ...string) string) {
 	for i := range 34 {
 		n := 1 + rng.IntN(12)
 		if rng.IntN(3) == 0 {
@@ -178,93 +178,99 @@
 	}
 }
 
-// meetings writes a scenario in which troubles meet in pairs, within seconds of each
+// coincidingFaults writes a scenario in which troubles meet in pairs, within seconds of each
 // other: those of the operators' list, on a small fleet with leases and cancellations
 // of the sites' lengths.
-func meetings(seed uint64) string {
+func coincidingFaults(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var b strings.Builder
-	pick := picker(rng)
+	pick := chooser(rng)
 	times := pick("report=1 lease=11 cancel=36", "report=3 lease=22 cancel=47", "report=6 lease=31 cancel=56", "report=3 lease=42 cancel=62")
 	fmt.Fprintf(&b, "set nodes=%s end=520 seed=%d flaky=%s copies=%s value=%s writes=%s ops=%s keep=%s %s\n", pick("3", "3", "5"), seed,
 		pick("0", "0", "0.02"), pick("0", "0.05"), pick("2", "4", "8"), pick("25", "40"), pick("12", "32"), pick("40", "10000"), times)
 	b.WriteString("team red cpus=40 max=90\nteam blue max=70\nteam green cpus=30\n")
 	b.WriteString("type big cpus=16 mem=64 zones=a,b count=8 spot=4 fetch=0.3 boot=20\ntype small cpus=4 mem=16 zones=a,b count=6 boot=20\n")
 	b.WriteString("machines big n=5 zone=a\nmachines big n=4 zone=b\nmachines small n=3 zone=b\n")
-	meetingJobs(&b, rng, pick)
+	writeJobs(&b, rng, pick)
 	node := func() string { return fmt.Sprintf("node%d", rng.IntN(3)) }
 	say := func(t float64, format string, args ...any) {
 		fmt.Fprintf(&b, "at %.2f "+format+"\n", append([]any{max(t, 0.5)}, args...)...)
 	}
 	mode := func() string { return pick("hold", "drop") }
 	brief := func() float64 { return 0.15 + rng.Float64()*0.8 }
-	kinds := []func(t, d float64){
-		func(t, d float64) { // the gap
+	kinds := []func(t, duration float64){
+		func(t, duration float64) { // the gap
 			n := node()
 			if rng.IntN(2) == 0 {
-				say(t, "refuse %s for=%.1f", n, 4+d/4)
+				say(t, "refuse %s for=%.1f", n, 4+duration/4)
 			} else {
-				say(t, "cut %s state for=%.1f mode=%s", n, 4+d/4, mode())
+				say(t, "cut %s state for=%.1f mode=%s", n, 4+duration/4, mode())
 			}
-			say(t+rng.Float64()*3-1, "cancel_now count=%d hang=%.1f", 1+rng.IntN(5), float64(rng.IntN(2))*d/3)
-			say(t+1+rng.Float64()*2, "outage for=%.1f", 20+d)
+			say(t+rng.Float64()*3-1, "cancel_now count=%d hang=%.1f", 1+rng.IntN(5), float64(rng.IntN(2))*duration/3)
+			say(t+1+rng.Float64()*2, "outage for=%.1f", 20+duration)
 			if rng.IntN(2) == 0 {
-				say(t+20+d, "blind %s for=%.1f", n, rng.Float64()*4)
+				say(t+20+duration, "blind %s for=%.1f", n, rng.Float64()*4)
 			}
 		},
-		func(t, d float64) { // a leader apart
+		func(t, duration float64) { // a leader apart
 			n := node()
-			say(t, "cut %s state for=%.1f mode=%s", n, d, mode())
-			say(t, "cut %s node* for=%.1f", n, d)
+			say(t, "cut %s state for=%.1f mode=%s", n, duration, mode())
+			say(t, "cut %s node* for=%.1f", n, duration)
 			say(t+6+rng.Float64()*8, "cancel_now count=%d", 1+rng.IntN(4))
 		},
-		func(t, d float64) { say(t, "late_writes share=%.2f for=%.1f", 0.1+rng.Float64()*0.5, d*2) },
-		func(t, d float64) { // many leaders
+		func(t, duration float64) {
+			say(t, "late_writes share=%.2f for=%.1f", 0.1+rng.Float64()*0.5, duration*2)
+		},
+		func(t, duration float64) { // many leaders
 			for i := range 6 {
-				say(t+float64(i)*d/6, "crash %s for=%.2f", node(), either(rng, 0.2, 5))
+				say(t+float64(i)*duration/6, "crash %s for=%.2f", node(), aboutOneOf(rng, 0.2, 5))
 			}
 		},
-		func(t, d float64) { say(t, "cut node* n-* mode=mute for=%.1f", d) },
-		func(t, d float64) { say(t, "cut %s n-* mode=mute for=%.1f", node(), d) },
-		func(t, d float64) { say(t, "zonecut %s mode=%s for=%.1f", pick("a", "b"), mode(), d) },
-		func(t, d float64) { // reports held back across a take-over
+		func(t, duration float64) { say(t, "cut node* n-* mode=mute for=%.1f", duration) },
+		func(t, duration float64) { say(t, "cut %s n-* mode=mute for=%.1f", node(), duration) },
+		func(t, duration float64) { say(t, "zonecut %s mode=%s for=%.1f", pick("a", "b"), mode(), duration) },
+		func(t, duration float64) { // reports held back across a take-over
 			n := node()
-			say(t, "cut %s n-* mode=hold for=%.1f", n, d/2)
-			say(t+rng.Float64()*d/2, "crash %s for=%.2f", node(), brief())
+			say(t, "cut %s n-* mode=hold for=%.1f", n, duration/2)
+			say(t+rng.Float64()*duration/2, "crash %s for=%.2f", node(), brief())
+		},
+		func(t, duration float64) {
+			say(t, "late_reports share=%.2f for=%.1f", 0.1+rng.Float64()*0.4, duration*2)
 		},
-		func(t, d float64) { say(t, "late_reports share=%.2f for=%.1f", 0.1+rng.Float64()*0.4, d*2) },
-		func(t, d float64) { // all end, and one returns
-			say(t, "crash node0,node1,node2 for=%.2f", either(rng, 0.3, 8))
+		func(t, duration float64) { // all end, and one returns
+			say(t, "crash node0,node1,node2 for=%.2f", aboutOneOf(rng, 0.3, 8))
 			say(t+1+rng.Float64(), "crash %s for=%.2f", node(), brief())
 		},
-		func(t, d float64) { // machines that can't be asked, and cancellations
-			say(t, "lose n=%d mode=%s for=%.1f", 1+rng.IntN(5), mode(), d)
-			say(t+rng.Float64()*4, "crash %s for=%.2f", node(), either(rng, 0.3, 6))
+		func(t, duration float64) { // machines that can't be asked, and cancellations
+			say(t, "lose n=%d mode=%s for=%.1f", 1+rng.IntN(5), mode(), duration)
+			say(t+rng.Float64()*4, "crash %s for=%.2f", node(), aboutOneOf(rng, 0.3, 6))
 			say(t+rng.Float64()*8, "cancel_now count=%d", 1+rng.IntN(3))
 		},
-		func(t, d float64) { say(t, "cut n-00000%d * mode=deaf for=%.1f", rng.IntN(9), d*2) },
-		func(t, d float64) { say(t, "slow_state by=%.2f for=%.1f", rng.Float64()*0.6, d) },
-		func(t, d float64) {
-			say(t, "cancel_at_end share=%.1f for=%.1f", 0.2+rng.Float64()*0.6, d)
-			say(t, "odd for=%.1f", d)
+		func(t, duration float64) { say(t, "cut n-00000%d * mode=deaf for=%.1f", rng.IntN(9), duration*2) },
+		func(t, duration float64) { say(t, "slow_state by=%.2f for=%.1f", rng.Float64()*0.6, duration) },
+		func(t, duration float64) {
+			say(t, "cancel_at_end share=%.1f for=%.1f", 0.2+rng.Float64()*0.6, duration)
+			say(t, "odd for=%.1f", duration)
+		},
+		func(t, duration float64) { // commands or answers held up, machines that hang and go on
+			say(t, "cut %s %s mode=hold for=%.1f", pick("node*", "n-*"), pick("n-*", "node*"), 2+duration/6)
+			say(t+rng.Float64()*3, "cancel_now count=%d hang=%.1f", 1+rng.IntN(4), 2+duration/3)
 		},
-		func(t, d float64) { // commands or answers held up, machines that hang and go on
-			say(t, "cut %s %s mode=hold for=%.1f", pick("node*", "n-*"), pick("n-*", "node*"), 2+d/6)
-			say(t+rng.Float64()*3, "cancel_now count=%d hang=%.1f", 1+rng.IntN(4), 2+d/3)
+		func(t, duration float64) { say(t, "hang any n=%d for=%.1f", 1+rng.IntN(5), duration) },
+		func(t, duration float64) {
+			say(t, "%s any n=%d for=%.1f", pick("die", "reboot", "sick", "notice"), 1+rng.IntN(3), duration)
 		},
-		func(t, d float64) { say(t, "hang any n=%d for=%.1f", 1+rng.IntN(5), d) },
-		func(t, d float64) {
-			say(t, "%s any n=%d for=%.1f", pick("die", "reboot", "sick", "notice"), 1+rng.IntN(3), d)
+		func(t, duration float64) { say(t, "crash node0,node1,node2,node%d for=%.1f", rng.IntN(3), 10+duration) }, // all away
+		func(t, duration float64) { say(t, "freeze %s for=%.1f", node(), duration) },
+		func(t, duration float64) { say(t, "blind %s for=%.1f", node(), duration) },
+		func(t, duration float64) {
+			say(t, "roll every=%.1f for=%.2f", 1+rng.Float64()*12, aboutOneOf(rng, 0.3, 6))
 		},
-		func(t, d float64) { say(t, "crash node0,node1,node2,node%d for=%.1f", rng.IntN(3), 10+d) }, // all away
-		func(t, d float64) { say(t, "freeze %s for=%.1f", node(), d) },
-		func(t, d float64) { say(t, "blind %s for=%.1f", node(), d) },
-		func(t, d float64) { say(t, "roll every=%.1f for=%.2f", 1+rng.Float64()*12, either(rng, 0.3, 6)) },
-		func(t, d float64) { say(t, "cloud_outage for=%.1f", d) },
-		func(t, d float64) { say(t, "cut node* node* for=%.1f", d) },
-		func(t, d float64) {
-			say(t, "outage for=%.1f", d)
-			say(t+rng.Float64()*d, "crash %s for=%.2f", node(), brief())
+		func(t, duration float64) { say(t, "cloud_outage for=%.1f", duration) },
+		func(t, duration float64) { say(t, "cut node* node* for=%.1f", duration) },
+		func(t, duration float64) {
+			say(t, "outage for=%.1f", duration)
+			say(t+rng.Float64()*duration, "crash %s for=%.2f", node(), brief())
 		},
 	}
 	for at := 25 + rng.Float64()*20; at < 230; at += 40 + rng.Float64()*50 {
@@ -275,27 +281,27 @@
 	return b.String()
 }
 
-// either is about one of two lengths.
-func either(rng *rand.Rand, x, y float64) float64 {
+// aboutOneOf is about one of two lengths.
+func aboutOneOf(rng *rand.Rand, x, y float64) float64 {
 	if rng.IntN(2) == 0 {
 		return x * (1 + rng.Float64())
 	}
 	return y * (1 + rng.Float64())
 }
 
-// playSeeds plays random days; the variable named env may hold other seeds, FROM-TO.
-func playSeeds(t *testing.T, write func(seed uint64) string, env string, from, to int) {
-	if v := os.Getenv(env); v != "" {
-		a, z, _ := strings.Cut(v, "-")
-		from, _ = strconv.Atoi(a)
-		to, _ = strconv.Atoi(z)
+// runSeeds plays random days; the variable named env may hold other seeds, FROM-TO.
+func runSeeds(t *testing.T, write func(seed uint64) string, env string, from, to int) {
+	if value := os.Getenv(env); value != "" {
+		first, last, _ := strings.Cut(value, "-")
+		from, _ = strconv.Atoi(first)
+		to, _ = strconv.Atoi(last)
 	}
 	for seed := from; seed <= to; seed++ {
-		playSeed(t, write, seed)
+		runSeed(t, write, seed)
 	}
 }
 
-func playSeed(t *testing.T, write func(seed uint64) string, seed int) {
+func runSeed(t *testing.T, write func(seed uint64) string, seed int) {
 	t.Run(fmt.Sprint(seed), func(t *testing.T) {
 		t.Parallel()
 		text := write(uint64(seed))
@@ -309,8 +315,8 @@
 		if err != nil && !strings.Contains(err.Error(), "no machine") {
 			t.Fatalf("%v\n%s", err, text)
 		}
-		for _, x := range bad {
-			t.Error(x)
+		for _, violated := range bad {
+			t.Error(violated)
 		}
 		if (t.Failed() || testing.Verbose()) && os.Getenv("SCENARIO_LOG") != "" {
 			t.Log("\n" + text + log.String())
@@ -319,27 +325,27 @@
 }
 
 // TestChaos plays random days of small fleets.
-func TestChaos(t *testing.T) { playSeeds(t, chaos, "CHAOS", 1, 20) }
+func TestChaos(t *testing.T) { runSeeds(t, overlappingFaults, "CHAOS", 1, 20) }
 
 // TestMeetings plays random days on which troubles meet in pairs.
-func TestMeetings(t *testing.T) { playSeeds(t, meetings, "MEETINGS", 1, 24) }
+func TestMeetings(t *testing.T) { runSeeds(t, coincidingFaults, "MEETINGS", 1, 24) }
 
 // TestMeetingsFound plays the days on which a rule was broken once: 585 a team's limit,
 // the others left tasks waiting beside room for them.
 func TestMeetingsFound(t *testing.T) {
 	for _, seed := range []int{47, 286, 315, 335, 396, 585, 771, 812, 827, 1144} {
-		playSeed(t, meetings, seed)
+		runSeed(t, coincidingFaults, seed)
 	}
 }
 
 // TestFleets plays random days of large ones.
-func TestFleets(t *testing.T) { playSeeds(t, fleet, "FLEETS", 1, 4) }
+func TestFleets(t *testing.T) { runSeeds(t, largeFleet, "FLEETS", 1, 4) }
 
-// heldAnswers writes a day of meetings on which answers to reports are held up as well.
-func heldAnswers(seed uint64) string {
+// delayedAnswers writes a day of meetings on which answers to reports are held up as well.
+func delayedAnswers(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 17))
 	var b strings.Builder
-	b.WriteString(meetings(seed))
+	b.WriteString(coincidingFaults(seed))
 	for range 2 {
 		fmt.Fprintf(&b, "at %.1f slow_answers by=%.1f for=%.1f\n", 10+rng.Float64()*200, 1+rng.Float64()*2.9, 20+rng.Float64()*80)
 	}
@@ -347,43 +353,43 @@
 }
 
 // TestHeldAnswers plays random days with answers that are held up.
-func TestHeldAnswers(t *testing.T) { playSeeds(t, heldAnswers, "HELD", 1, 6) }
+func TestHeldAnswers(t *testing.T) { runSeeds(t, delayedAnswers, "HELD", 1, 6) }
 
-// upgrades writes a day of meetings that begins with the version before: its controllers are
+// rollingUpgrade writes a day of meetings that begins with the version before: its controllers are
 // killed one after the other and come back new, and afterwards users submit chains, and the
 // limits of the state service fall without notice. Troubles meet all the while.
-func upgrades(seed uint64) string {
+func rollingUpgrade(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 19))
-	pick := picker(rng)
+	pick := chooser(rng)
 	var b strings.Builder
-	day := meetings(seed)
+	day := coincidingFaults(seed)
 	if seed%6 == 0 { // a fleet that fills its documents
-		day = fleet(seed)
+		day = largeFleet(seed)
 	}
 	first, rest, _ := strings.Cut(day, "\n")
 	first = regexp.MustCompile(`value=\d+`).ReplaceAllString(first, "value="+pick("4", "100", "100")) // the larger, the fuller the documents
 	fmt.Fprintf(&b, "%s old=yes nextvalue=%s nextops=%s nextwrites=%s\n%s", first, pick("1", "2", "2"), pick("4", "10"), pick("18", "28"), rest)
 	at, every := 15+rng.Float64()*40, 4+rng.Float64()*12
-	fmt.Fprintf(&b, "at %.1f upgrade every=%.1f for=%.1f\n", at, every, either(rng, 0.3, 5))
+	fmt.Fprintf(&b, "at %.1f upgrade every=%.1f for=%.1f\n", at, every, aboutOneOf(rng, 0.3, 5))
 	done := at + 5*every + 25
 	fmt.Fprintf(&b, "at %.1f limits\n", done+rng.Float64()*120)
 	pipelines := 5
 	if seed%6 == 0 {
 		pipelines = 12
 	}
-	chains(&b, rng, pick, pipelines, done)
+	writePipelines(&b, rng, pick, pipelines, done)
 	b.WriteString("expect format is=1\nexpect small\n")
 	return b.String()
 }
 
-// chains writes pipelines as users submit them from some moment on: each link as soon as those
+// writePipelines writes pipelines as users submit them from some moment on: each link as soon as those
 // that it needs are accepted, some cancelled in the middle, some with links that come late.
-func chains(b *strings.Builder, rng *rand.Rand, pick func(of ...string) string, pipelines int, from float64) {
+func writePipelines(b *strings.Builder, rng *rand.Rand, pick func(of ...string) string, pipelines int, from float64) {
 	for i := range pipelines {
 		at := from + rng.Float64()*150
-		id := func(k int) string { return fmt.Sprintf("j-%06d", 200+i*10+k) }
-		link := func(t float64, k, n, run int, grade, needs string) {
-			fmt.Fprintf(b, "at %.1f submit %s n=%d run=%d team=%s cpus=%s grade=%s spot=%s gb=%s needs=%s class=link%d\n", t, id(k), n, run, pick("red", "blue", "green"), pick("1", "2"), grade, pick("yes", "no"), pick("0.2", "1"), needs, k)
+		id := func(step int) string { return fmt.Sprintf("j-%06d", 200+i*10+step) }
+		link := func(t float64, step, n, run int, grade, needs string) {
+			fmt.Fprintf(b, "at %.1f submit %s n=%d run=%d team=%s cpus=%s grade=%s spot=%s gb=%s needs=%s class=link%d\n", t, id(step), n, run, pick("red", "blue", "green"), pick("1", "2"), grade, pick("yes", "no"), pick("0.2", "1"), needs, step)
 		}
 		link(at, 0, 1+rng.IntN(4), 3+rng.IntN(10), "best_effort", "")
 		link(at, 1, 1+rng.IntN(12), 5+rng.IntN(20), "best_effort", id(0))
@@ -405,9 +411,9 @@
 // large for ever.
 func TestUpgradesFound(t *testing.T) {
 	for _, seed := range []int{84, 197} { // 12 is among those below
-		playSeed(t, upgrades, seed)
+		runSeed(t, rollingUpgrade, seed)
 	}
 }
 
 // TestUpgrades plays random days on which a new version takes over.
-func TestUpgrades(t *testing.T) { playSeeds(t, upgrades, "UPGRADES", 1, 12) }
+func TestUpgrades(t *testing.T) { runSeeds(t, rollingUpgrade, "UPGRADES", 1, 12) }
