--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -15,28 +15,28 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// args are a line's words: positional ones, and name=value pairs.
-type args struct {
-	pos []string
-	kv  map[string]string
-	err error
+// arguments are a line's words: positional ones, and name=value pairs.
+type arguments struct {
+	words   []string
+	options map[string]string
+	err     error
 }
 
-func parseArgs(words []string) *args {
-	a := &args{kv: map[string]string{}}
-	for _, w := range words {
-		if k, v, ok := strings.Cut(w, "="); ok {
-			a.kv[k] = v
+func parseArgs(words []string) *arguments {
+	a := &arguments{options: map[string]string{}}
+	for _, word := range words {
+		if key, value, ok := strings.Cut(word, "="); ok {
+			a.options[key] = value
 		} else {
-			a.pos = append(a.pos, w)
+			a.words = append(a.words, word)
 		}
 	}
 	return a
 }
 
-func (a *args) str(i int) string {
-	if i < len(a.pos) {
-		return a.pos[i]
+func (a *arguments) word(i int) string {
+	if i < len(a.words) {
+		return a.words[i]
 	}
 	if a.err == nil {
 		a.err = fmt.Errorf("word %d is missing", i+1)
@@ -44,247 +44,249 @@
 	return ""
 }
 
-func (a *args) num(key string, def float64) float64 {
-	v, ok := a.kv[key]
+func (a *arguments) number(key string, def float64) float64 {
+	text, ok := a.options[key]
 	if !ok {
 		return def
 	}
-	x, err := strconv.ParseFloat(v, 64)
+	number, err := strconv.ParseFloat(text, 64)
 	if err != nil && a.err == nil {
-		a.err = fmt.Errorf("%s=%s: not a number", key, v)
+		a.err = fmt.Errorf("%s=%s: not a number", key, text)
 	}
-	return x
+	return number
 }
 
-func (a *args) val(key, def string) string {
-	if v, ok := a.kv[key]; ok {
-		return v
+func (a *arguments) text(key, def string) string {
+	if value, ok := a.options[key]; ok {
+		return value
 	}
 	return def
 }
 
-func (a *args) dur(key string, def float64) units.Micros { return units.FromSeconds(a.num(key, def)) }
+func (a *arguments) duration(key string, def float64) units.Micros {
+	return units.FromSeconds(a.number(key, def))
+}
 
 // Scenario is a parsed text file; see testdata/README.md for the format.
 type Scenario struct {
-	seed    uint64
-	nodes   int
-	end     units.Micros
-	set     *args
-	teams   []config.Team
-	types   []cloud.Type
-	left    map[string]int
-	initial []*args
-	steps   []step
-	expects []expect
+	seed         uint64
+	controllers  int
+	end          units.Micros
+	settings     *arguments
+	teams        []config.Team
+	machineTypes []cloud.MachineType
+	offers       map[string]int
+	machines     []*arguments
+	steps        []step
+	expectations []expectation
 
 	Trace *Trace // records what controllers send; may be nil
 }
 
 type step struct {
-	at units.Micros
-	do string
-	a  *args
+	at   units.Micros
+	kind string
+	args *arguments
 }
 
-type expect struct {
+type expectation struct {
 	line string
-	a    *args
+	args *arguments
 }
 
 // Parse reads a scenario.
 func Parse(r io.Reader) (*Scenario, error) {
-	s := &Scenario{seed: 1, nodes: 3, end: 120 * units.Second, set: parseArgs(nil), left: map[string]int{}}
-	sc := bufio.NewScanner(r)
-	for n := 1; sc.Scan(); n++ {
-		line, _, _ := strings.Cut(sc.Text(), "#")
+	s := &Scenario{seed: 1, controllers: 3, end: 120 * units.Second, settings: parseArgs(nil), offers: map[string]int{}}
+	scanner := bufio.NewScanner(r)
+	for number := 1; scanner.Scan(); number++ {
+		line, _, _ := strings.Cut(scanner.Text(), "#")
 		words := strings.Fields(line)
 		if len(words) == 0 {
 			continue
 		}
-		if err := s.line(words); err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
+		if err := s.parseLine(words); err != nil {
+			return nil, fmt.Errorf("line %d: %w", number, err)
 		}
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("read scenario: %w", err)
 	}
 	return s, nil
 }
 
-func (s *Scenario) line(words []string) error {
-	a := parseArgs(words[1:])
+func (s *Scenario) parseLine(words []string) error {
+	args := parseArgs(words[1:])
 	switch words[0] {
 	case "set":
-		s.set = a
-		s.seed, s.nodes = uint64(a.num("seed", 1)), int(a.num("nodes", 3))
-		s.end = a.dur("end", 120)
+		s.settings = args
+		s.seed, s.controllers = uint64(args.number("seed", 1)), int(args.number("nodes", 3))
+		s.end = args.duration("end", 120)
 	case "team":
-		s.teams = append(s.teams, config.Team{Name: a.str(0), CPUs: a.num("cpus", 0), CPUsMax: a.num("max", 0), GPUs: a.num("gpus", 0), GPUsMax: a.num("gpumax", 0)})
+		s.teams = append(s.teams, config.Team{Name: args.word(0), GuaranteedCPUs: args.number("cpus", 0), QuotaCPUs: args.number("max", 0), GuaranteedGPUs: args.number("gpus", 0), QuotaGPUs: args.number("gpumax", 0)})
 	case "type":
-		t := cloud.Type{Name: a.str(0), CPUs: a.num("cpus", 16), GPUs: a.num("gpus", 0), MemGB: a.num("mem", 64), CacheGB: 50,
-			FetchGBs: a.num("fetch", 0.5), Price: a.num("price", 1), SpotPrice: a.num("spotprice", 0.4), BootS: a.num("boot", 30),
-			Zones: strings.Split(a.val("zones", "a"), ",")}
-		s.types = append(s.types, t)
-		for _, z := range t.Zones {
-			s.left[offer(t.Name, z, false)] = int(a.num("count", 0))
-			s.left[offer(t.Name, z, true)] = int(a.num("spot", 0))
+		parsed := cloud.MachineType{Name: args.word(0), CPUs: args.number("cpus", 16), GPUs: args.number("gpus", 0), MemGB: args.number("mem", 64), CacheGB: 50,
+			FetchGBPerSecond: args.number("fetch", 0.5), HourlyPrice: args.number("price", 1), SpotHourlyPrice: args.number("spotprice", 0.4), BootSeconds: args.number("boot", 30),
+			Zones: strings.Split(args.text("zones", "a"), ",")}
+		s.machineTypes = append(s.machineTypes, parsed)
+		for _, zone := range parsed.Zones {
+			s.offers[offerKey(parsed.Name, zone, false)] = int(args.number("count", 0))
+			s.offers[offerKey(parsed.Name, zone, true)] = int(args.number("spot", 0))
 		}
 	case "machines":
-		s.initial = append(s.initial, a)
+		s.machines = append(s.machines, args)
 	case "at":
-		t, err := strconv.ParseFloat(a.str(0), 64)
-		if err != nil || len(a.pos) < 2 {
+		parsed, err := strconv.ParseFloat(args.word(0), 64)
+		if err != nil || len(args.words) < 2 {
 			return fmt.Errorf("at: needs a time and what happens")
 		}
-		what := a.pos[1]
-		a.pos = a.pos[2:]
-		s.steps = append(s.steps, step{units.FromSeconds(t), what, a})
+		kind := args.words[1]
+		args.words = args.words[2:]
+		s.steps = append(s.steps, step{units.FromSeconds(parsed), kind, args})
 	case "expect":
-		s.expects = append(s.expects, expect{strings.Join(words, " "), a})
+		s.expectations = append(s.expectations, expectation{strings.Join(words, " "), args})
 	default:
 		return fmt.Errorf("unknown word %q", words[0])
 	}
-	return a.err
+	return args.err
 }
 
 // Run plays the scenario. It returns what did not come out as expected, broken
 // rules first.
 func (s *Scenario) Run(log io.Writer) ([]string, error) {
-	w := newWorld(s.seed, log)
-	w.trace = s.Trace
-	cfg := config.Settings{Size: s.nodes, Teams: s.teams, Zones: []string{"a", "b"}}
-	cfg.Workers.ReportS, cfg.Workers.LeaseS, cfg.Workers.CancelS = s.set.num("report", 3), s.set.num("lease", 22), s.set.num("cancel", 47)
-	cfg.State.RPS, cfg.State.WriteRPS, cfg.State.ValueKB, cfg.State.TxnOps = 250, s.set.num("writes", 25), s.set.num("value", 4), int(s.set.num("ops", 12))
+	world := newWorld(s.seed, log)
+	world.trace = s.Trace
+	cfg := config.Settings{Size: s.controllers, Teams: s.teams, Zones: []string{"a", "b"}}
+	cfg.Workers.HeartbeatS, cfg.Workers.LeaseS, cfg.Workers.CancelS = s.settings.number("report", 3), s.settings.number("lease", 22), s.settings.number("cancel", 47)
+	cfg.KVStore.RPS, cfg.KVStore.WriteRPS, cfg.KVStore.ValueKB, cfg.KVStore.TxnOps = 250, s.settings.number("writes", 25), s.settings.number("value", 4), int(s.settings.number("ops", 12))
 	cfg.Cloud.RPS, cfg.Cloud.ListLagS = 8, 8
-	cfg.Limits.MemoryMB, cfg.Limits.Sockets = 200, 2000
+	cfg.ProcessLimits.MemoryMB, cfg.ProcessLimits.Sockets = 200, 2000
 	next := s.nextLimits()
-	cfg.State.Next = &next
-	w.store.limits = cfg.State.StateLimits
-	w.store.writes.rate = cfg.State.WriteRPS
-	w.store.keep = int(s.set.num("keep", 10000))
-	w.flaky, w.copies = s.set.num("flaky", 0), s.set.num("copies", 0)
-	w.Rules.CancelIn = units.FromSeconds(cfg.Workers.CancelS)
-	w.cloud.types, w.cloud.left = s.types, s.left
-	w.cloud.fail, w.cloud.boot = s.set.num("bootfail", 0), s.set.num("bootfactor", 1)
-	for _, t := range s.teams {
-		w.Rules.limits[t.Name], w.Rules.gpuLimit[t.Name] = t.CPUsMax, t.GPUsMax
-	}
-	for i := range s.nodes {
-		c := &config.Config{Member: fmt.Sprintf("node%d", i), Settings: cfg}
-		w.addNode(c, s.set.val("old", "no") == "yes")
-	}
-	for _, a := range s.initial {
-		for range int(a.num("n", 1)) {
-			name := w.cloud.create(a.str(0), a.val("zone", "a"), a.val("spot", "no") == "yes")
-			w.cloud.rows[name].l.State = cloud.Running
-			w.cloud.up(name)
-		}
-		if a.err != nil {
-			return nil, a.err
+	cfg.KVStore.Next = &next
+	world.store.limits = cfg.KVStore.KVLimits
+	world.store.writeBudget.rate = cfg.KVStore.WriteRPS
+	world.store.historyLength = int(s.settings.number("keep", 10000))
+	world.lossRate, world.duplicateRate = s.settings.number("flaky", 0), s.settings.number("copies", 0)
+	world.Checker.CancelDeadline = units.FromSeconds(cfg.Workers.CancelS)
+	world.cloud.machineTypes, world.cloud.available = s.machineTypes, s.offers
+	world.cloud.bootFailureRate, world.cloud.bootFactor = s.settings.number("bootfail", 0), s.settings.number("bootfactor", 1)
+	for _, team := range s.teams {
+		world.Checker.cpuLimit[team.Name], world.Checker.gpuLimit[team.Name] = team.QuotaCPUs, team.QuotaGPUs
+	}
+	for i := range s.controllers {
+		member := &config.Config{Member: fmt.Sprintf("node%d", i), Settings: cfg}
+		world.addProcess(member, s.settings.text("old", "no") == "yes")
+	}
+	for _, args := range s.machines {
+		for range int(args.number("n", 1)) {
+			name := world.cloud.create(args.word(0), args.text("zone", "a"), args.text("spot", "no") == "yes")
+			world.cloud.machines[name].listed.State = cloud.Running
+			world.cloud.bootCompleted(name)
+		}
+		if args.err != nil {
+			return nil, args.err
 		}
 	}
 	var failure error
-	for _, st := range s.steps {
-		w.at(units.Second+st.at, func() {
-			if err := w.act(st.do, st.a); err != nil && failure == nil {
-				failure = fmt.Errorf("at %v %s: %w", st.at.Seconds(), st.do, err)
+	for _, planned := range s.steps {
+		world.at(units.Second+planned.at, func() {
+			if err := world.applyStep(planned.kind, planned.args); err != nil && failure == nil {
+				failure = fmt.Errorf("at %v %s: %w", planned.at.Seconds(), planned.kind, err)
 			}
 		})
 	}
-	for _, st := range s.steps {
-		if !slices.Contains([]string{"submit", "cancel", "repeat", "cancel_now", "limits"}, st.do) {
-			over := units.Second + st.at + st.a.dur("for", 30)
-			if st.do == "roll" || st.do == "upgrade" {
-				over += units.Micros(s.nodes) * st.a.dur("every", 20)
+	for _, planned := range s.steps {
+		if !slices.Contains([]string{"submit", "cancel", "repeat", "cancel_now", "limits"}, planned.kind) {
+			over := units.Second + planned.at + planned.args.duration("for", 30)
+			if planned.kind == "roll" || planned.kind == "upgrade" {
+				over += units.Micros(s.controllers) * planned.args.duration("every", 20)
 			}
-			w.Rules.Calm = max(w.Rules.Calm, over)
+			world.Checker.FaultsEndAt = max(world.Checker.FaultsEndAt, over)
 		}
 	}
-	w.every(500*units.Millisecond, w.Rules.Tick)
-	w.every(waitEvery, w.waiting)
-	w.every(3*units.Second, w.users.stranger)
-	w.run(units.Second + s.end)
+	world.every(500*units.Millisecond, world.Checker.CheckDeadlines)
+	world.every(waitCheckInterval, world.checkWaiting)
+	world.every(3*units.Second, world.users.pollUnknownJob)
+	world.run(units.Second + s.end)
 	if failure != nil {
 		return nil, failure
 	}
-	w.Rules.End()
-	out := append([]string{}, w.Rules.Broken...)
-	for _, e := range s.expects {
-		why, err := w.check(e.a)
+	world.Checker.Finish()
+	out := append([]string{}, world.Checker.Violations...)
+	for _, expected := range s.expectations {
+		why, err := world.checkExpectation(expected.args)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", e.line, err)
+			return nil, fmt.Errorf("%s: %w", expected.line, err)
 		}
 		if why != "" {
-			out = append(out, e.line+": "+why)
+			out = append(out, expected.line+": "+why)
 		}
 	}
 	return out, nil
 }
 
 // nextLimits are the limits that the state service is said to have later.
-func (s *Scenario) nextLimits() config.NextLimits {
-	var next config.NextLimits
-	if _, ok := s.set.kv["nextvalue"]; ok {
-		value := s.set.num("nextvalue", 0)
+func (s *Scenario) nextLimits() config.KVLimitsOverride {
+	var next config.KVLimitsOverride
+	if _, ok := s.settings.options["nextvalue"]; ok {
+		value := s.settings.number("nextvalue", 0)
 		next.ValueKB = &value
 	}
-	if _, ok := s.set.kv["nextops"]; ok {
-		ops := int(s.set.num("nextops", 0))
+	if _, ok := s.settings.options["nextops"]; ok {
+		ops := int(s.settings.number("nextops", 0))
 		next.TxnOps = &ops
 	}
-	if _, ok := s.set.kv["nextwrites"]; ok {
-		writes := s.set.num("nextwrites", 0)
+	if _, ok := s.settings.options["nextwrites"]; ok {
+		writes := s.settings.number("nextwrites", 0)
 		next.WriteRPS = &writes
 	}
 	return next
 }
 
-// submission builds a job from a line.
-func submission(id string, a *args) *userJob {
-	j := &userJob{runS: a.num("run", 20), broken: a.val("broken", "no") == "yes"}
+// parseJob builds a job from a line.
+func parseJob(id string, args *arguments) *userJob {
+	job := &userJob{runSeconds: args.number("run", 20), failing: args.text("broken", "no") == "yes"}
 	grades := map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
-	j.spec = schema.Job{
-		ID: id, Class: a.val("class", "c"), Team: a.val("team", "red"), Service: a.val("kind", "array") == "service",
-		Tasks: int(a.num("n", 1)), CPUs: a.num("cpus", 2), GPUs: a.num("gpus", 0), MemGB: a.num("mem", 4),
-		Zone: a.val("zone", ""), OneZone: a.val("onezone", "no") == "yes", Spread: a.val("spread", "no") == "yes",
-		Spot: a.val("spot", "no") == "yes", Image: a.val("image", "img"), ImageGB: a.num("gb", 1), EstS: j.runS,
-		CkptS: a.num("ckpt", 0), SaveS: a.num("save", 0), DueS: a.num("due", 0),
+	job.spec = schema.Job{
+		ID: id, Class: args.text("class", "c"), Team: args.text("team", "red"), Service: args.text("kind", "array") == "service",
+		Tasks: int(args.number("n", 1)), CPUs: args.number("cpus", 2), GPUs: args.number("gpus", 0), MemGB: args.number("mem", 4),
+		Zone: args.text("zone", ""), OneZone: args.text("onezone", "no") == "yes", Spread: args.text("spread", "no") == "yes",
+		Spot: args.text("spot", "no") == "yes", Image: args.text("image", "img"), ImageGB: args.number("gb", 1), EstimatedSeconds: job.runSeconds,
+		CheckpointIntervalSeconds: args.number("ckpt", 0), CheckpointSeconds: args.number("save", 0), DeadlineSeconds: args.number("due", 0),
 	}
-	j.spec.Grade = grades[a.val("grade", "standard")]
-	if j.spec.Service {
-		j.spec.Grade = grades[a.val("grade", "production")]
+	job.spec.Priority = grades[args.text("grade", "standard")]
+	if job.spec.Service {
+		job.spec.Priority = grades[args.text("grade", "production")]
 	}
-	if t := a.val("types", ""); t != "" {
-		j.spec.Types = strings.Split(t, ",")
+	if list := args.text("types", ""); list != "" {
+		job.spec.Types = strings.Split(list, ",")
 	}
-	if t := a.val("needs", ""); t != "" {
-		j.spec.Needs = strings.Split(t, ",")
+	if list := args.text("needs", ""); list != "" {
+		job.spec.Needs = strings.Split(list, ",")
 	}
-	j.atOnce = a.val("atonce", "no") == "yes"
-	return j
+	job.ignoresNeeds = args.text("atonce", "no") == "yes"
+	return job
 }
 
-// act carries out one step.
-func (w *World) act(do string, a *args) error {
-	length := a.dur("for", 30)
-	switch do {
+// applyStep carries out one step.
+func (w *World) applyStep(kind string, args *arguments) error {
+	length := args.duration("for", 30)
+	switch kind {
 	case "submit":
-		first := a.str(0)
+		first := args.word(0)
 		n, err := strconv.Atoi(strings.TrimPrefix(first, "j-"))
 		if err != nil {
 			return fmt.Errorf("bad id %q", first)
 		}
-		for i := range int(a.num("count", 1)) {
-			w.users.submit(submission(fmt.Sprintf("j-%06d", n+i), a))
+		for i := range int(args.number("count", 1)) {
+			w.users.submit(parseJob(fmt.Sprintf("j-%06d", n+i), args))
 		}
 	case "cancel":
-		w.users.cancel(a.str(0))
+		w.users.cancel(args.word(0))
 	case "repeat":
-		w.users.repeat(a.str(0), a.val("broken", "no") == "yes")
+		w.users.repeat(args.word(0), args.text("broken", "no") == "yes")
 	case "crash":
-		for _, name := range strings.Split(a.str(0), ",") {
-			n := w.node(name)
+		for _, name := range strings.Split(args.word(0), ",") {
+			n := w.findProcess(name)
 			if n == nil {
 				return fmt.Errorf("no node %q", name)
 			}
@@ -292,278 +294,278 @@
 			w.after(length, n.start)
 		}
 	case "roll", "upgrade": // one after the other; those that are upgraded come back with the present version
-		for i, n := range w.nodes {
-			w.after(units.Micros(i)*a.dur("every", 20), func() {
-				n.old = n.old && do == "roll"
+		for i, n := range w.processes {
+			w.after(units.Micros(i)*args.duration("every", 20), func() {
+				n.previousVersion = n.previousVersion && kind == "roll"
 				n.crash()
 				w.after(length, n.start)
 			})
 		}
 	case "limits": // those that the settings announce hold from now on
-		w.store.limits = w.nodes[0].cfg.Settings.NextState()
-		w.store.writes.rate = w.store.limits.WriteRPS
+		w.store.limits = w.processes[0].cfg.Settings.NextKVLimits()
+		w.store.writeBudget.rate = w.store.limits.WriteRPS
 	case "cut":
-		mode := a.val("mode", "drop")
-		w.cuts = append(w.cuts, &cut{a: a.str(0), b: a.str(1), until: w.now + length, hold: mode == "hold", deaf: mode == "deaf", mute: mode == "mute"})
+		mode := args.text("mode", "drop")
+		w.networkPartitions = append(w.networkPartitions, &networkPartition{host: args.word(0), peer: args.word(1), until: w.now + length, delayed: mode == "hold", inboundLost: mode == "deaf", inboundRequestsLost: mode == "mute"})
 	case "freeze":
-		n := w.node(a.str(0))
+		n := w.findProcess(args.word(0))
 		if n == nil {
-			return fmt.Errorf("no node %q", a.str(0))
+			return fmt.Errorf("no node %q", args.word(0))
 		}
-		n.frozen = w.now + length
+		n.pausedUntil = w.now + length
 	case "lose": // the way to some machines
-		some := map[string]bool{}
-		for _, k := range w.any(int(a.num("n", 1))) {
-			some[k.name] = true
+		machines := map[string]bool{}
+		for _, worker := range w.randomWorkers(int(args.number("n", 1))) {
+			machines[worker.name] = true
 		}
-		w.cuts = append(w.cuts, &cut{some: some, until: w.now + length, hold: a.val("mode", "drop") == "hold"})
+		w.networkPartitions = append(w.networkPartitions, &networkPartition{machines: machines, until: w.now + length, delayed: args.text("mode", "drop") == "hold"})
 	case "zonecut":
-		w.cuts = append(w.cuts, &cut{zone: a.str(0), until: w.now + length, hold: a.val("mode", "drop") == "hold"})
+		w.networkPartitions = append(w.networkPartitions, &networkPartition{zone: args.word(0), until: w.now + length, delayed: args.text("mode", "drop") == "hold"})
 	case "refuse":
-		w.store.refuse[a.str(0)] = w.now + length
+		w.store.unavailableUntil[args.word(0)] = w.now + length
 	case "outage":
-		w.store.outage(length)
+		w.store.startOutage(length)
 	case "cloud_outage":
 		w.cloud.down = true
 		w.after(length, func() { w.cloud.down = false })
 	case "die", "hang", "sick", "slow", "take", "notice", "reboot":
-		ks := []*worker{w.pick(a.str(0))}
-		if a.str(0) == "any" {
-			ks = w.any(int(a.num("n", 1)))
+		workers := []*fakeAgent{w.findWorker(args.word(0))}
+		if args.word(0) == "any" {
+			workers = w.randomWorkers(int(args.number("n", 1)))
 		}
-		for _, k := range ks {
-			if k == nil {
-				return fmt.Errorf("no machine %q", a.str(0))
+		for _, worker := range workers {
+			if worker == nil {
+				return fmt.Errorf("no machine %q", args.word(0))
 			}
-			w.harm(do, k, a, length)
+			w.applyMachineFault(kind, worker, args, length)
 		}
 	default:
-		return w.actOnTraffic(do, a, length)
+		return w.applyTrafficFault(kind, args, length)
 	}
-	return a.err
+	return args.err
 }
 
-// actOnTraffic carries out a step that concerns messages, the state service or users.
-func (w *World) actOnTraffic(do string, a *args, length units.Micros) error {
-	switch do {
+// applyTrafficFault carries out a step that concerns messages, the state service or users.
+func (w *World) applyTrafficFault(kind string, args *arguments, length units.Micros) error {
+	switch kind {
 	case "slow_answers":
-		w.slowAnswers = a.dur("by", 3)
-		w.after(length, func() { w.slowAnswers = 0 })
+		w.maxAnswerDelay = args.duration("by", 3)
+		w.after(length, func() { w.maxAnswerDelay = 0 })
 	case "late_writes":
-		w.store.late = a.num("share", 0.3)
-		w.after(length, func() { w.store.late = 0 })
+		w.store.lateCommitRate = args.number("share", 0.3)
+		w.after(length, func() { w.store.lateCommitRate = 0 })
 	case "late_reports":
-		w.copies = a.num("share", 0.3)
-		w.after(length, func() { w.copies = 0 })
+		w.duplicateRate = args.number("share", 0.3)
+		w.after(length, func() { w.duplicateRate = 0 })
 	case "slow_state":
-		w.store.slow = a.dur("by", 0.5)
-		w.after(length, func() { w.store.slow = 0 })
+		w.store.maxDelay = args.duration("by", 0.5)
+		w.after(length, func() { w.store.maxDelay = 0 })
 	case "blind":
-		w.store.blind[a.str(0)] = w.now + length
+		w.store.watchesLostUntil[args.word(0)] = w.now + length
 	case "cancel_now":
-		w.cancelNow(int(a.num("count", 8)), a.dur("hang", 0))
+		w.cancelRunning(int(args.number("count", 8)), args.duration("hang", 0))
 	case "cancel_at_end":
-		w.users.cancelAtEnd = a.num("share", 0.5)
+		w.users.cancelAtEnd = args.number("share", 0.5)
 		w.after(length, func() { w.users.cancelAtEnd = 0 })
 	case "odd":
-		w.users.odd(w.now + length)
+		w.users.sendInvalid(w.now + length)
 	default:
 		return fmt.Errorf("unknown step")
 	}
-	return a.err
+	return args.err
 }
 
-func (w *World) node(name string) *process {
-	for _, n := range w.nodes {
-		if n.name == name {
-			return n
+func (w *World) findProcess(name string) *controllerProcess {
+	for _, process := range w.processes {
+		if process.name == name {
+			return process
 		}
 	}
 	return nil
 }
 
-// pick finds a machine by name, or the one with the most tasks.
-func (w *World) pick(name string) *worker {
+// findWorker finds a machine by name, or the one with the most tasks.
+func (w *World) findWorker(name string) *fakeAgent {
 	if name != "busiest" {
 		return w.workers[name]
 	}
-	var best *worker
-	for _, n := range w.names {
-		if k := w.workers[n]; k != nil && (best == nil || len(k.tasks) > len(best.tasks)) {
-			best = k
+	var busiest *fakeAgent
+	for _, name := range w.workerNames {
+		if worker := w.workers[name]; worker != nil && (busiest == nil || len(worker.tasks) > len(busiest.tasks)) {
+			busiest = worker
 		}
 	}
-	return best
+	return busiest
 }
 
-// any draws so many machines.
-func (w *World) any(n int) []*worker {
-	var up []*worker
-	for _, name := range w.names {
-		if k := w.workers[name]; k != nil {
-			up = append(up, k)
+// randomWorkers draws so many machines.
+func (w *World) randomWorkers(n int) []*fakeAgent {
+	var running []*fakeAgent
+	for _, name := range w.workerNames {
+		if worker := w.workers[name]; worker != nil {
+			running = append(running, worker)
 		}
 	}
-	w.rng.Shuffle(len(up), func(i, j int) { up[i], up[j] = up[j], up[i] })
-	return up[:min(n, len(up))]
+	w.rng.Shuffle(len(running), func(i, j int) { running[i], running[j] = running[j], running[i] })
+	return running[:min(n, len(running))]
 }
 
-// cancelNow has users call off arrays that run and have long to go, within a fifth
+// cancelRunning has users call off arrays that run and have long to go, within a fifth
 // of a second; up to eight of their machines hang for a while.
-func (w *World) cancelNow(count int, hang units.Micros) {
+func (w *World) cancelRunning(count int, hang units.Micros) {
 	hung := 0
-	for _, j := range w.users.sorted() {
-		on := w.Rules.machinesOf(j.spec.ID)
-		if j.abort || j.accepted == 0 || j.runS < 10 || len(on) == 0 || count == 0 {
+	for _, job := range w.users.sortedJobs() {
+		machines := w.Checker.machinesOf(job.spec.ID)
+		if job.cancelRequested || job.acceptedAt == 0 || job.runSeconds < 10 || len(machines) == 0 || count == 0 {
 			continue
 		}
 		count--
-		w.after(units.Micros(w.rng.Int64N(int64(units.Second/5))), func() { w.users.cancel(j.spec.ID) })
-		if k := w.workers[on[0]]; k != nil && hang > 0 && hung < 8 && w.now >= k.hungTo {
+		w.after(units.Micros(w.rng.Int64N(int64(units.Second/5))), func() { w.users.cancel(job.spec.ID) })
+		if worker := w.workers[machines[0]]; worker != nil && hang > 0 && hung < 8 && w.now >= worker.hungUntil {
 			hung++
-			w.harm("hang", k, nil, hang)
+			w.applyMachineFault("hang", worker, nil, hang)
 		}
 	}
 }
 
-func (w *World) harm(do string, k *worker, a *args, length units.Micros) {
-	switch do {
+func (w *World) applyMachineFault(kind string, worker *fakeAgent, args *arguments, length units.Micros) {
+	switch kind {
 	case "die":
-		w.cloud.die(k.name)
+		w.cloud.crash(worker.name)
 	case "hang":
-		k.hungTo = w.now + length
-		for _, t := range k.tasks { // it makes no progress meanwhile
-			t.ends += length
-			t.ready += length
+		worker.hungUntil = w.now + length
+		for _, running := range worker.tasks { // it makes no progress meanwhile
+			running.endsAt += length
+			running.imageReadyAt += length
 		}
 	case "sick":
-		k.sick = true
-		w.after(length, func() { k.sick = false })
+		worker.failsTasks = true
+		w.after(length, func() { worker.failsTasks = false })
 	case "slow":
-		k.slow = a.num("factor", 4)
+		worker.slowdown = args.number("factor", 4)
 	case "reboot": // back at once, with nothing on it and its counts begun anew
-		for _, t := range k.sorted() {
-			k.drop(t)
+		for _, running := range worker.sortedTasks() {
+			worker.drop(running)
 		}
-		k.session, k.seq, k.token, k.answered, k.changed = 1, 0, 0, w.now, true
+		worker.epoch, worker.seq, worker.token, worker.leaseRenewedAt, worker.changed = 1, 0, 0, w.now, true
 	case "take":
-		w.cloud.remove(k.name)
+		w.cloud.remove(worker.name)
 	case "notice":
-		s := length.Seconds()
-		k.notice, k.changed = &s, true
-		w.after(length, func() { w.cloud.remove(k.name) })
+		seconds := length.Seconds()
+		worker.spotNotice, worker.changed = &seconds, true
+		w.after(length, func() { w.cloud.remove(worker.name) })
 	}
 }
 
-// check answers an expectation: empty if it holds.
-func (w *World) check(a *args) (string, error) {
-	what := a.str(0)
-	switch what {
+// checkExpectation answers an expectation: empty if it holds.
+func (w *World) checkExpectation(args *arguments) (string, error) {
+	kind := args.word(0)
+	switch kind {
 	case "done", "cancelled", "running":
-		for _, id := range a.pos[1:] {
-			j := w.users.jobs[id]
-			if j == nil {
+		for _, id := range args.words[1:] {
+			job := w.users.jobs[id]
+			if job == nil {
 				return "", fmt.Errorf("no job %s", id)
 			}
-			if j.stage != what {
-				return fmt.Sprintf("%s is %q", id, j.stage), nil
+			if job.stage != kind {
+				return fmt.Sprintf("%s is %q", id, job.stage), nil
 			}
 		}
 	case "denied":
-		if j := w.users.jobs[a.str(1)]; j == nil || j.denied != int(a.num("status", 422)) {
+		if job := w.users.jobs[args.word(1)]; job == nil || job.rejectedStatus != int(args.number("status", 422)) {
 			return "it was not", nil
 		}
 	case "all_over":
-		for _, j := range w.users.sorted() {
-			if j.denied == 0 && !j.spec.Service && !j.broken && j.stage != "done" && j.stage != "cancelled" {
-				return fmt.Sprintf("%s is %q", j.spec.ID, j.stage), nil
+		for _, job := range w.users.sortedJobs() {
+			if job.rejectedStatus == 0 && !job.spec.Service && !job.failing && job.stage != "done" && job.stage != "cancelled" {
+				return fmt.Sprintf("%s is %q", job.spec.ID, job.stage), nil
 			}
 		}
 	case "up": // services that run in full
-		for _, j := range w.users.sorted() {
-			if !j.spec.Service || j.abort || j.denied > 0 {
+		for _, job := range w.users.sortedJobs() {
+			if !job.spec.Service || job.cancelRequested || job.rejectedStatus > 0 {
 				continue
 			}
-			for n := range j.spec.Tasks {
-				if !w.Rules.OnMachine(j.spec.ID, n) {
-					return fmt.Sprintf("%s/%d is not on a machine", j.spec.ID, n), nil
+			for num := range job.spec.Tasks {
+				if !w.Checker.IsRunning(job.spec.ID, num) {
+					return fmt.Sprintf("%s/%d is not on a machine", job.spec.ID, num), nil
 				}
 			}
 		}
 	case "begun": // within so many seconds of their submission
-		for _, id := range a.pos[1:] {
-			j := w.users.jobs[id]
-			if j == nil {
+		for _, id := range args.words[1:] {
+			job := w.users.jobs[id]
+			if job == nil {
 				return "", fmt.Errorf("no job %s", id)
 			}
-			if at, ok := w.Rules.begun[id]; !ok || at-j.accepted > a.dur("within", 240) {
+			if at, ok := w.Checker.startedAt[id]; !ok || at-job.acceptedAt > args.duration("within", 240) {
 				return fmt.Sprintf("%s is not, or late: at %.1f s", id, at.Seconds()), nil
 			}
 		}
 	default:
-		return w.checkCounts(what, a)
+		return w.checkCounts(kind, args)
 	}
-	return "", a.err
+	return "", args.err
 }
 
 // checkCounts answers an expectation about machines and numbers.
-func (w *World) checkCounts(what string, a *args) (string, error) {
-	switch what {
+func (w *World) checkCounts(kind string, args *arguments) (string, error) {
+	switch kind {
 	case "gone", "there": // machines that were given back or have died; or have not
-		for _, n := range a.pos[1:] {
-			if (w.workers[n] != nil) != (what == "there") {
-				return n + " is not " + what, nil
+		for _, n := range args.words[1:] {
+			if (w.workers[n] != nil) != (kind == "there") {
+				return n + " is not " + kind, nil
 			}
 		}
 	case "kept": // no machine's lease has run out
-		for _, n := range w.names {
-			if k := w.workers[n]; k != nil && k.session > 1 {
-				return fmt.Sprintf("%s is in session %d", n, k.session), nil
+		for _, n := range w.workerNames {
+			if worker := w.workers[n]; worker != nil && worker.epoch > 1 {
+				return fmt.Sprintf("%s is in session %d", n, worker.epoch), nil
 			}
 		}
 	case "known": // entries of machines in the store
-		n := strings.Count(w.store.text(schema.MachineShards), `"a":"`)
-		if lo, hi := int(a.num("min", 0)), int(a.num("max", 1e9)); n < lo || n > hi {
+		n := strings.Count(w.store.textUnder(schema.MachineShardPrefix), `"a":"`)
+		if least, most := int(args.number("min", 0)), int(args.number("max", 1e9)); n < least || n > most {
 			return fmt.Sprintf("there are %d", n), nil
 		}
 	case "started":
-		if lo, hi := int(a.num("min", 0)), int(a.num("max", 1e9)); w.Rules.Started < lo || w.Rules.Started > hi {
-			return fmt.Sprintf("%d tasks were started", w.Rules.Started), nil
+		if least, most := int(args.number("min", 0)), int(args.number("max", 1e9)); w.Checker.Starts < least || w.Checker.Starts > most {
+			return fmt.Sprintf("%d tasks were started", w.Checker.Starts), nil
 		}
 	case "machines":
-		if lo, hi := int(a.num("min", 0)), int(a.num("max", 1e9)); len(w.workers) < lo || len(w.workers) > hi {
+		if least, most := int(args.number("min", 0)), int(args.number("max", 1e9)); len(w.workers) < least || len(w.workers) > most {
 			return fmt.Sprintf("there are %d", len(w.workers)), nil
 		}
 	default:
-		return w.checkStore(what, a)
+		return w.checkDocuments(kind, args)
 	}
-	return "", a.err
+	return "", args.err
 }
 
-// checkStore answers an expectation about the documents in the store.
-func (w *World) checkStore(what string, a *args) (string, error) {
-	switch what {
+// checkDocuments answers an expectation about the documents in the store.
+func (w *World) checkDocuments(kind string, args *arguments) (string, error) {
+	switch kind {
 	case "format": // of the documents in the store
 		var layout schema.Layout
-		if e := w.store.keys[schema.LayoutOf]; e != nil {
-			if err := json.Unmarshal(e.val, &layout); err != nil {
+		if stored := w.store.keys[schema.LayoutKey]; stored != nil {
+			if err := json.Unmarshal(stored.value, &layout); err != nil {
 				return "", fmt.Errorf("layout: %w", err)
 			}
 		}
-		if layout.Format != int(a.num("is", 0)) {
+		if layout.Format != int(args.number("is", 0)) {
 			return fmt.Sprintf("it is %d", layout.Format), nil
 		}
 	case "small": // no transaction was too large, and no value is
-		if w.store.refusedSize > 0 {
-			return fmt.Sprintf("%d transactions were too large", w.store.refusedSize), nil
+		if w.store.oversizedTxns > 0 {
+			return fmt.Sprintf("%d transactions were too large", w.store.oversizedTxns), nil
 		}
-		for key, e := range w.store.keys {
-			if float64(len(e.val)) > w.nodes[0].cfg.Settings.NextState().ValueKB*1024 {
-				return fmt.Sprintf("%s has %d bytes", key, len(e.val)), nil
+		for key, stored := range w.store.keys {
+			if float64(len(stored.value)) > w.processes[0].cfg.Settings.NextKVLimits().ValueKB*1024 {
+				return fmt.Sprintf("%s has %d bytes", key, len(stored.value)), nil
 			}
 		}
 	default:
 		return "", fmt.Errorf("unknown expectation")
 	}
-	return "", a.err
+	return "", args.err
 }
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -14,11 +14,11 @@
 	if err != nil || len(files) == 0 {
 		t.Fatalf("no scenarios: %v", err)
 	}
-	for _, f := range files {
-		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
+	for _, file := range files {
+		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
 			var log bytes.Buffer
-			for _, bad := range play(t, f, &log) {
+			for _, bad := range runScenario(t, file, &log) {
 				t.Error(bad)
 			}
 			if (t.Failed() || testing.Verbose()) && os.Getenv("SCENARIO_LOG") != "" {
@@ -28,7 +28,7 @@
 	}
 }
 
-func play(t *testing.T, file string, log *bytes.Buffer) []string {
+func runScenario(t *testing.T, file string, log *bytes.Buffer) []string {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -48,10 +48,10 @@
 
 // TestSameAgain shows that a run depends on its scenario and seed alone.
 func TestSameAgain(t *testing.T) {
-	var a, b bytes.Buffer
-	play(t, "testdata/storm.txt", &a)
-	play(t, "testdata/storm.txt", &b)
-	if a.Len() == 0 || a.String() != b.String() {
+	var first, second bytes.Buffer
+	runScenario(t, "testdata/storm.txt", &first)
+	runScenario(t, "testdata/storm.txt", &second)
+	if first.Len() == 0 || first.String() != second.String() {
 		t.Fatal("two runs of one scenario differ")
 	}
 }
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -12,67 +12,67 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// store is the state service.
-type store struct {
-	w           *World
-	rev         uint64
-	keys        map[string]*entry
-	holds       map[uint64]*hold
-	holdN       uint64
-	log         []kv.Event
-	watches     []*watch
-	down        bool
-	refuse      map[string]units.Micros // nodes that alone get 503, until when
-	reqs        bucket
-	writes      bucket
-	beforeGate  map[*kv.Txn]bool // transactions that were first sent before the gate was raised
-	refusedSize int              // of the others, how often one broke a limit of sizes
+// fakeStore is the state service.
+type fakeStore struct {
+	world            *World
+	rev              uint64
+	keys             map[string]*storedValue
+	leases           map[uint64]*lease
+	lastLease        uint64
+	log              []kv.Event
+	watches          []*watch
+	down             bool
+	unavailableUntil map[string]units.Micros // nodes that alone get 503, until when
+	requestBudget    tokenBucket
+	writeBudget      tokenBucket
+	txnsBeforeGate   map[*kv.Txn]bool // transactions that were first sent before the gate was raised
+	oversizedTxns    int              // of the others, how often one broke a limit of sizes
 
-	keep    int    // changes kept for watches
-	trimmed uint64 // revision up to which changes are no longer kept
+	historyLength int    // changes kept for watches
+	compactedRev  uint64 // revision up to which changes are no longer kept
 
-	limits config.StateLimits // sizes that it takes
+	limits config.KVLimits // sizes that it takes
 
-	late  float64                 // chance that a transaction gets no answer and is carried out late
-	slow  units.Micros            // how much longer than usual each answer takes
-	blind map[string]units.Micros // nodes whose watches tell nothing, until when
+	lateCommitRate   float64                 // chance that a transaction gets no answer and is carried out late
+	maxDelay         units.Micros            // how much longer than usual each answer takes
+	watchesLostUntil map[string]units.Micros // nodes whose watches tell nothing, until when
 }
 
-type entry struct {
-	val   json.RawMessage
-	stamp uint64
-	hold  uint64
+type storedValue struct {
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
-// text is all values under a prefix.
-func (s *store) text(under string) string {
-	var b strings.Builder
-	for k, e := range s.keys {
-		if strings.HasPrefix(k, under) {
-			b.Write(schema.Plain(e.val))
+// textUnder is all values under a prefix.
+func (s *fakeStore) textUnder(prefix string) string {
+	var text strings.Builder
+	for key, stored := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			text.Write(schema.PlainJSON(stored.value))
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-type hold struct {
-	ttl units.Micros
-	end units.Micros
+type lease struct {
+	ttl       units.Micros
+	expiresAt units.Micros
 }
 
 type watch struct {
-	prefix string
-	since  uint64
-	node   string
-	answer func(kv.Response)
+	prefix  string
+	since   uint64
+	process string
+	answer  func(kv.Response)
 }
 
-type bucket struct {
+type tokenBucket struct {
 	rate, level float64
 	at          units.Micros
 }
 
-func (b *bucket) take(now units.Micros, n float64) bool {
+func (b *tokenBucket) take(now units.Micros, n float64) bool {
 	b.level = min(b.rate, b.level+b.rate*(now-b.at).Seconds())
 	b.at = now
 	if b.level < n {
@@ -82,257 +82,259 @@
 	return true
 }
 
-func newStore(w *World) *store {
-	s := &store{w: w, keys: map[string]*entry{}, holds: map[uint64]*hold{}, refuse: map[string]units.Micros{}, blind: map[string]units.Micros{},
-		beforeGate: map[*kv.Txn]bool{},
-		reqs:       bucket{rate: 250}, writes: bucket{rate: 25}, keep: 10000}
+func newStore(w *World) *fakeStore {
+	s := &fakeStore{world: w, keys: map[string]*storedValue{}, leases: map[uint64]*lease{}, unavailableUntil: map[string]units.Micros{}, watchesLostUntil: map[string]units.Micros{},
+		txnsBeforeGate: map[*kv.Txn]bool{},
+		requestBudget:  tokenBucket{rate: 250}, writeBudget: tokenBucket{rate: 25}, historyLength: 10000}
 	w.every(50*units.Millisecond, s.expire)
 	return s
 }
 
-// from serves one call of a node.
-func (s *store) from(node string, e controller.StateCall, done func(controller.StateDone)) {
-	if e.Req.Kind == kv.Commit && !s.gateRaised() {
-		s.beforeGate[e.Req.Txn] = true
+// call serves one call of a node.
+func (s *fakeStore) call(caller string, request controller.StoreCall, done func(controller.StoreResult)) {
+	if request.Request.Kind == kv.Transact && !s.gateRaised() {
+		s.txnsBeforeGate[request.Request.Txn] = true
 	}
 	limit := 1500 * units.Millisecond
-	if e.Req.Kind == kv.Watch {
-		limit = units.Micros(e.Req.HoldMs)*units.Millisecond + 5*units.Second
+	if request.Request.Kind == kv.Watch {
+		limit = units.Micros(request.Request.WaitMillis)*units.Millisecond + 5*units.Second
 	}
-	call(s.w, node, "state", limit, func(answer func(kv.Response)) {
-		if e.Req.Kind == kv.Commit && s.late > 0 && s.w.rng.Float64() < s.late {
-			s.w.after(units.FromSeconds(2+10*s.w.rng.Float64()), func() { s.serve(node, &e.Req, func(kv.Response) {}) })
+	call(s.world, caller, "state", limit, func(answer func(kv.Response)) {
+		if request.Request.Kind == kv.Transact && s.lateCommitRate > 0 && s.world.rng.Float64() < s.lateCommitRate {
+			s.world.after(units.FromSeconds(2+10*s.world.rng.Float64()), func() { s.serve(caller, &request.Request, func(kv.Response) {}) })
 			return
 		}
-		if s.slow > 0 {
-			s.w.after(units.Micros(s.w.rng.Int64N(int64(2*s.slow))), func() { s.serve(node, &e.Req, answer) })
+		if s.maxDelay > 0 {
+			s.world.after(units.Micros(s.world.rng.Int64N(int64(2*s.maxDelay))), func() { s.serve(caller, &request.Request, answer) })
 			return
 		}
-		s.serve(node, &e.Req, answer)
-	}, func(r kv.Response, ok bool) {
+		s.serve(caller, &request.Request, answer)
+	}, func(response kv.Response, ok bool) {
 		if !ok {
-			r = kv.Response{}
+			response = kv.Response{}
 		}
-		done(controller.StateDone{ID: e.ID, Resp: r})
+		done(controller.StoreResult{CallID: request.CallID, Response: response})
 	})
 }
 
-func (s *store) refused(node string) bool { return s.down || s.w.now < s.refuse[node] }
+func (s *fakeStore) unavailable(caller string) bool {
+	return s.down || s.world.now < s.unavailableUntil[caller]
+}
 
-func (s *store) serve(node string, q *kv.Request, answer func(kv.Response)) {
-	now := s.w.now
-	if s.refused(node) {
+func (s *fakeStore) serve(caller string, request *kv.Request, answer func(kv.Response)) {
+	now := s.world.now
+	if s.unavailable(caller) {
 		answer(kv.Response{Status: 503})
 		return
 	}
-	if !s.reqs.take(now, 1) {
+	if !s.requestBudget.take(now, 1) {
 		answer(kv.Response{Status: 429})
 		return
 	}
-	switch q.Kind {
+	switch request.Kind {
 	case kv.Get:
-		if e := s.keys[q.Key]; e != nil {
-			answer(kv.Response{Status: 200, Key: q.Key, Value: e.val, Stamp: e.stamp})
+		if stored := s.keys[request.Key]; stored != nil {
+			answer(kv.Response{Status: 200, Key: request.Key, Value: stored.value, ModRevision: stored.revision})
 		} else {
-			answer(kv.Response{Status: 404, Rev: s.rev})
+			answer(kv.Response{Status: 404, Revision: s.rev})
 		}
 	case kv.List:
-		answer(s.list(q))
-	case kv.Commit:
-		answer(s.commit(q.Txn))
-	case kv.Grant:
-		s.holdN++
-		ttl := units.Micros(q.TTLMs) * units.Millisecond
-		s.holds[s.holdN] = &hold{ttl, now + ttl}
-		answer(kv.Response{Status: 200, Permit: s.holdN})
-	case kv.Renew:
-		h := s.holds[q.Permit]
-		if h == nil {
+		answer(s.list(request))
+	case kv.Transact:
+		answer(s.commit(request.Txn))
+	case kv.GrantLease:
+		s.lastLease++
+		ttl := units.Micros(request.TTLMillis) * units.Millisecond
+		s.leases[s.lastLease] = &lease{ttl, now + ttl}
+		answer(kv.Response{Status: 200, LeaseID: s.lastLease})
+	case kv.RenewLease:
+		current := s.leases[request.LeaseID]
+		if current == nil {
 			answer(kv.Response{Status: 404})
 			return
 		}
-		h.end = now + h.ttl
+		current.expiresAt = now + current.ttl
 		answer(kv.Response{Status: 200})
 	case kv.Watch:
-		if q.Rev < s.trimmed {
+		if request.Revision < s.compactedRev {
 			answer(kv.Response{Status: 410})
 			return
 		}
-		wt := &watch{q.Key, q.Rev, node, answer}
-		s.watches = append(s.watches, wt)
-		s.w.after(units.Micros(q.HoldMs)*units.Millisecond, func() { s.fire(wt, true) })
+		target := &watch{request.Key, request.Revision, caller, answer}
+		s.watches = append(s.watches, target)
+		s.world.after(units.Micros(request.WaitMillis)*units.Millisecond, func() { s.answerWatch(target, true) })
 		s.notify()
 	}
 }
 
-func (s *store) list(q *kv.Request) kv.Response {
+func (s *fakeStore) list(request *kv.Request) kv.Response {
 	var names []string
-	for k := range s.keys {
-		if strings.HasPrefix(k, q.Key) && k > q.Since {
-			names = append(names, k)
+	for key := range s.keys {
+		if strings.HasPrefix(key, request.Key) && key > request.After {
+			names = append(names, key)
 		}
 	}
 	sort.Strings(names)
-	r := kv.Response{Status: 200, Rev: s.rev}
+	response := kv.Response{Status: 200, Revision: s.rev}
 	if len(names) > 20 { // small pages, so that paging is exercised
-		names, r.Truncated = names[:20], true
+		names, response.Truncated = names[:20], true
 	}
-	for _, k := range names {
-		r.Items = append(r.Items, kv.Item{Key: k, Value: s.keys[k].val, Stamp: s.keys[k].stamp})
+	for _, key := range names {
+		response.Items = append(response.Items, kv.KeyValue{Key: key, Value: s.keys[key].value, ModRevision: s.keys[key].revision})
 	}
-	return r
+	return response
 }
 
 // gateRaised reports whether the documents may have the present format: from then on nothing
 // may be larger than the announced limits.
-func (s *store) gateRaised() bool {
-	e := s.keys[schema.LayoutOf]
+func (s *fakeStore) gateRaised() bool {
+	stored := s.keys[schema.LayoutKey]
 	var layout schema.Layout
-	return e != nil && json.Unmarshal(e.val, &layout) == nil && layout.Format >= schema.FormatChains
+	return stored != nil && json.Unmarshal(stored.value, &layout) == nil && layout.Format >= schema.FormatDependencies
 }
 
 // tooLarge reports whether a transaction breaks a limit of sizes.
-func (s *store) tooLarge(t *kv.Txn) bool {
-	if len(t.Apply) > s.limits.TxnOps || len(t.Guards) > 4*s.limits.TxnOps {
+func (s *fakeStore) tooLarge(txn *kv.Txn) bool {
+	if len(txn.Operations) > s.limits.TxnOps || len(txn.Conditions) > 4*s.limits.TxnOps {
 		return true
 	}
-	whole := 0
-	for _, op := range t.Apply {
-		whole += len(op.Set) + len(op.Delete) + len(op.Value)
+	size := 0
+	for _, op := range txn.Operations {
+		size += len(op.Set) + len(op.Delete) + len(op.Value)
 		if float64(len(op.Value)) > s.limits.ValueKB*1024 {
 			return true
 		}
 	}
-	return whole > mostTxnBytes
+	return size > maxTxnBytes
 }
 
-// mostTxnBytes is how large a transaction may be.
-const mostTxnBytes = 64 << 10
+// maxTxnBytes is how large a transaction may be.
+const maxTxnBytes = 64 << 10
 
-func (s *store) commit(t *kv.Txn) kv.Response {
-	if s.tooLarge(t) {
-		if !s.beforeGate[t] {
-			s.refusedSize++
+func (s *fakeStore) commit(txn *kv.Txn) kv.Response {
+	if s.tooLarge(txn) {
+		if !s.txnsBeforeGate[txn] {
+			s.oversizedTxns++
 		}
 		return kv.Response{Status: 400}
 	}
-	if len(t.Apply) > 0 && !s.writes.take(s.w.now, float64(len(t.Apply))) {
+	if len(txn.Operations) > 0 && !s.writeBudget.take(s.world.now, float64(len(txn.Operations))) {
 		return kv.Response{Status: 429}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		var stamp uint64
-		if e := s.keys[g.Key]; e != nil {
-			stamp = e.stamp
+	for _, condition := range txn.Conditions {
+		var revision uint64
+		if stored := s.keys[condition.Key]; stored != nil {
+			revision = stored.revision
 		}
-		if stamp != g.Stamp {
-			failed = append(failed, g.Key)
+		if revision != condition.ModRevision {
+			failed = append(failed, condition.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return kv.Response{Status: 409, Rev: s.rev, Failed: failed}
+		return kv.Response{Status: 409, Revision: s.rev, FailedKeys: failed}
 	}
-	for _, op := range t.Apply {
-		if op.Set != "" && op.Permit != 0 && s.holds[op.Permit] == nil {
+	for _, op := range txn.Operations {
+		if op.Set != "" && op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
 			return kv.Response{Status: 400}
 		}
 	}
-	if len(t.Apply) == 0 {
-		return kv.Response{Status: 200, Rev: s.rev}
+	if len(txn.Operations) == 0 {
+		return kv.Response{Status: 200, Revision: s.rev}
 	}
 	s.rev++
-	for _, op := range t.Apply {
+	for _, op := range txn.Operations {
 		if op.Set != "" {
-			s.keys[op.Set] = &entry{op.Value, s.rev, op.Permit}
-			s.log = append(s.log, kv.Event{Set: op.Set, Value: op.Value, Stamp: s.rev})
+			s.keys[op.Set] = &storedValue{op.Value, s.rev, op.LeaseID}
+			s.log = append(s.log, kv.Event{Set: op.Set, Value: op.Value, ModRevision: s.rev})
 		} else if s.keys[op.Delete] != nil {
 			delete(s.keys, op.Delete)
-			s.log = append(s.log, kv.Event{Delete: op.Delete, Stamp: s.rev})
+			s.log = append(s.log, kv.Event{Delete: op.Delete, ModRevision: s.rev})
 		}
 	}
-	if len(s.log) > s.keep {
-		s.trimmed = s.log[len(s.log)-s.keep-1].Stamp
-		s.log = append([]kv.Event{}, s.log[len(s.log)-s.keep:]...)
+	if len(s.log) > s.historyLength {
+		s.compactedRev = s.log[len(s.log)-s.historyLength-1].ModRevision
+		s.log = append([]kv.Event{}, s.log[len(s.log)-s.historyLength:]...)
 	}
 	s.notify()
-	return kv.Response{Status: 200, Rev: s.rev}
+	return kv.Response{Status: 200, Revision: s.rev}
 }
 
 // expire ends leases; after an outage each has its full time again.
-func (s *store) expire() {
+func (s *fakeStore) expire() {
 	if s.down {
 		return
 	}
-	for id := uint64(1); id <= s.holdN; id++ {
-		h := s.holds[id]
-		if h == nil || s.w.now < h.end {
+	for leaseID := uint64(1); leaseID <= s.lastLease; leaseID++ {
+		current := s.leases[leaseID]
+		if current == nil || s.world.now < current.expiresAt {
 			continue
 		}
-		delete(s.holds, id)
+		delete(s.leases, leaseID)
 		var keys []string
-		for k, e := range s.keys {
-			if e.hold == id {
-				keys = append(keys, k)
+		for key, stored := range s.keys {
+			if stored.lease == leaseID {
+				keys = append(keys, key)
 			}
 		}
 		sort.Strings(keys)
-		for _, k := range keys {
+		for _, key := range keys {
 			s.rev++
-			delete(s.keys, k)
-			s.log = append(s.log, kv.Event{Delete: k, Stamp: s.rev})
+			delete(s.keys, key)
+			s.log = append(s.log, kv.Event{Delete: key, ModRevision: s.rev})
 		}
 	}
 	s.notify()
 }
 
-func (s *store) outage(d units.Micros) {
+func (s *fakeStore) startOutage(duration units.Micros) {
 	s.down = true
-	s.w.after(d, func() {
+	s.world.after(duration, func() {
 		s.down = false
-		for _, h := range s.holds {
-			h.end = s.w.now + h.ttl
+		for _, lease := range s.leases {
+			lease.expiresAt = s.world.now + lease.ttl
 		}
 		s.notify()
 	})
 }
 
-func (s *store) notify() {
-	for _, wt := range append([]*watch{}, s.watches...) {
-		s.fire(wt, false)
+func (s *fakeStore) notify() {
+	for _, target := range append([]*watch{}, s.watches...) {
+		s.answerWatch(target, false)
 	}
 }
 
-func (s *store) fire(wt *watch, timeUp bool) {
-	if s.refused(wt.node) && !timeUp || s.w.now < s.blind[wt.node] {
+func (s *fakeStore) answerWatch(target *watch, timeUp bool) {
+	if s.unavailable(target.process) && !timeUp || s.world.now < s.watchesLostUntil[target.process] {
 		return // a blind node's watch is a connection that died without a sign
 	}
-	at := -1
-	for i, x := range s.watches {
-		if x == wt {
-			at = i
+	index := -1
+	for i, other := range s.watches {
+		if other == target {
+			index = i
 		}
 	}
-	if at < 0 {
+	if index < 0 {
 		return
 	}
-	r := kv.Response{Status: 200, Rev: s.rev}
-	if s.refused(wt.node) {
-		r.Rev = wt.since // nothing new is told
-	} else if wt.since < s.trimmed {
-		s.watches = append(s.watches[:at], s.watches[at+1:]...)
-		wt.answer(kv.Response{Status: 410})
+	response := kv.Response{Status: 200, Revision: s.rev}
+	if s.unavailable(target.process) {
+		response.Revision = target.since // nothing new is told
+	} else if target.since < s.compactedRev {
+		s.watches = append(s.watches[:index], s.watches[index+1:]...)
+		target.answer(kv.Response{Status: 410})
 		return
 	} else {
-		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Stamp > wt.since })
-		for _, e := range s.log[i:] {
-			if strings.HasPrefix(e.Set+e.Delete, wt.prefix) {
-				r.News = append(r.News, e)
+		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > target.since })
+		for _, change := range s.log[i:] {
+			if strings.HasPrefix(change.Set+change.Delete, target.prefix) {
+				response.Events = append(response.Events, change)
 			}
 		}
 	}
-	if len(r.News) == 0 && !timeUp {
+	if len(response.Events) == 0 && !timeUp {
 		return
 	}
-	s.watches = append(s.watches[:at], s.watches[at+1:]...)
-	wt.answer(r)
+	s.watches = append(s.watches[:index], s.watches[index+1:]...)
+	target.answer(response)
 }
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -62,15 +62,15 @@
 func (t *Trace) line(effect controller.Effect) string {
 	switch e := effect.(type) {
 	case controller.Reply:
-		return fmt.Sprintf("reply to=%d status=%d retry=%d body=%s", e.To, e.Status, e.RetryAfterS, traceJSON(e.Body))
-	case controller.StateCall:
-		return traceStoreRequest(&e.Req)
+		return fmt.Sprintf("reply to=%d status=%d retry=%d body=%s", e.RequestID, e.Status, e.RetryAfterSeconds, traceJSON(e.Body))
+	case controller.StoreCall:
+		return traceStoreRequest(&e.Request)
 	case controller.CloudCall:
 		return traceCloudRequest(&e)
-	case controller.WorkerCall:
-		return fmt.Sprintf("command addr=%s body=%s", e.Addr, traceJSON(e.Cmd))
-	case controller.SendHeartbeat:
-		return "heartbeat " + t.heartbeat(e.Beat)
+	case controller.AgentCall:
+		return fmt.Sprintf("command addr=%s body=%s", e.Address, traceJSON(e.Commands))
+	case controller.BroadcastHeartbeat:
+		return "heartbeat " + t.heartbeat(e.Heartbeat)
 	}
 	panic(fmt.Sprintf("trace: unknown effect %T", effect)) // a fault of the program: a new effect is to be added here
 }
@@ -80,15 +80,15 @@
 	case kv.Get:
 		return "store get key=" + r.Key
 	case kv.List:
-		return fmt.Sprintf("store list under=%s since=%s", r.Key, r.Since)
-	case kv.Commit:
+		return fmt.Sprintf("store list under=%s since=%s", r.Key, r.After)
+	case kv.Transact:
 		return "store txn " + traceJSON(r.Txn)
-	case kv.Grant:
-		return fmt.Sprintf("store grant ttl=%d", r.TTLMs)
-	case kv.Renew:
-		return fmt.Sprintf("store renew lease=%d", r.Permit)
+	case kv.GrantLease:
+		return fmt.Sprintf("store grant ttl=%d", r.TTLMillis)
+	case kv.RenewLease:
+		return fmt.Sprintf("store renew lease=%d", r.LeaseID)
 	case kv.Watch:
-		return fmt.Sprintf("store watch under=%s since=%d hold=%d", r.Key, r.Rev, r.HoldMs)
+		return fmt.Sprintf("store watch under=%s since=%d hold=%d", r.Key, r.Revision, r.WaitMillis)
 	}
 	panic(fmt.Sprintf("trace: unknown request %d", r.Kind))
 }
@@ -97,12 +97,12 @@
 	switch e.Op {
 	case controller.CloudCatalog:
 		return "cloud catalog"
-	case controller.CloudHire:
-		return "cloud rent " + traceJSON(e.Hire)
+	case controller.CloudRent:
+		return "cloud rent " + traceJSON(e.Rental)
 	case controller.CloudDelete:
-		return "cloud delete " + traceJSON(e.Names)
+		return "cloud delete " + traceJSON(e.Machines)
 	case controller.CloudList:
-		return "cloud list since=" + e.Since
+		return "cloud list since=" + e.After
 	}
 	panic(fmt.Sprintf("trace: unknown call of the cloud %d", e.Op))
 }
--- a/internal/simulator/trace_test.go
+++ b/internal/simulator/trace_test.go
@@ -57,18 +57,18 @@
 		return trace.String()
 	}
 	commit := func(id uint64, value string) controller.Effect {
-		op := kv.Op{Set: "k/a", Value: []byte(value), Permit: 3}
-		return controller.StateCall{ID: id, Req: kv.Request{Kind: kv.Commit, Txn: &kv.Txn{Apply: []kv.Op{op}}}}
+		op := kv.Operation{Set: "k/a", Value: []byte(value), LeaseID: 3}
+		return controller.StoreCall{CallID: id, Request: kv.Request{Kind: kv.Transact, Txn: &kv.Txn{Operations: []kv.Operation{op}}}}
 	}
 	beat := func(member string, heard int64) controller.Effect {
-		return controller.SendHeartbeat{Beat: peer.Heartbeat{Member: member, Heard: map[string]int64{"n-1": heard, "n-2": 5}}}
+		return controller.BroadcastHeartbeat{Heartbeat: peer.Heartbeat{Member: member, Heard: map[string]int64{"n-1": heard, "n-2": 5}}}
 	}
 	base := digest(1, "node0", commit(1, `{"a":1}`))
 	different := map[string]string{
 		"time":       digest(2, "node0", commit(1, `{"a":1}`)),
 		"controller": digest(1, "node1", commit(1, `{"a":1}`)),
 		"value":      digest(1, "node0", commit(1, `{"a":2}`)),
-		"kind":       digest(1, "node0", controller.StateCall{Req: kv.Request{Kind: kv.Get, Key: "k/a"}}),
+		"kind":       digest(1, "node0", controller.StoreCall{Request: kv.Request{Kind: kv.Get, Key: "k/a"}}),
 	}
 	for what, other := range different {
 		if other == base {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -9,250 +9,250 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// users submit jobs, ask about them and cancel some.
-type users struct {
-	w    *World
-	jobs map[string]*userJob
+// fakeUsers submit jobs, ask about them and cancel some.
+type fakeUsers struct {
+	world *World
+	jobs  map[string]*userJob
 
 	cancelAtEnd float64 // chance that a job is called off at the moment of its end
-	odds        int
+	invalidJobs int
 }
 
 type userJob struct {
-	spec     schema.Job
-	runS     float64
-	broken   bool // submitted with a mistake: it fails everywhere
-	accepted units.Micros
-	doneAt   units.Micros
-	stage    string
-	denied   int
-	asked    units.Micros // when it was last submitted
-	abort    bool
-	bad      string // why it must not be accepted
-	atOnce   bool   // it is submitted though the jobs that it names are not known to be accepted
+	spec            schema.Job
+	runSeconds      float64
+	failing         bool // submitted with a mistake: it fails everywhere
+	acceptedAt      units.Micros
+	doneAt          units.Micros
+	stage           string
+	rejectedStatus  int
+	submittedAt     units.Micros // when it was last submitted
+	cancelRequested bool
+	rejectReason    string // why it must not be accepted
+	ignoresNeeds    bool   // it is submitted though the jobs that it names are not known to be accepted
 }
 
-func newUsers(w *World) *users { return &users{w: w, jobs: map[string]*userJob{}} }
+func newUsers(w *World) *fakeUsers { return &fakeUsers{world: w, jobs: map[string]*userJob{}} }
 
-func (u *users) find(id string) *userJob { return u.jobs[id] }
+func (u *fakeUsers) find(id string) *userJob { return u.jobs[id] }
 
-func (u *users) job(id string) *userJob {
-	j := u.jobs[id]
-	if j == nil {
+func (u *fakeUsers) job(id string) *userJob {
+	job := u.jobs[id]
+	if job == nil {
 		panic("a task of a job that nobody submitted: " + id)
 	}
-	return j
+	return job
 }
 
-// ask sends a request to a random healthy node; failures to connect are soon
+// request sends a request to a random healthy node; failures to connect are soon
 // known, everything else is waited for.
-func (u *users) ask(kind controller.UserKind, id string, j *schema.Job, limit units.Micros, got func(status int, body any, was string)) {
-	w := u.w
-	was := w.Rules.Told(id)
-	var up []*process
-	for _, n := range w.nodes {
-		if n.up && n.healthy {
-			up = append(up, n)
+func (u *fakeUsers) request(kind controller.UserRequestKind, id string, job *schema.Job, limit units.Micros, received func(status int, body any, knownStage string)) {
+	w := u.world
+	knownStage := w.Checker.LastStage(id)
+	var healthy []*controllerProcess
+	for _, process := range w.processes {
+		if process.running && process.healthy {
+			healthy = append(healthy, process)
 		}
 	}
-	if len(up) == 0 {
-		w.after(100*units.Millisecond, func() { got(0, nil, was) })
+	if len(healthy) == 0 {
+		w.after(100*units.Millisecond, func() { received(0, nil, knownStage) })
 		return
 	}
-	n := up[w.rng.IntN(len(up))]
-	call(w, "users", n.name, limit, func(answer func(controller.Reply)) {
+	process := healthy[w.rng.IntN(len(healthy))]
+	call(w, "users", process.name, limit, func(answer func(controller.Reply)) {
 		var copied *schema.Job
-		if j != nil {
-			c := *j
-			copied = &c
-			if n.old {
+		if job != nil {
+			submitted := *job
+			copied = &submitted
+			if process.previousVersion {
 				copied.Needs = nil // it ignores what it doesn't know
 			}
 		}
-		n.ask(func(to uint64) controller.Msg {
-			q := controller.UserReq{To: to, Kind: kind, ID: id, Job: copied}
-			if copied == nil && kind == controller.Submit {
-				q.Why = fmt.Errorf("malformed")
+		process.request(func(to uint64) controller.Message {
+			request := controller.UserRequest{RequestID: to, Kind: kind, JobID: id, Job: copied}
+			if copied == nil && kind == controller.SubmitJob {
+				request.Malformed = fmt.Errorf("malformed")
 			}
-			return q
+			return request
 		}, answer)
-	}, func(r controller.Reply, ok bool) {
+	}, func(reply controller.Reply, ok bool) {
 		if !ok {
-			r.Status = 0
+			reply.Status = 0
 		}
-		got(r.Status, r.Body, was)
+		received(reply.Status, reply.Body, knownStage)
 	})
 }
 
-func stageOf(body any) string {
-	if st, ok := body.(*controller.Status); ok && st != nil {
-		return st.Stage
+func replyStage(body any) string {
+	if status, ok := body.(*controller.JobStatus); ok && status != nil {
+		return status.Stage
 	}
 	return ""
 }
 
 // submit sends a job until it is accepted or refused for good.
-func (u *users) submit(j *userJob) {
-	u.jobs[j.spec.ID] = j
-	u.w.Rules.Submitted(&j.spec)
-	if j.bad != "" {
-		u.w.Rules.Bad(j.spec.ID, j.bad)
+func (u *fakeUsers) submit(job *userJob) {
+	u.jobs[job.spec.ID] = job
+	u.world.Checker.Submitted(&job.spec)
+	if job.rejectReason != "" {
+		u.world.Checker.MustReject(job.spec.ID, job.rejectReason)
 	}
-	spec := &j.spec
-	if j.bad == "lacks a field" {
+	spec := &job.spec
+	if job.rejectReason == "lacks a field" {
 		spec = nil
 	}
-	first := u.w.now
-	var try func()
-	try = func() {
-		if !j.atOnce && !u.accepted(j.spec.Needs) { // each as soon as those that it needs are accepted
-			u.w.after(20*units.Millisecond, try)
+	first := u.world.now
+	var attempt func()
+	attempt = func() {
+		if !job.ignoresNeeds && !u.allAccepted(job.spec.Needs) { // each as soon as those that it needs are accepted
+			u.world.after(20*units.Millisecond, attempt)
 			return
 		}
-		if len(j.spec.Needs) > 0 && j.asked == 0 {
-			first = u.w.now
+		if len(job.spec.Needs) > 0 && job.submittedAt == 0 {
+			first = u.world.now
 		}
-		j.asked = u.w.now
-		u.ask(controller.Submit, j.spec.ID, spec, 5*units.Second, func(status int, body any, was string) {
-			u.w.Rules.Answer("submit", j.spec.ID, status, stageOf(body), was)
+		job.submittedAt = u.world.now
+		u.request(controller.SubmitJob, job.spec.ID, spec, 5*units.Second, func(status int, body any, knownStage string) {
+			u.world.Checker.Answered("submit", job.spec.ID, status, replyStage(body), knownStage)
 			switch status {
 			case 200, 201:
-				if j.accepted == 0 {
-					j.accepted = u.w.now
+				if job.acceptedAt == 0 {
+					job.acceptedAt = u.world.now
 				}
-				j.stage = stageOf(body)
-				u.w.after(u.pause(), func() { u.poll(j) })
+				job.stage = replyStage(body)
+				u.world.after(u.pollDelay(), func() { u.poll(job) })
 			case 400, 422:
-				j.denied = status
+				job.rejectedStatus = status
 			default:
-				if u.w.now-first < 60*units.Second {
-					u.w.after(units.Second, try)
+				if u.world.now-first < 60*units.Second {
+					u.world.after(units.Second, attempt)
 				}
 			}
 		})
 	}
-	try()
+	attempt()
 }
 
-// accepted reports whether users know that all these jobs are accepted.
-func (u *users) accepted(ids []string) bool {
+// allAccepted reports whether users know that all these jobs are accepted.
+func (u *fakeUsers) allAccepted(ids []string) bool {
 	for _, id := range ids {
-		if j := u.jobs[id]; j == nil || j.accepted == 0 {
+		if job := u.jobs[id]; job == nil || job.acceptedAt == 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (u *users) pause() units.Micros {
-	return 4*units.Second + units.Micros(u.w.rng.Int64N(int64(2*units.Second)))
+func (u *fakeUsers) pollDelay() units.Micros {
+	return 4*units.Second + units.Micros(u.world.rng.Int64N(int64(2*units.Second)))
 }
 
-func (u *users) poll(j *userJob) {
-	u.ask(controller.Poll, j.spec.ID, nil, 2*units.Second, func(status int, body any, was string) {
-		u.w.Rules.Answer("poll", j.spec.ID, status, stageOf(body), was)
+func (u *fakeUsers) poll(job *userJob) {
+	u.request(controller.QueryJob, job.spec.ID, nil, 2*units.Second, func(status int, body any, knownStage string) {
+		u.world.Checker.Answered("poll", job.spec.ID, status, replyStage(body), knownStage)
 		if status == 200 {
-			j.stage = stageOf(body)
-			if j.stage == controller.Done && j.doneAt == 0 {
-				j.doneAt = u.w.now
+			job.stage = replyStage(body)
+			if job.stage == controller.StageDone && job.doneAt == 0 {
+				job.doneAt = u.world.now
 			}
 		}
-		next := u.pause()
-		if j.stage == controller.Done || j.stage == controller.Cancelled {
+		next := u.pollDelay()
+		if job.stage == controller.StageDone || job.stage == controller.StageCancelled {
 			next = 30 * units.Second // they may ask again at any later time
 		}
-		u.w.after(next, func() { u.poll(j) })
+		u.world.after(next, func() { u.poll(job) })
 	})
 }
 
 // repeat submits a known job again, whole or malformed.
-func (u *users) repeat(id string, broken bool) {
-	j := u.jobs[id]
-	spec := &j.spec
+func (u *fakeUsers) repeat(id string, broken bool) {
+	job := u.jobs[id]
+	spec := &job.spec
 	if broken {
 		spec = nil
 	}
-	u.ask(controller.Submit, id, spec, 5*units.Second, func(status int, body any, was string) {
-		u.w.Rules.Answer("submit", id, status, stageOf(body), was)
+	u.request(controller.SubmitJob, id, spec, 5*units.Second, func(status int, body any, knownStage string) {
+		u.world.Checker.Answered("submit", id, status, replyStage(body), knownStage)
 	})
 }
 
-// odd sends what no user should send, until then: repeats of unfinished jobs, of
+// sendInvalid sends what no user should send, until then: repeats of unfinished jobs, of
 // which some are malformed, cancellations of done ones, and jobs that can't run.
-func (u *users) odd(until units.Micros) {
-	if u.w.now > until {
+func (u *fakeUsers) sendInvalid(until units.Micros) {
+	if u.world.now > until {
 		return
 	}
-	u.w.after(700*units.Millisecond, func() { u.odd(until) })
-	all := u.sorted()
+	u.world.after(700*units.Millisecond, func() { u.sendInvalid(until) })
+	all := u.sortedJobs()
 	if len(all) == 0 {
 		return
 	}
-	j := all[u.w.rng.IntN(len(all))]
-	switch u.w.rng.IntN(4) {
+	job := all[u.world.rng.IntN(len(all))]
+	switch u.world.rng.IntN(4) {
 	case 0:
-		if j.accepted > 0 {
-			u.repeat(j.spec.ID, u.w.rng.IntN(2) == 0)
+		if job.acceptedAt > 0 {
+			u.repeat(job.spec.ID, u.world.rng.IntN(2) == 0)
 		}
 	case 1:
-		if j.stage == controller.Done && !j.abort {
-			u.cancel(j.spec.ID)
+		if job.stage == controller.StageDone && !job.cancelRequested {
+			u.cancel(job.spec.ID)
 		}
 	default:
-		u.odds++
-		o := &userJob{runS: 10, spec: j.spec}
-		o.spec.ID = fmt.Sprintf("j-%06d", 700000+u.odds)
-		switch u.w.rng.IntN(4) {
+		u.invalidJobs++
+		invalid := &userJob{runSeconds: 10, spec: job.spec}
+		invalid.spec.ID = fmt.Sprintf("j-%06d", 700000+u.invalidJobs)
+		switch u.world.rng.IntN(4) {
 		case 0:
-			o.bad, o.spec.CPUs = "fits no machine", 100000
+			invalid.rejectReason, invalid.spec.CPUs = "fits no machine", 100000
 		case 1:
-			o.bad, o.spec.Team = "has no team", "nobody"
+			invalid.rejectReason, invalid.spec.Team = "has no team", "nobody"
 		case 2:
-			o.bad, o.spec.Zone = "names no zone", "nowhere"
+			invalid.rejectReason, invalid.spec.Zone = "names no zone", "nowhere"
 		case 3:
-			o.bad = "lacks a field"
+			invalid.rejectReason = "lacks a field"
 		}
-		u.submit(o)
+		u.submit(invalid)
 	}
 }
 
-// ended may call a job off at the moment of its end.
-func (u *users) ended(id string) {
-	if j := u.jobs[id]; u.cancelAtEnd > 0 && !j.abort && u.w.rng.Float64() < u.cancelAtEnd {
+// jobCompleted may call a job off at the moment of its end.
+func (u *fakeUsers) jobCompleted(id string) {
+	if job := u.jobs[id]; u.cancelAtEnd > 0 && !job.cancelRequested && u.world.rng.Float64() < u.cancelAtEnd {
 		u.cancel(id)
 	}
 }
 
-// stranger asks about a job that nobody submitted.
-func (u *users) stranger() {
-	id := fmt.Sprintf("j-%012d", 900000000000+u.w.rng.Int64N(1000))
-	u.ask(controller.Poll, id, nil, 2*units.Second, func(status int, body any, was string) {
-		u.w.Rules.Answer("poll", id, status, stageOf(body), was)
+// pollUnknownJob asks about a job that nobody submitted.
+func (u *fakeUsers) pollUnknownJob() {
+	id := fmt.Sprintf("j-%012d", 900000000000+u.world.rng.Int64N(1000))
+	u.request(controller.QueryJob, id, nil, 2*units.Second, func(status int, body any, knownStage string) {
+		u.world.Checker.Answered("poll", id, status, replyStage(body), knownStage)
 	})
 }
 
-func (u *users) cancel(id string) {
-	j := u.jobs[id]
-	j.abort = true
-	u.w.Rules.Aborting(id)
-	var try func()
-	try = func() {
-		u.ask(controller.Abort, id, nil, 5*units.Second, func(status int, body any, was string) {
-			u.w.Rules.Answer("abort", id, status, stageOf(body), was)
+func (u *fakeUsers) cancel(id string) {
+	job := u.jobs[id]
+	job.cancelRequested = true
+	u.world.Checker.CancelRequested(id)
+	var attempt func()
+	attempt = func() {
+		u.request(controller.CancelJob, id, nil, 5*units.Second, func(status int, body any, knownStage string) {
+			u.world.Checker.Answered("abort", id, status, replyStage(body), knownStage)
 			if status == 200 {
-				j.stage = stageOf(body)
+				job.stage = replyStage(body)
 				return
 			}
-			u.w.after(units.Second, try)
+			u.world.after(units.Second, attempt)
 		})
 	}
-	try()
+	attempt()
 }
 
-func (u *users) sorted() []*userJob {
+func (u *fakeUsers) sortedJobs() []*userJob {
 	var out []*userJob
-	for _, j := range u.jobs {
-		out = append(out, j)
+	for _, job := range u.jobs {
+		out = append(out, job)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].spec.ID < out[b].spec.ID })
 	return out
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -20,16 +20,16 @@
 )
 
 type event struct {
-	at units.Micros
-	n  int
-	f  func()
+	at       units.Micros
+	sequence int
+	action   func()
 }
 
 type queue []event
 
 func (q queue) Len() int { return len(q) }
 func (q queue) Less(a, b int) bool {
-	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].n < q[b].n
+	return q[a].at < q[b].at || q[a].at == q[b].at && q[a].sequence < q[b].sequence
 }
 func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
@@ -43,67 +43,67 @@
 // World is the region.
 type World struct {
 	now    units.Micros
-	q      queue
+	queue  queue
 	events int
 	rng    *rand.Rand
 	log    io.Writer
 
-	nodes   []*process
-	store   *store
-	cloud   *cloudService
-	workers map[string]*worker
-	names   []string // workers in order of creation
-	users   *users
-	Rules   *Checker
-	trace   *Trace
+	processes   []*controllerProcess
+	store       *fakeStore
+	cloud       *fakeCloud
+	workers     map[string]*fakeAgent
+	workerNames []string // workers in order of creation
+	users       *fakeUsers
+	Checker     *Checker
+	trace       *Trace
 
-	cuts  []*cut
-	flaky float64 // chance that an answer is lost, or a request is carried out late
-	lag   units.Micros
+	networkPartitions []*networkPartition
+	lossRate          float64 // chance that an answer is lost, or a request is carried out late
+	latency           units.Micros
 
-	slowAnswers units.Micros // the most that an answer to a report is held up on its way
+	maxAnswerDelay units.Micros // the most that an answer to a report is held up on its way
 
-	copies float64 // chance that a copy of a report comes late, to any controller
+	duplicateRate float64 // chance that a copy of a report comes late, to any controller
 }
 
 // cut is an interruption between two kinds of host.
-type cut struct {
-	a, b  string
-	some  map[string]bool // instead of a and b: these machines from everything
-	zone  string          // instead of a and b: all in that zone from all that is not
-	until units.Micros
-	hold  bool
-	deaf  bool // only what b sends to a is lost
-	mute  bool // only requests from b to a are lost: b answers what it is asked
+type networkPartition struct {
+	host, peer          string
+	machines            map[string]bool // instead of a and b: these machines from everything
+	zone                string          // instead of a and b: all in that zone from all that is not
+	until               units.Micros
+	delayed             bool
+	inboundLost         bool // only what b sends to a is lost
+	inboundRequestsLost bool // only requests from b to a are lost: b answers what it is asked
 }
 
-// process is one process of the service, or the gap between two.
-type process struct {
-	w     *World
-	name  string
-	cfg   *config.Config
-	core  *controller.Core
-	gen   int
-	up    bool
-	old   bool // it runs the version before
-	inbox []controller.Msg
-	due   bool
+// controllerProcess is one process of the service, or the gap between two.
+type controllerProcess struct {
+	world           *World
+	name            string
+	cfg             *config.Config
+	controller      *controller.Controller
+	incarnation     int
+	running         bool
+	previousVersion bool // it runs the version before
+	inbox           []controller.Message
+	stepScheduled   bool
 	// replies that callers of this process wait for
-	waiting map[uint64]func(controller.Reply)
-	next    uint64
+	pendingReplies map[uint64]func(controller.Reply)
+	nextReply      uint64
 	// what the load balancer thinks of it
-	healthy bool
-	ever    bool
-	good    int
-	bad     int
-	frozen  units.Micros // it stands still until then
-	backAt  units.Micros
+	healthy      bool
+	everHealthy  bool
+	passedProbes int
+	failedProbes int
+	pausedUntil  units.Micros // it stands still until then
+	readmitAt    units.Micros
 }
 
 func newWorld(seed uint64, log io.Writer) *World {
 	w := &World{
-		now: units.Second, rng: rand.New(rand.NewPCG(seed, 42)), workers: map[string]*worker{}, log: log,
-		Rules: NewChecker(), lag: 4 * units.Millisecond,
+		now: units.Second, rng: rand.New(rand.NewPCG(seed, 42)), workers: map[string]*fakeAgent{}, log: log,
+		Checker: NewChecker(), latency: 4 * units.Millisecond,
 	}
 	w.store = newStore(w)
 	w.cloud = newCloud(w)
@@ -111,58 +111,58 @@
 	return w
 }
 
-func (w *World) at(t units.Micros, f func()) {
+func (w *World) at(when units.Micros, action func()) {
 	w.events++
-	heap.Push(&w.q, event{max(t, w.now), w.events, f})
+	heap.Push(&w.queue, event{max(when, w.now), w.events, action})
 }
 
-func (w *World) after(d units.Micros, f func()) { w.at(w.now+d, f) }
+func (w *World) after(delay units.Micros, action func()) { w.at(w.now+delay, action) }
 
-func (w *World) every(d units.Micros, f func()) {
-	w.after(d, func() { f(); w.every(d, f) })
+func (w *World) every(period units.Micros, action func()) {
+	w.after(period, func() { action(); w.every(period, action) })
 }
 
 // run plays until the given time, or until a rule is broken.
 func (w *World) run(until units.Micros) {
-	for len(w.q) > 0 && w.q[0].at <= until {
-		e := heap.Pop(&w.q).(event)
-		w.now = e.at
-		w.Rules.now = w.now
-		e.f()
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		next := heap.Pop(&w.queue).(event)
+		w.now = next.at
+		w.Checker.now = w.now
+		next.action()
 	}
 	w.now = until
 }
 
-// jitter is the time of one trip through the network.
-func (w *World) jitter() units.Micros {
-	d := w.lag/2 + units.Micros(w.rng.Int64N(int64(w.lag)))
+// networkDelay is the time of one trip through the network.
+func (w *World) networkDelay() units.Micros {
+	delay := w.latency/2 + units.Micros(w.rng.Int64N(int64(w.latency)))
 	if w.rng.Float64() < 0.005 {
-		d += units.Micros(w.rng.Int64N(int64(300 * units.Millisecond)))
+		delay += units.Micros(w.rng.Int64N(int64(300 * units.Millisecond)))
 	}
-	return d
+	return delay
 }
 
 // blocked finds an interruption of what one host sends to another, a request or
 // an answer.
-func (w *World) blocked(from, to string, answer bool) *cut {
-	for _, c := range w.cuts {
-		if c.mute && answer {
+func (w *World) blocked(from, to string, answer bool) *networkPartition {
+	for _, fault := range w.networkPartitions {
+		if fault.inboundRequestsLost && answer {
 			continue
 		}
-		if c.some != nil {
-			if w.now < c.until && (c.some[from] || c.some[to]) {
-				return c
+		if fault.machines != nil {
+			if w.now < fault.until && (fault.machines[from] || fault.machines[to]) {
+				return fault
 			}
 			continue
 		}
-		if c.zone != "" {
-			if w.now < c.until && (w.zoneOf(from) == c.zone) != (w.zoneOf(to) == c.zone) {
-				return c
+		if fault.zone != "" {
+			if w.now < fault.until && (w.zoneOf(from) == fault.zone) != (w.zoneOf(to) == fault.zone) {
+				return fault
 			}
 			continue
 		}
-		if w.now < c.until && (matches(c.a, from) && matches(c.b, to) && !c.deaf && !c.mute || matches(c.a, to) && matches(c.b, from)) {
-			return c
+		if w.now < fault.until && (matchesHost(fault.host, from) && matchesHost(fault.peer, to) && !fault.inboundLost && !fault.inboundRequestsLost || matchesHost(fault.host, to) && matchesHost(fault.peer, from)) {
+			return fault
 		}
 	}
 	return nil
@@ -171,18 +171,18 @@
 // zoneOf is the zone that a machine or controller is in; the rest belongs to the
 // region.
 func (w *World) zoneOf(host string) string {
-	if k := w.workers[host]; k != nil {
-		return k.l.Zone
+	if worker := w.workers[host]; worker != nil {
+		return worker.listed.Zone
 	}
-	for i, n := range w.nodes {
-		if n.name == host {
-			return n.cfg.Settings.Zones[i%len(n.cfg.Settings.Zones)]
+	for i, process := range w.processes {
+		if process.name == host {
+			return process.cfg.Settings.Zones[i%len(process.cfg.Settings.Zones)]
 		}
 	}
 	return ""
 }
 
-func matches(pattern, host string) bool {
+func matchesHost(pattern, host string) bool {
 	if pattern == "*" || pattern == host {
 		return true
 	}
@@ -193,12 +193,12 @@
 // its answer to the function it is given; got runs here with that answer, or
 // with ok false after the time limit. Under interruptions requests are lost or
 // held back and carried out late, though nobody waits for them any more.
-func call[T any](w *World, from, to string, limit units.Micros, serve func(answer func(T)), got func(v T, ok bool)) {
+func call[T any](w *World, from, to string, limit units.Micros, serve func(answer func(T)), received func(v T, ok bool)) {
 	settled := false
 	finish := func(v T, ok bool) {
 		if !settled {
 			settled = true
-			got(v, ok)
+			received(v, ok)
 		}
 	}
 	w.after(limit, func() {
@@ -207,188 +207,188 @@
 	})
 	var deliver func()
 	deliver = func() {
-		if c := w.blocked(from, to, false); c != nil {
-			if c.hold {
-				w.at(c.until+w.jitter(), deliver)
+		if fault := w.blocked(from, to, false); fault != nil {
+			if fault.delayed {
+				w.at(fault.until+w.networkDelay(), deliver)
 			}
 			return
 		}
 		serve(func(v T) {
-			if w.blocked(to, from, true) != nil || w.rng.Float64() < w.flaky {
+			if w.blocked(to, from, true) != nil || w.rng.Float64() < w.lossRate {
 				return
 			}
-			w.after(w.jitter()+w.heldUp(from), func() { finish(v, true) })
+			w.after(w.networkDelay()+w.answerDelay(from), func() { finish(v, true) })
 		})
 	}
-	if w.rng.Float64() < w.flaky/2 {
+	if w.rng.Float64() < w.lossRate/2 {
 		w.after(units.FromSeconds(1+w.rng.Float64()*30), deliver)
 		return
 	}
-	w.after(w.jitter(), deliver)
+	w.after(w.networkDelay(), deliver)
 }
 
-// heldUp is how much longer an answer to that host takes than usual.
-func (w *World) heldUp(host string) units.Micros {
-	if w.slowAnswers == 0 || w.workers[host] == nil {
+// answerDelay is how much longer an answer to that host takes than usual.
+func (w *World) answerDelay(host string) units.Micros {
+	if w.maxAnswerDelay == 0 || w.workers[host] == nil {
 		return 0
 	}
-	return units.Micros(w.rng.Int64N(int64(w.slowAnswers)))
+	return units.Micros(w.rng.Int64N(int64(w.maxAnswerDelay)))
 }
 
-func (w *World) addNode(cfg *config.Config, old bool) {
-	n := &process{w: w, name: cfg.Member, cfg: cfg, old: old, waiting: map[uint64]func(controller.Reply){}}
-	w.nodes = append(w.nodes, n)
-	n.start()
-	w.every(25*units.Millisecond, n.wake)
-	w.every(units.Second, n.probe)
+func (w *World) addProcess(cfg *config.Config, previousVersion bool) {
+	process := &controllerProcess{world: w, name: cfg.Member, cfg: cfg, previousVersion: previousVersion, pendingReplies: map[uint64]func(controller.Reply){}}
+	w.processes = append(w.processes, process)
+	process.start()
+	w.every(25*units.Millisecond, process.step)
+	w.every(units.Second, process.probe)
 }
 
 // probe asks for the health as the load balancer does.
-func (n *process) probe() {
-	call(n.w, "users", n.name, units.Second, func(answer func(controller.Reply)) {
-		n.ask(func(to uint64) controller.Msg { return controller.ReadyReq{To: to} }, answer)
-	}, func(r controller.Reply, ok bool) {
-		if !ok || r.Status != 200 {
-			n.good, n.bad = 0, n.bad+1
-			if n.bad >= 2 && n.healthy {
-				n.healthy, n.backAt = false, n.w.now+3*units.Second
+func (p *controllerProcess) probe() {
+	call(p.world, "users", p.name, units.Second, func(answer func(controller.Reply)) {
+		p.request(func(to uint64) controller.Message { return controller.ReadyRequest{RequestID: to} }, answer)
+	}, func(reply controller.Reply, ok bool) {
+		if !ok || reply.Status != 200 {
+			p.passedProbes, p.failedProbes = 0, p.failedProbes+1
+			if p.failedProbes >= 2 && p.healthy {
+				p.healthy, p.readmitAt = false, p.world.now+3*units.Second
 			}
 			return
 		}
-		n.good, n.bad = n.good+1, 0
-		if !n.healthy && (!n.ever || n.good >= 2 && n.w.now >= n.backAt) {
-			n.healthy, n.ever = true, true
+		p.passedProbes, p.failedProbes = p.passedProbes+1, 0
+		if !p.healthy && (!p.everHealthy || p.passedProbes >= 2 && p.world.now >= p.readmitAt) {
+			p.healthy, p.everHealthy = true, true
 		}
 	})
 }
 
-func (n *process) start() {
-	n.gen++
-	n.up = true
+func (p *controllerProcess) start() {
+	p.incarnation++
+	p.running = true
 	level := slog.LevelInfo
 	if os.Getenv("SCENARIO_LOG") == "debug" {
 		level = slog.LevelDebug
 	}
-	log := slog.New(slog.NewTextHandler(stamped{n.w}, &slog.HandlerOptions{Level: level, ReplaceAttr: noTime}))
-	cfg := n.cfg
-	if n.old { // it does not know what is announced
-		before := *n.cfg
-		before.Settings.State.Next = nil
-		cfg = &before
+	log := slog.New(slog.NewTextHandler(timestampWriter{p.world}, &slog.HandlerOptions{Level: level, ReplaceAttr: dropTime}))
+	cfg := p.cfg
+	if p.previousVersion { // it does not know what is announced
+		previousSettings := *p.cfg
+		previousSettings.Settings.KVStore.Next = nil
+		cfg = &previousSettings
 	}
-	n.core = controller.New(cfg, policy.Default(), log, fmt.Sprintf("%s%04d", n.name, n.gen))
-	n.inbox, n.due = nil, false
-	n.waiting = map[uint64]func(controller.Reply){}
+	p.controller = controller.New(cfg, policy.Default(), log, fmt.Sprintf("%s%04d", p.name, p.incarnation))
+	p.inbox, p.stepScheduled = nil, false
+	p.pendingReplies = map[uint64]func(controller.Reply){}
 }
 
-func noTime(_ []string, a slog.Attr) slog.Attr {
-	if a.Key == slog.TimeKey {
+func dropTime(_ []string, attr slog.Attr) slog.Attr {
+	if attr.Key == slog.TimeKey {
 		return slog.Attr{}
 	}
-	return a
+	return attr
 }
 
-type stamped struct{ w *World }
+type timestampWriter struct{ world *World }
 
-func (s stamped) Write(b []byte) (int, error) {
+func (t timestampWriter) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte("invariant violated")) {
-		s.w.Rules.fail("invariant", "%s", bytes.TrimSpace(b))
+		t.world.Checker.violate("invariant", "%s", bytes.TrimSpace(b))
 	}
-	if s.w.log == nil {
+	if t.world.log == nil {
 		return len(b), nil
 	}
-	if _, err := fmt.Fprintf(s.w.log, "%9.3f ", s.w.now.Seconds()); err != nil {
+	if _, err := fmt.Fprintf(t.world.log, "%9.3f ", t.world.now.Seconds()); err != nil {
 		return 0, err
 	}
-	return s.w.log.Write(b)
+	return t.world.log.Write(b)
 }
 
-func (n *process) crash() {
-	n.up, n.frozen = false, 0
-	n.gen++
-	n.inbox = nil
+func (p *controllerProcess) crash() {
+	p.running, p.pausedUntil = false, 0
+	p.incarnation++
+	p.inbox = nil
 }
 
-func (n *process) post(m controller.Msg) {
-	n.inbox = append(n.inbox, m)
-	if !n.due {
-		n.due = true
-		gen := n.gen
-		n.w.after(200, func() {
-			if n.gen == gen {
-				n.wake()
+func (p *controllerProcess) enqueue(msg controller.Message) {
+	p.inbox = append(p.inbox, msg)
+	if !p.stepScheduled {
+		p.stepScheduled = true
+		incarnation := p.incarnation
+		p.world.after(200, func() {
+			if p.incarnation == incarnation {
+				p.step()
 			}
 		})
 	}
 }
 
-// wake gives the core its messages and carries out the effects.
-func (n *process) wake() {
-	if !n.up || n.w.now < n.frozen {
+// step gives the core its messages and carries out the effects.
+func (p *controllerProcess) step() {
+	if !p.running || p.world.now < p.pausedUntil {
 		return
 	}
-	n.due = false
-	msgs := n.inbox
-	n.inbox = nil
-	for _, e := range n.core.Step(n.w.now, n.w.now+units.Micros(1e15), msgs) {
-		n.effect(e)
+	p.stepScheduled = false
+	msgs := p.inbox
+	p.inbox = nil
+	for _, e := range p.controller.Step(p.world.now, p.world.now+units.Micros(1e15), msgs) {
+		p.perform(e)
 	}
 }
 
-// alive returns a function that runs its argument only if this very process
+// ifRunning returns a function that runs its argument only if this very process
 // still runs.
-func (n *process) alive(f func()) {
-	if n.up {
-		f()
+func (p *controllerProcess) ifRunning(action func()) {
+	if p.running {
+		action()
 	}
 }
 
-func (n *process) effect(e controller.Effect) {
-	w, gen := n.w, n.gen
-	w.trace.record(w.now, n.name, e)
-	mine := func(m controller.Msg) {
-		if n.gen == gen && n.up {
-			n.post(m)
+func (p *controllerProcess) perform(e controller.Effect) {
+	w, incarnation := p.world, p.incarnation
+	w.trace.record(w.now, p.name, e)
+	enqueueIfSame := func(msg controller.Message) {
+		if p.incarnation == incarnation && p.running {
+			p.enqueue(msg)
 		}
 	}
 	switch e := e.(type) {
 	case controller.Reply:
-		if f := n.waiting[e.To]; f != nil {
-			delete(n.waiting, e.To)
-			f(e)
+		if answer := p.pendingReplies[e.RequestID]; answer != nil {
+			delete(p.pendingReplies, e.RequestID)
+			answer(e)
 		}
-	case controller.StateCall:
-		if n.old {
-			e = asBefore(e)
+	case controller.StoreCall:
+		if p.previousVersion {
+			e = previousVersionCall(e)
 		}
-		old := n.old
-		w.store.from(n.name, e, func(d controller.StateDone) {
-			if old {
-				d = shownBefore(d)
+		previousVersion := p.previousVersion
+		w.store.call(p.name, e, func(result controller.StoreResult) {
+			if previousVersion {
+				result = previousVersionResult(result)
 			}
-			mine(d)
+			enqueueIfSame(result)
 		})
 	case controller.CloudCall:
-		w.cloud.from(n.name, e, func(d controller.CloudDone) { mine(d) })
-	case controller.WorkerCall:
-		w.commandTo(n.name, e, func(d controller.WorkerDone) { mine(d) })
-	case controller.SendHeartbeat:
-		for _, o := range w.nodes {
-			if o == n || w.blocked(n.name, o.name, false) != nil {
+		w.cloud.call(p.name, e, func(result controller.CloudResult) { enqueueIfSame(result) })
+	case controller.AgentCall:
+		w.sendCommand(p.name, e, func(result controller.AgentResult) { enqueueIfSame(result) })
+	case controller.BroadcastHeartbeat:
+		for _, other := range w.processes {
+			if other == p || w.blocked(p.name, other.name, false) != nil {
 				continue
 			}
-			w.after(w.jitter(), func() { o.alive(func() { o.post(controller.PeerHeartbeat(e)) }) })
+			w.after(w.networkDelay(), func() { other.ifRunning(func() { other.enqueue(controller.PeerHeartbeat(e)) }) })
 		}
 	}
 }
 
-// ask sends a request to the process; answer is called if it replies.
-func (n *process) ask(msg func(to uint64) controller.Msg, answer func(controller.Reply)) {
-	if !n.up {
+// request sends a request to the process; answer is called if it replies.
+func (p *controllerProcess) request(msg func(to uint64) controller.Message, answer func(controller.Reply)) {
+	if !p.running {
 		return
 	}
-	n.next++
-	to := n.next
-	n.waiting[to] = answer
-	n.post(msg(to))
+	p.nextReply++
+	to := p.nextReply
+	p.pendingReplies[to] = answer
+	p.enqueue(msg(to))
 }
--- a/internal/soak/cloud.go
+++ b/internal/soak/cloud.go
@@ -15,9 +15,9 @@
 
 // The machine type and the zones of all runs.
 const (
-	typeBig  = "big"
-	bigCPUs  = 8
-	bigMemGB = 32
+	machineType  = "big"
+	machineCPUs  = 8
+	machineMemGB = 32
 )
 
 var zones = []string{"north", "south"}
@@ -28,83 +28,83 @@
 }
 
 // cloud rents machines.
-type cloudService struct {
-	w      *world
-	server *fasthttp.Server
-	mu     sync.Mutex
-	next   int
-	left   int // that can still be rented
-	down   bool
-	hires  map[string][]string
-	all    map[string]*machineRow
+type fakeCloud struct {
+	world       *world
+	server      *fasthttp.Server
+	mu          sync.Mutex
+	nextMachine int
+	available   int // that can still be rented
+	down        bool
+	scaleOuts   map[string][]string
+	machines    map[string]*machine
 }
 
-type machineRow struct {
-	listed cloud.Listed
-	born   time.Time
-	worker *worker
+type machine struct {
+	listed    cloud.ListedMachine
+	createdAt time.Time
+	worker    *fakeAgent
 }
 
-// rentable is how many machines may be rented beside those that are there at the start.
-const rentable = 24
+// scaleOutCapacity is how many machines may be rented beside those that are there at the start.
+const scaleOutCapacity = 24
 
-func newCloud(w *world) (*cloudService, error) {
-	c := &cloudService{w: w, left: rentable, hires: map[string][]string{}, all: map[string]*machineRow{}}
-	c.server = &fasthttp.Server{Handler: c.handle, Logger: quiet{}}
+func newCloud(w *world) (*fakeCloud, error) {
+	c := &fakeCloud{world: w, available: scaleOutCapacity, scaleOuts: map[string][]string{}, machines: map[string]*machine{}}
+	c.server = &fasthttp.Server{Handler: c.handle, Logger: discardLogger{}}
 	return c, serve(w, c.server, w.address(hostCloud, 8443))
 }
 
-func (c *cloudService) close() {
+func (c *fakeCloud) close() {
 	_ = c.server.Shutdown()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, row := range c.all {
+	for _, row := range c.machines {
 		if row.worker != nil {
 			row.worker.remove()
 		}
 	}
 }
 
-func (c *cloudService) nextZone() string { return zones[c.next%len(zones)] }
+func (c *fakeCloud) nextZone() string { return zones[c.nextMachine%len(zones)] }
 
 // create makes a machine that is up after some time.
-func (c *cloudService) create(kind, zone string, spot bool, boot time.Duration) (string, error) {
-	name := fmt.Sprintf("n-%06d", c.next)
-	row := &machineRow{born: time.Now()}
-	row.listed = cloud.Listed{Name: name, Addr: c.w.address(hostWorker+c.next, 9000), Type: kind, Zone: zone, Spot: spot, State: cloud.Starting}
-	c.next++
-	c.all[name] = row
+func (c *fakeCloud) create(kind, zone string, spot bool, boot time.Duration) (string, error) {
+	name := fmt.Sprintf("n-%06d", c.nextMachine)
+	row := &machine{createdAt: time.Now()}
+	row.listed = cloud.ListedMachine{Name: name, Addr: c.world.address(hostWorker+c.nextMachine, 9000), Type: kind, Zone: zone, Spot: spot, State: cloud.Starting}
+	c.nextMachine++
+	c.machines[name] = row
 	if boot == 0 {
-		return name, c.up(row)
+		return name, c.bootCompleted(row)
 	}
-	c.w.after(boot, func() {
+	c.world.after(boot, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.all[name] == row {
-			if err := c.up(row); err != nil {
-				c.w.events.add("machine %s does not start: %v", name, err)
+		if c.machines[name] == row {
+			if err := c.bootCompleted(row); err != nil {
+				c.world.events.add("machine %s does not start: %v", name, err)
 			}
 		}
 	})
 	return name, nil
 }
 
-func (c *cloudService) up(row *machineRow) error {
+func (c *fakeCloud) bootCompleted(row *machine) error {
 	row.listed.State = cloud.Running
-	c.w.check.MachineUp(row.listed.Name, row.listed.Zone)
-	k, err := newWorker(c.w, row.listed)
-	row.worker = k
+	c.world.checker.MachineStarted(row.listed.Name, row.listed.Zone)
+	worker, err := newWorker(c.world, row.listed)
+	row.worker = worker
 	return err
 }
 
-// die stops a machine, which stays listed.
-func (c *cloudService) die(name string) {
+// crash stops a machine, which stays listed.
+func (c *fakeCloud) crash(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row := c.all[name]; row != nil && row.worker != nil {
+	if row := c.machines[name]; row != nil && row.worker != nil {
 		row.worker.remove()
 		row.worker = nil
-		c.w.after(3*time.Second, func() {
+		c.world.after(3*time.Second, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			row.listed.State = cloud.Failed
@@ -113,19 +113,19 @@
 }
 
 // workers lists the machines that are up, in order.
-func (c *cloudService) workers() []*worker {
+func (c *fakeCloud) workers() []*fakeAgent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []*worker
-	for _, name := range slices.Sorted(maps.Keys(c.all)) {
-		if k := c.all[name].worker; k != nil {
-			out = append(out, k)
+	var out []*fakeAgent
+	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
+		if worker := c.machines[name].worker; worker != nil {
+			out = append(out, worker)
 		}
 	}
 	return out
 }
 
-func (c *cloudService) handle(ctx *fasthttp.RequestCtx) {
+func (c *fakeCloud) handle(ctx *fasthttp.RequestCtx) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.down {
@@ -134,17 +134,17 @@
 	}
 	switch path := string(ctx.Path()); {
 	case path == "/catalog":
-		big := cloud.Type{Name: typeBig, CPUs: bigCPUs, MemGB: bigMemGB, CacheGB: 50, FetchGBs: 5, Price: 1, SpotPrice: 0.4, BootS: 2, Zones: zones}
-		respond(ctx, answer{200, cloud.Catalog{Types: []cloud.Type{big}}})
+		big := cloud.MachineType{Name: machineType, CPUs: machineCPUs, MemGB: machineMemGB, CacheGB: 50, FetchGBPerSecond: 5, HourlyPrice: 1, SpotHourlyPrice: 0.4, BootSeconds: 2, Zones: zones}
+		respond(ctx, response{200, cloud.Catalog{Types: []cloud.MachineType{big}}})
 	case path == "/machines" && ctx.IsPost():
-		c.hire(ctx)
+		c.scaleOut(ctx)
 	case path == "/machines/delete":
-		var names cloud.Names
+		var names cloud.MachineNames
 		if json.Unmarshal(ctx.PostBody(), &names) != nil {
 			ctx.SetStatusCode(400)
 			return
 		}
-		for _, name := range names.Machines {
+		for _, name := range names.Names {
 			c.remove(name)
 		}
 	case path == "/machines":
@@ -155,57 +155,57 @@
 }
 
 // remove deletes a machine with all that is on it.
-func (c *cloudService) remove(name string) {
-	row := c.all[name]
+func (c *fakeCloud) remove(name string) {
+	row := c.machines[name]
 	if row == nil {
 		return
 	}
 	if row.worker != nil {
 		row.worker.remove()
 	}
-	delete(c.all, name)
-	c.left++
-	c.w.events.add("machine %s deleted", name)
+	delete(c.machines, name)
+	c.available++
+	c.world.events.add("machine %s deleted", name)
 }
 
-func (c *cloudService) hire(ctx *fasthttp.RequestCtx) {
-	var hire cloud.Hire
-	if json.Unmarshal(ctx.PostBody(), &hire) != nil || hire.Count < 1 || hire.Type != typeBig {
+func (c *fakeCloud) scaleOut(ctx *fasthttp.RequestCtx) {
+	var hire cloud.RentalRequest
+	if json.Unmarshal(ctx.PostBody(), &hire) != nil || hire.Count < 1 || hire.Type != machineType {
 		ctx.SetStatusCode(400)
 		return
 	}
-	if names, ok := c.hires[hire.Name]; ok {
-		respond(ctx, answer{200, cloud.Names{Machines: names}})
+	if names, ok := c.scaleOuts[hire.Name]; ok {
+		respond(ctx, response{200, cloud.MachineNames{Names: names}})
 		return
 	}
-	count := min(hire.Count, c.left)
+	count := min(hire.Count, c.available)
 	if count == 0 {
 		ctx.SetStatusCode(503)
 		return
 	}
-	c.left -= count
+	c.available -= count
 	var names []string
 	for range count {
-		name, err := c.create(hire.Type, hire.Zone, hire.Spot, c.w.rng.between(200*time.Millisecond, 3*time.Second))
+		name, err := c.create(hire.Type, hire.Zone, hire.Spot, c.world.rng.between(200*time.Millisecond, 3*time.Second))
 		if err != nil {
 			ctx.SetStatusCode(503)
 			return
 		}
 		names = append(names, name)
 	}
-	c.hires[hire.Name] = names
-	respond(ctx, answer{200, cloud.Names{Machines: names}})
+	c.scaleOuts[hire.Name] = names
+	respond(ctx, response{200, cloud.MachineNames{Names: names}})
 }
 
-func (c *cloudService) list(ctx *fasthttp.RequestCtx) {
+func (c *fakeCloud) list(ctx *fasthttp.RequestCtx) {
 	since := string(ctx.QueryArgs().Peek("since"))
-	var page cloud.Page
-	for _, name := range slices.Sorted(maps.Keys(c.all)) {
+	var page cloud.MachinePage
+	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
 		if name > since {
-			listed := c.all[name].listed
-			listed.AgeS = time.Since(c.all[name].born).Seconds()
+			listed := c.machines[name].listed
+			listed.AgeSeconds = time.Since(c.machines[name].createdAt).Seconds()
 			page.Machines = append(page.Machines, listed)
 		}
 	}
-	respond(ctx, answer{200, page})
+	respond(ctx, response{200, page})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -58,8 +58,8 @@
 	return target, true
 }
 
-// number reads a variable, or gives the default.
-func number(t *testing.T, name string, usual int) int {
+// envNumber reads a variable, or gives the default.
+func envNumber(t *testing.T, name string, usual int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
@@ -97,7 +97,7 @@
 // for no more than the deployment takes, since what is over in time depends on that.
 func scaleLimits(machines int) {
 	factor := max(1, float64(machines)/usualWorkers)
-	for _, limits := range []*stateLimits{&limitsNow, &limitsNext} {
+	for _, limits := range []*storeLimits{&currentLimits, &announcedLimits} {
 		limits.changesPerSecond *= factor
 		limits.requestsPerSecond *= factor
 	}
@@ -121,10 +121,10 @@
 	if !ok {
 		t.Log("not run: the roll from the version in production, whose history is missing here")
 	}
-	scaleLimits(number(t, "SOAK_WORKERS", usualWorkers))
+	scaleLimits(envNumber(t, "SOAK_WORKERS", usualWorkers))
 	from, to := seeds(t)
 	slots := make(chan int, 8)
-	for i := range min(number(t, "SOAK_AT_ONCE", 4), cap(slots)) {
+	for i := range min(envNumber(t, "SOAK_AT_ONCE", 4), cap(slots)) {
 		slots <- i
 	}
 	t.Run("seeds", func(t *testing.T) {
@@ -138,20 +138,20 @@
 					before = production
 				}
 				soak(t, Options{
-					Seed: uint64(seed), Binary: binary, Before: before, Instance: slot, Workers: number(t, "SOAK_WORKERS", usualWorkers),
-					Trouble: time.Duration(number(t, "SOAK_S", 25)) * time.Second, Calm: time.Duration(number(t, "SOAK_CALM_S", 75)) * time.Second,
+					Seed: uint64(seed), Binary: binary, PreviousBinary: before, Instance: slot, Workers: envNumber(t, "SOAK_WORKERS", usualWorkers),
+					FaultTime: time.Duration(envNumber(t, "SOAK_S", 25)) * time.Second, SettleTime: time.Duration(envNumber(t, "SOAK_CALM_S", 75)) * time.Second,
 				})
 			})
 		}
 	})
 }
 
-// judgeable is the most that the host may have stood still in all for a run whose rules on time
+// maxJudgedStall is the most that the host may have stood still in all for a run whose rules on time
 // are to be judged: the protocol's times have that much to spare.
-const judgeable = 2 * time.Second
+const maxJudgedStall = 2 * time.Second
 
-// timed are the rules that a host which stands still breaks by itself.
-var timed = []string{" ran_cancelled: ", " orphaned: "}
+// timedRules are the rules that a host which stands still breaks by itself.
+var timedRules = []string{" ran_cancelled: ", " orphaned: "}
 
 func soak(t *testing.T, opts Options) {
 	t.Helper()
@@ -166,12 +166,12 @@
 		t.Fatal(err)
 	}
 	t.Logf("seed %d, %d machines, production first %v: %.0f s, %d jobs, %d answers, %d tasks started, %d of them of jobs called cancelled, within the time allowed; the host stood still for %v",
-		opts.Seed, opts.Workers, opts.Before != "", time.Since(begun).Seconds(), report.Jobs, report.Answers, report.Started, report.LateStarts, report.Stalled.Round(time.Millisecond))
+		opts.Seed, opts.Workers, opts.PreviousBinary != "", time.Since(begun).Seconds(), report.Jobs, report.Answers, report.Started, report.LateStarts, report.Stalled.Round(time.Millisecond))
 	broken := append(slices.Clone(report.Broken), report.Exits...)
 	for _, id := range report.Unfinished {
 		broken = append(broken, "not over at the end: "+id)
 	}
-	if report.Stalled > judgeable && len(broken) > 0 && !slices.ContainsFunc(report.Broken, func(line string) bool { return !isTimed(line) }) && len(report.Exits) == 0 {
+	if report.Stalled > maxJudgedStall && len(broken) > 0 && !slices.ContainsFunc(report.Broken, func(line string) bool { return !isTimed(line) }) && len(report.Exits) == 0 {
 		t.Skipf("NOT JUDGED: the host stood still for %v, and only rules on time seem broken: %v; logs in %s", report.Stalled, broken, dir)
 	}
 	if len(broken) == 0 {
@@ -190,7 +190,7 @@
 }
 
 func isTimed(line string) bool {
-	return slices.ContainsFunc(timed, func(rule string) bool { return strings.Contains(line, rule) })
+	return slices.ContainsFunc(timedRules, func(rule string) bool { return strings.Contains(line, rule) })
 }
 
 func matching(lines []string, what string) []string {
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -11,24 +11,24 @@
 
 // userJob is a job as its user sees it.
 type userJob struct {
-	facts JobFacts
-	run   time.Duration
-	grade string
-	body  map[string]any
+	facts   JobFacts
+	runTime time.Duration
+	grade   string
+	body    map[string]any
 }
 
-// users submit jobs at all controllers, repeat, ask and cancel.
-type users struct {
-	w    *world
-	mu   sync.Mutex
-	next int
-	jobs map[string]*userJob
-	ids  []string // in order of their submission
+// fakeUsers submit jobs at all controllers, repeat, ask and cancel.
+type fakeUsers struct {
+	world     *world
+	mu        sync.Mutex
+	nextJob   int
+	jobs      map[string]*userJob
+	submitted []string // in order of their submission
 }
 
-func newUsers(w *world) *users { return &users{w: w, jobs: map[string]*userJob{}} }
+func newUsers(w *world) *fakeUsers { return &fakeUsers{world: w, jobs: map[string]*userJob{}} }
 
-func (u *users) job(id string) *userJob {
+func (u *fakeUsers) job(id string) *userJob {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.jobs[id]
@@ -37,31 +37,31 @@
 // one of some words.
 func pick[T any](w *world, from ...T) T { return from[w.rng.intN(len(from))] }
 
-// begin has users at work for some time.
-func (u *users) begin(d time.Duration) {
-	until := time.Now().Add(d)
+// start has users at work for some time.
+func (u *fakeUsers) start(duration time.Duration) {
+	until := time.Now().Add(duration)
 	going := func() bool { return time.Now().Before(until) }
-	u.w.run(func() {
-		for going() && u.w.sleep(u.pause(150*time.Millisecond, 700*time.Millisecond)) {
-			u.submit(u.plain())
+	u.world.spawn(func() {
+		for going() && u.world.sleep(u.thinkTime(150*time.Millisecond, 700*time.Millisecond)) {
+			u.submit(u.drawJob())
 		}
 	})
-	u.w.run(func() {
-		for going() && u.w.sleep(u.pause(300*time.Millisecond, 1500*time.Millisecond)) {
-			if u.w.upgraded.Load() {
-				u.w.run(u.pipeline)
+	u.world.spawn(func() {
+		for going() && u.world.sleep(u.thinkTime(300*time.Millisecond, 1500*time.Millisecond)) {
+			if u.world.upgraded.Load() {
+				u.world.spawn(u.pipeline)
 			}
 		}
 	})
-	u.w.run(func() {
-		for going() && u.w.sleep(u.pause(200*time.Millisecond, time.Second)) {
-			u.odd()
+	u.world.spawn(func() {
+		for going() && u.world.sleep(u.thinkTime(200*time.Millisecond, time.Second)) {
+			u.sendInvalid()
 		}
 	})
-	u.w.run(func() {
-		for going() && u.w.sleep(u.pause(300*time.Millisecond, 1500*time.Millisecond)) {
-			if id := u.any(); id != "" {
-				u.w.run(func() { u.cancel(id) })
+	u.world.spawn(func() {
+		for going() && u.world.sleep(u.thinkTime(300*time.Millisecond, 1500*time.Millisecond)) {
+			if id := u.recentJob(); id != "" {
+				u.world.spawn(func() { u.cancel(id) })
 			}
 		}
 	})
@@ -71,84 +71,84 @@
 // more users.
 const usualWorkers = 20
 
-// pause draws a time between two of the users' doings.
-func (u *users) pause(low, high time.Duration) time.Duration {
-	return u.w.rng.between(low, high) * usualWorkers / time.Duration(max(usualWorkers, u.w.opts.Workers))
+// thinkTime draws a time between two of the users' doings.
+func (u *fakeUsers) thinkTime(low, high time.Duration) time.Duration {
+	return u.world.rng.between(low, high) * usualWorkers / time.Duration(max(usualWorkers, u.world.opts.Workers))
 }
 
-// any draws one of the latest jobs.
-func (u *users) any() string {
+// recentJob draws one of the latest jobs.
+func (u *fakeUsers) recentJob() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if len(u.ids) == 0 {
+	if len(u.submitted) == 0 {
 		return ""
 	}
-	latest := u.ids[max(0, len(u.ids)-25):]
-	return latest[u.w.rng.intN(len(latest))]
+	latest := u.submitted[max(0, len(u.submitted)-25):]
+	return latest[u.world.rng.intN(len(latest))]
 }
 
-// plain draws a job that needs none, or now and then an earlier one.
-func (u *users) plain() *userJob {
-	service := u.w.rng.chance(0.12)
-	tasks := 1 + u.w.rng.intN(12)
-	if service || u.w.rng.chance(0.4) {
-		tasks = 1 + u.w.rng.intN(3)
+// drawJob draws a job that needs none, or now and then an earlier one.
+func (u *fakeUsers) drawJob() *userJob {
+	service := u.world.rng.chance(0.12)
+	tasks := 1 + u.world.rng.intN(12)
+	if service || u.world.rng.chance(0.4) {
+		tasks = 1 + u.world.rng.intN(3)
 	}
-	j := u.draw(tasks, u.w.rng.between(500*time.Millisecond, 5*time.Second))
-	j.facts.Service = service
+	job := u.newJob(tasks, u.world.rng.between(500*time.Millisecond, 5*time.Second))
+	job.facts.Service = service
 	if service {
-		j.grade = "production"
-	} else if u.w.upgraded.Load() && u.w.rng.chance(0.2) {
-		j.facts.Needs = u.earlier()
+		job.grade = "production"
+	} else if u.world.upgraded.Load() && u.world.rng.chance(0.2) {
+		job.facts.Needs = u.drawDependency()
 	}
-	return j
+	return job
 }
 
-// earlier names an accepted job, which may be over or cancelled.
-func (u *users) earlier() []string {
-	id := u.any()
-	if id == "" || !u.w.check.Accepted(id) || u.job(id).facts.Service || u.job(id).facts.Bad != "" {
+// drawDependency names an accepted job, which may be over or cancelled.
+func (u *fakeUsers) drawDependency() []string {
+	id := u.recentJob()
+	if id == "" || !u.world.checker.Accepted(id) || u.job(id).facts.Service || u.job(id).facts.RejectReason != "" {
 		return nil
 	}
 	return []string{id}
 }
 
-// draw makes a job of so many tasks.
-func (u *users) draw(tasks int, run time.Duration) *userJob {
+// newJob makes a job of so many tasks.
+func (u *fakeUsers) newJob(tasks int, run time.Duration) *userJob {
 	u.mu.Lock()
-	u.next++
-	id := fmt.Sprintf("j-%06d", u.next)
+	u.nextJob++
+	id := fmt.Sprintf("j-%06d", u.nextJob)
 	u.mu.Unlock()
 	return &userJob{
-		facts: JobFacts{ID: id, Team: pick(u.w, teams...), Tasks: tasks, CPUs: pick(u.w, 1.0, 1.0, 2.0), Spot: u.w.rng.chance(0.5),
-			Zone: pick(u.w, "", "", "", zones[0], zones[1])},
-		run: run, grade: pick(u.w, "best_effort", "standard", "urgent"),
+		facts: JobFacts{ID: id, Team: pick(u.world, teams...), Tasks: tasks, CPUs: pick(u.world, 1.0, 1.0, 2.0), Spot: u.world.rng.chance(0.5),
+			Zone: pick(u.world, "", "", "", zones[0], zones[1])},
+		runTime: run, grade: pick(u.world, "best_effort", "standard", "urgent"),
 	}
 }
 
 // pipeline submits a chain, each link as soon as those that it needs are accepted, and may
 // cancel one of its links.
-func (u *users) pipeline() {
-	short := func() time.Duration { return u.w.rng.between(300*time.Millisecond, 2*time.Second) }
-	first := u.draw(1+u.w.rng.intN(3), short())
-	first.facts.Needs = u.earlier()
-	left, right := u.draw(1+u.w.rng.intN(8), short()), u.draw(1+u.w.rng.intN(8), short())
+func (u *fakeUsers) pipeline() {
+	shortRun := func() time.Duration { return u.world.rng.between(300*time.Millisecond, 2*time.Second) }
+	first := u.newJob(1+u.world.rng.intN(3), shortRun())
+	first.facts.Needs = u.drawDependency()
+	left, right := u.newJob(1+u.world.rng.intN(8), shortRun()), u.newJob(1+u.world.rng.intN(8), shortRun())
 	left.facts.Needs, right.facts.Needs = []string{first.facts.ID}, []string{first.facts.ID}
-	join := u.draw(1+u.w.rng.intN(3), short())
+	join := u.newJob(1+u.world.rng.intN(3), shortRun())
 	join.facts.Needs = []string{left.facts.ID, right.facts.ID}
-	last := u.draw(1, short())
+	last := u.newJob(1, shortRun())
 	last.facts.Needs = []string{join.facts.ID, first.facts.ID}
 	links := []*userJob{first, left, right, join, last}
-	if u.w.rng.chance(0.5) {
-		victim := pick(u.w, links[:4]...).facts.ID
-		u.w.after(u.w.rng.between(0, 6*time.Second), func() { u.cancel(victim) })
+	if u.world.rng.chance(0.5) {
+		victim := pick(u.world, links[:4]...).facts.ID
+		u.world.after(u.world.rng.between(0, 6*time.Second), func() { u.cancel(victim) })
 	}
 	for _, link := range links {
-		if link == last && u.w.rng.chance(0.3) && !u.w.sleep(u.w.rng.between(time.Second, 8*time.Second)) {
+		if link == last && u.world.rng.chance(0.3) && !u.world.sleep(u.world.rng.between(time.Second, 8*time.Second)) {
 			return
 		}
 		for !u.allAccepted(link.facts.Needs) {
-			if !u.w.sleep(20 * time.Millisecond) {
+			if !u.world.sleep(20 * time.Millisecond) {
 				return
 			}
 		}
@@ -156,165 +156,165 @@
 	}
 }
 
-func (u *users) allAccepted(ids []string) bool {
-	return !slices.ContainsFunc(ids, func(id string) bool { return !u.w.check.Accepted(id) })
+func (u *fakeUsers) allAccepted(ids []string) bool {
+	return !slices.ContainsFunc(ids, func(id string) bool { return !u.world.checker.Accepted(id) })
 }
 
-// odd sends what no user should: questions about nothing, repeats, and jobs that can't run.
-func (u *users) odd() {
-	switch u.w.rng.intN(4) {
+// sendInvalid sends what no user should: questions about nothing, repeats, and jobs that can't run.
+func (u *fakeUsers) sendInvalid() {
+	switch u.world.rng.intN(4) {
 	case 0:
-		u.ask("poll", fmt.Sprintf("j-9%05d", u.w.rng.intN(1000)), "GET", nil)
+		u.request("poll", fmt.Sprintf("j-9%05d", u.world.rng.intN(1000)), "GET", nil)
 	case 1:
-		if id := u.any(); id != "" && u.w.check.Accepted(id) {
-			u.ask("submit", id, "POST", u.job(id).body)
+		if id := u.recentJob(); id != "" && u.world.checker.Accepted(id) {
+			u.request("submit", id, "POST", u.job(id).body)
 		}
 	case 2:
-		j := u.draw(1, time.Second)
-		j.facts.CPUs, j.facts.Bad = 1000, "fits no machine"
-		u.submit(j)
+		job := u.newJob(1, time.Second)
+		job.facts.CPUs, job.facts.RejectReason = 1000, "fits no machine"
+		u.submit(job)
 	case 3:
-		j := u.draw(1, time.Second)
-		j.facts.Bad = "lacks a field"
-		u.submit(j)
+		job := u.newJob(1, time.Second)
+		job.facts.RejectReason = "lacks a field"
+		u.submit(job)
 	}
 }
 
 // submit registers a job and sends it until it is accepted or refused, and asks about it from then on.
-func (u *users) submit(j *userJob) {
-	j.body = bodyOf(j)
-	if j.facts.Bad == "lacks a field" {
-		delete(j.body, "crew")
+func (u *fakeUsers) submit(job *userJob) {
+	job.body = submissionBody(job)
+	if job.facts.RejectReason == "lacks a field" {
+		delete(job.body, "crew")
 	}
 	u.mu.Lock()
-	u.jobs[j.facts.ID] = j
-	if j.facts.Bad == "" {
-		u.ids = append(u.ids, j.facts.ID)
+	u.jobs[job.facts.ID] = job
+	if job.facts.RejectReason == "" {
+		u.submitted = append(u.submitted, job.facts.ID)
 	}
 	u.mu.Unlock()
-	u.w.check.Submitted(j.facts)
-	u.w.run(func() {
+	u.world.checker.Submitted(job.facts)
+	u.world.spawn(func() {
 		for {
-			status, _ := u.ask("submit", j.facts.ID, "POST", j.body)
+			status, _ := u.request("submit", job.facts.ID, "POST", job.body)
 			if status == 400 || status == 422 {
-				if j.facts.Bad == "" {
-					u.w.events.add("BROKEN %s is refused with %d", j.facts.ID, status)
+				if job.facts.RejectReason == "" {
+					u.world.events.add("BROKEN %s is refused with %d", job.facts.ID, status)
 				}
 				return
 			}
-			if status == 200 || status == 201 || !u.w.sleep(500*time.Millisecond) {
+			if status == 200 || status == 201 || !u.world.sleep(500*time.Millisecond) {
 				break
 			}
 		}
-		for u.w.sleep(u.w.rng.between(700*time.Millisecond, 1500*time.Millisecond)) {
-			if _, stage := u.ask("poll", j.facts.ID, "GET", nil); stage == "done" || stage == "cancelled" {
-				u.w.sleep(3 * time.Second) // they may ask again
+		for u.world.sleep(u.world.rng.between(700*time.Millisecond, 1500*time.Millisecond)) {
+			if _, stage := u.request("poll", job.facts.ID, "GET", nil); stage == "done" || stage == "cancelled" {
+				u.world.sleep(3 * time.Second) // they may ask again
 			}
 		}
 	})
 }
 
-func bodyOf(j *userJob) map[string]any {
-	f := j.facts
-	cut := "array"
-	if f.Service {
-		cut = "daemon"
+func submissionBody(job *userJob) map[string]any {
+	facts := job.facts
+	kind := "array"
+	if facts.Service {
+		kind = "daemon"
 	}
 	body := map[string]any{
-		"uid": f.ID, "lot": "soak", "crew": f.Team, "cut": cut, "grade": j.grade, "pieces": f.Tasks, "cpus": f.CPUs, "cards": 0.0,
-		"memoryGb": f.CPUs, "pattern": "image", "sizeGb": 0.1, "stocks": nil, "yard": nil, "samePlace": false, "spread": false,
-		"loaners": f.Spot, "sawS": j.run.Seconds(), "stackS": 0.0, "stowS": 0.0, "dueS": nil,
+		"uid": facts.ID, "lot": "soak", "crew": facts.Team, "cut": kind, "grade": job.grade, "pieces": facts.Tasks, "cpus": facts.CPUs, "cards": 0.0,
+		"memoryGb": facts.CPUs, "pattern": "image", "sizeGb": 0.1, "stocks": nil, "yard": nil, "samePlace": false, "spread": false,
+		"loaners": facts.Spot, "sawS": job.runTime.Seconds(), "stackS": 0.0, "stowS": 0.0, "dueS": nil,
 	}
-	if f.Zone != "" {
-		body["yard"] = f.Zone
+	if facts.Zone != "" {
+		body["yard"] = facts.Zone
 	}
-	if len(f.Needs) > 0 {
-		body["waitsOn"] = f.Needs
+	if len(facts.Needs) > 0 {
+		body["waitsOn"] = facts.Needs
 	}
 	return body
 }
 
 // cancel asks to cancel a job until it is told that the job is over.
-func (u *users) cancel(id string) {
-	for !u.w.check.Accepted(id) {
-		if !u.w.sleep(50 * time.Millisecond) {
+func (u *fakeUsers) cancel(id string) {
+	for !u.world.checker.Accepted(id) {
+		if !u.world.sleep(50 * time.Millisecond) {
 			return
 		}
 	}
-	u.w.check.Cancelling(id)
+	u.world.checker.CancelRequested(id)
 	for {
-		if status, _ := u.ask("abort", id, "POST", nil); status == 200 || !u.w.sleep(500*time.Millisecond) {
+		if status, _ := u.request("abort", id, "POST", nil); status == 200 || !u.world.sleep(500*time.Millisecond) {
 			return
 		}
 	}
 }
 
-// ask sends a request to a controller that is ready, and tells the checker.
-func (u *users) ask(kind, id, method string, body any) (status int, stage string) {
+// request sends a request to a controller that is ready, and tells the checker.
+func (u *fakeUsers) request(kind, id, method string, body any) (status int, stage string) {
 	path := map[string]string{"submit": "/submissions", "poll": "/submissions/" + id, "abort": "/submissions/" + id + "/abort"}[kind]
-	node := u.someReady()
-	if node == nil {
+	controller := u.readyController()
+	if controller == nil {
 		return 0, ""
 	}
-	asked := u.w.check.Asking(id)
-	var told struct {
+	asked := u.world.checker.BeforeRequest(id)
+	var reply struct {
 		Stage string `json:"stage"`
 	}
-	within := 5 * time.Second
+	timeout := 5 * time.Second
 	if kind == "poll" {
-		within = 2 * time.Second
+		timeout = 2 * time.Second
 	}
-	status = node.call(method, path, body, within, &told)
-	if u.w.links.cut(linkUsers, node.index) {
+	status = controller.call(method, path, body, timeout, &reply)
+	if u.world.network.isCut(linkUserAnswers, controller.index) {
 		return 0, ""
 	}
 	if status != 0 {
-		u.w.check.Answered(kind, id, status, told.Stage, asked)
+		u.world.checker.Answered(kind, id, status, reply.Stage, asked)
 	}
 	if (status == 200 || status == 201) && kind != "poll" {
-		u.w.events.add("%s of %s at %s: %s", kind, id, node.name, told.Stage)
+		u.world.events.add("%s of %s at %s: %s", kind, id, controller.name, reply.Stage)
 	}
-	return status, told.Stage
+	return status, reply.Stage
 }
 
-func (u *users) someReady() *process {
-	var ready []*process
-	for _, n := range u.w.nodes {
-		if n.isReady() {
-			ready = append(ready, n)
+func (u *fakeUsers) readyController() *controllerProcess {
+	var ready []*controllerProcess
+	for _, process := range u.world.controllers {
+		if process.isReady() {
+			ready = append(ready, process)
 		}
 	}
 	if len(ready) == 0 {
 		return nil
 	}
-	return pick(u.w, ready...)
+	return pick(u.world, ready...)
 }
 
 // finish cancels the services and waits until all jobs are over; it lists those that are not
 // in time.
-func (u *users) finish(within time.Duration) []string {
+func (u *fakeUsers) finish(timeout time.Duration) []string {
 	u.mu.Lock()
-	ids := slices.Clone(u.ids)
+	ids := slices.Clone(u.submitted)
 	u.mu.Unlock()
 	for _, id := range ids {
 		if u.job(id).facts.Service {
-			u.w.run(func() { u.cancel(id) })
+			u.world.spawn(func() { u.cancel(id) })
 		}
 	}
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for {
 		var open []string
 		for _, id := range ids {
-			if u.w.check.Final(id) == "" {
+			if u.world.checker.Outcome(id) == "" {
 				open = append(open, id)
 			}
 		}
 		if len(open) == 0 {
-			u.w.sleep(cancelIn + time.Second) // what was cancelled last must be gone as well
-			u.w.check.Closing()
+			u.world.sleep(cancelDeadline + time.Second) // what was cancelled last must be gone as well
+			u.world.checker.Finish()
 			return nil
 		}
-		if time.Now().After(deadline) || !u.w.sleep(200*time.Millisecond) {
+		if time.Now().After(deadline) || !u.world.sleep(200*time.Millisecond) {
 			return open
 		}
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -19,40 +19,40 @@
 
 // Options are the size of a run.
 type Options struct {
-	Seed     uint64
-	Binary   string        // the controller to be tested
-	Before   string        // the version in production, which is rolled to Binary; empty: none
-	Workers  int           // machines that are up at the start
-	Trouble  time.Duration // how long faults come
-	Calm     time.Duration // how long everything may take to end afterwards
-	Dir      string        // for settings and logs
-	Instance int           // distinguishes runs at the same time, for their addresses
+	Seed           uint64
+	Binary         string        // the controller to be tested
+	PreviousBinary string        // the version in production, which is rolled to Binary; empty: none
+	Workers        int           // machines that are up at the start
+	FaultTime      time.Duration // how long faults come
+	SettleTime     time.Duration // how long everything may take to end afterwards
+	Dir            string        // for settings and logs
+	Instance       int           // distinguishes runs at the same time, for their addresses
 }
 
 // Times that all runs have: short, so that leases end and cancellations fall due within a run.
 const (
-	controllers = 3
-	reportEvery = 500 * time.Millisecond
-	workerLease = 6 * time.Second
-	cancelIn    = 14 * time.Second
+	controllerCount   = 3
+	heartbeatInterval = 500 * time.Millisecond
+	workerLease       = 6 * time.Second
+	cancelDeadline    = 14 * time.Second
 )
 
 // world is one run.
 type world struct {
-	opts    Options
-	rng     *lockedRand
-	check   *Checker
-	events  *eventLog
-	store   *store
-	cloud   *cloudService
-	nodes   []*process
-	users   *users
-	links   *links
-	stopped chan struct{}
-	tasks   sync.WaitGroup
+	opts        Options
+	rng         *lockedRand
+	checker     *Checker
+	events      *eventLog
+	store       *fakeStore
+	cloud       *fakeCloud
+	controllers []*controllerProcess
+	users       *fakeUsers
+	network     *network
+	stopped     chan struct{}
+	tasks       sync.WaitGroup
 
-	upgraded    atomic.Bool // all controllers run the new version
-	lateReports atomic.Int64
+	upgraded      atomic.Bool // all controllers run the new version
+	duplicateRate atomic.Int64
 }
 
 // lockedRand draws for many goroutines.
@@ -100,18 +100,18 @@
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+run/250%200, run%250, 1+host%250, port+host/250)
 }
 
-// run runs f until the world is closed; f must end soon after that.
-func (w *world) run(f func()) {
+// spawn runs f until the world is closed; f must end soon after that.
+func (w *world) spawn(action func()) {
 	w.tasks.Add(1)
 	go func() {
 		defer w.tasks.Done()
-		f()
+		action()
 	}()
 }
 
 // sleep waits, and reports whether the run goes on.
-func (w *world) sleep(d time.Duration) bool {
-	timer := time.NewTimer(d)
+func (w *world) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -122,10 +122,10 @@
 }
 
 // after runs f later, unless the run is over by then.
-func (w *world) after(d time.Duration, f func()) {
-	w.run(func() {
-		if w.sleep(d) {
-			f()
+func (w *world) after(delay time.Duration, action func()) {
+	w.spawn(func() {
+		if w.sleep(delay) {
+			action()
 		}
 	})
 }
@@ -138,38 +138,38 @@
 	}
 	w := &world{
 		opts: opts, rng: &lockedRand{rng: rand.New(rand.NewPCG(opts.Seed, 23))}, events: &eventLog{file: file},
-		stopped: make(chan struct{}), links: newLinks(),
+		stopped: make(chan struct{}), network: newNetwork(),
 	}
-	w.check = NewChecker(cancelIn, teamLimits())
-	w.check.note = w.events.add
+	w.checker = NewChecker(cancelDeadline, teamLimits())
+	w.checker.log = w.events.add
 	defer file.Close()
 	defer w.close()
-	if err := w.open(); err != nil {
+	if err := w.startAll(); err != nil {
 		return nil, err
 	}
 	watch := watchStalls(w.stopped)
-	w.run(w.check.ticker(w.stopped))
-	end := time.Now().Add(opts.Trouble)
-	if opts.Before != "" {
-		w.rollToNew()
+	w.spawn(w.checker.checkDeadlinesUntil(w.stopped))
+	end := time.Now().Add(opts.FaultTime)
+	if opts.PreviousBinary != "" {
+		w.rollingUpgrade()
 	} else {
 		w.upgraded.Store(true)
 	}
-	w.users.begin(time.Until(end))
-	w.faults(time.Until(end))
+	w.users.start(time.Until(end))
+	w.scheduleFaults(time.Until(end))
 	w.sleep(time.Until(end))
 	w.heal()
-	unfinished := w.users.finish(opts.Calm)
-	report := w.check.Report()
+	unfinished := w.users.finish(opts.SettleTime)
+	report := w.checker.Report()
 	report.Unfinished = unfinished
 	report.Exits = w.exits()
 	report.Stalled = watch.total()
-	report.Started = w.check.Started()
+	report.Started = w.checker.Started()
 	return report, nil
 }
 
-// open starts everything.
-func (w *world) open() error {
+// startAll starts everything.
+func (w *world) startAll() error {
 	var err error
 	if w.store, err = newStore(w); err != nil {
 		return err
@@ -178,20 +178,20 @@
 		return err
 	}
 	w.users = newUsers(w)
-	for i := range controllers {
-		node, err := newController(w, i)
+	for i := range controllerCount {
+		controller, err := newController(w, i)
 		if err != nil {
 			return err
 		}
-		w.nodes = append(w.nodes, node)
+		w.controllers = append(w.controllers, controller)
 	}
-	for _, node := range w.nodes {
-		if err := node.start(); err != nil {
+	for _, controller := range w.controllers {
+		if err := controller.start(); err != nil {
 			return err
 		}
 	}
 	for range w.opts.Workers {
-		if _, err := w.cloud.create(typeBig, w.cloud.nextZone(), false, 0); err != nil {
+		if _, err := w.cloud.create(machineType, w.cloud.nextZone(), false, 0); err != nil {
 			return err
 		}
 	}
@@ -205,8 +205,8 @@
 	default:
 		close(w.stopped)
 	}
-	for _, node := range w.nodes {
-		node.end()
+	for _, controller := range w.controllers {
+		controller.shutDown()
 	}
 	if w.store != nil {
 		w.store.close()
@@ -214,15 +214,15 @@
 	if w.cloud != nil {
 		w.cloud.close()
 	}
-	w.links.close()
+	w.network.close()
 	w.tasks.Wait()
 }
 
 // exits lists controllers that ended by themselves.
 func (w *world) exits() []string {
 	var out []string
-	for _, node := range w.nodes {
-		out = append(out, node.unexpected()...)
+	for _, controller := range w.controllers {
+		out = append(out, controller.failures()...)
 	}
 	return out
 }
@@ -242,12 +242,12 @@
 // stallWatch measures how long this process was not run though it was due: the same moments
 // are missing for every stand-in.
 type stallWatch struct {
-	mu  sync.Mutex
-	sum time.Duration
+	mu      sync.Mutex
+	stalled time.Duration
 }
 
-// stallLeast is the shortest delay of a 20 ms timer that counts as a stall of the host.
-const stallLeast = 300 * time.Millisecond
+// minStall is the shortest delay of a 20 ms timer that counts as a stall of the host.
+const minStall = 300 * time.Millisecond
 
 func watchStalls(stopped <-chan struct{}) *stallWatch {
 	s := &stallWatch{}
@@ -259,9 +259,9 @@
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
-			if gap := time.Since(last); gap > stallLeast {
+			if gap := time.Since(last); gap > minStall {
 				s.mu.Lock()
-				s.sum += gap
+				s.stalled += gap
 				s.mu.Unlock()
 			}
 			last = time.Now()
@@ -273,5 +273,5 @@
 func (s *stallWatch) total() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sum
+	return s.stalled
 }
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -17,7 +17,7 @@
 )
 
 // FromSeconds converts a wire value in seconds, rounding to the nearest microsecond.
-func FromSeconds(s float64) Micros { return Micros(math.Round(s * 1e6)) }
+func FromSeconds(seconds float64) Micros { return Micros(math.Round(seconds * 1e6)) }
 
 // Seconds converts to the wire's form.
 func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
@@ -29,4 +29,4 @@
 func (m Micros) Duration() time.Duration { return time.Duration(m) * time.Microsecond }
 
 // FromDuration converts from the standard library's type.
-func FromDuration(d time.Duration) Micros { return Micros(d / time.Microsecond) }
+func FromDuration(duration time.Duration) Micros { return Micros(duration / time.Microsecond) }
