--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -301,7 +301,7 @@
 		due = (at - c.timeOfDay).Seconds()
 	}
 	w, err := c.policy.Weight(policy.Job{Class: j.spec.Class, Grade: priorityNames[j.priority()], Tasks: j.spec.Tasks, AgeS: age.Seconds(), DueInS: due})
-	if err != nil && c.isDue("weight", units.Second*60) {
+	if err != nil && c.scheduling.weightLogPeriod.due(c.now, weightLogPeriod) {
 		c.log.Warn("policy weight failed, using 1", "job", j.id, "err", err)
 	}
 	return w
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -61,16 +61,16 @@
 // proofAttrs is which revision the copy has reached and how long ago it was known to be complete.
 func (c *Controller) proofAttrs() []any {
 	age := -1.0
-	if c.provenAt > 0 {
-		age = (c.now - c.provenAt).Seconds()
+	if c.freshness.provenAt > 0 {
+		age = (c.now - c.freshness.provenAt).Seconds()
 	}
 	return []any{"revision", c.replica.watchRevision, "proof_age_s", age}
 }
 
 // termsAttr are the partitions that this controller owns, each with its epoch.
 func (c *Controller) termsAttr() map[int]uint64 {
-	out := make(map[int]uint64, len(c.led))
-	for n, o := range c.led {
+	out := make(map[int]uint64, len(c.partitions.led))
+	for n, o := range c.partitions.led {
 		out[n] = o.term
 	}
 	return out
@@ -93,8 +93,8 @@
 )
 
 // authorityOver is what this controller may do with a machine now.
-func (c *Controller) authorityOver(m *machine) authority {
-	return authority{mayCommand: m.agent != nil && c.leads(m.part()), mayStart: c.mayStartTasks()}
+func (c *Controller) authorityOver(m *machine) permissions {
+	return permissions{mayCommand: m.agent != nil && c.leads(m.part()), mayStart: c.mayStartTasks()}
 }
 
 // auditCommands gives the orders that may leave for a machine: the last look at them, whatever path
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -16,10 +16,10 @@
 // TestMayStart, TestMayRelease and TestMayForget look at each reason, and at what lacks just one
 // fact for it.
 func TestMayStart(t *testing.T) {
-	good, may := taskFacts{accepted: true, dependenciesDone: true}, authority{mayCommand: true, mayStart: true}
+	good, may := taskFacts{accepted: true, dependenciesDone: true}, permissions{mayCommand: true, mayStart: true}
 	for name, tc := range map[string]struct {
 		facts taskFacts
-		right authority
+		right permissions
 		want  startRefusal
 	}{
 		"all is well":       {good, may, startAllowed},
@@ -28,8 +28,8 @@
 		"task is completed": {taskFacts{accepted: true, dependenciesDone: true, completed: true}, may, startMustNotRun},
 		"to be stopped":     {taskFacts{accepted: true, dependenciesDone: true, stopRequested: true}, may, startMustNotRun},
 		"a need is open":    {taskFacts{accepted: true}, may, startDependenciesOpen},
-		"no claim":          {good, authority{mayStart: true}, startNotAuthorized},
-		"an old copy":       {good, authority{mayCommand: true}, startReplicaTooOld},
+		"no claim":          {good, permissions{mayStart: true}, startNotAuthorized},
+		"an old copy":       {good, permissions{mayCommand: true}, startReplicaTooOld},
 	} {
 		if got := tc.facts.mayStart(tc.right); got != tc.want {
 			t.Errorf("%s: %q, want %q", name, got, tc.want)
@@ -139,7 +139,7 @@
 	}
 	fired(invariantAnswer, true)
 
-	c.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
+	c.freshness.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
 	if _, ok := c.auditCommands(m, nil); ok {
 		t.Error("a controller whose copy is old commands")
 	}
@@ -152,8 +152,8 @@
 	var log bytes.Buffer
 	c, o, step := foreignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	c.provenAt = 0 // the proof is lost, and found again
-	c.mayActSince = c.now
+	c.freshness.provenAt = 0 // the proof is lost, and found again
+	c.membership.mayActSince = c.now
 	for range 80 {
 		step()
 	}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -11,6 +11,13 @@
 // cloudView is what this node knows of the cloud. One node at a time rents and
 // returns: the owner of partition 0.
 type cloudView struct {
+	calls map[uint64]func(CloudResult) // continuations of calls that are not answered yet
+
+	catalogPeriod period
+	scalingPeriod period
+	deletePeriod  period
+	listPeriod    period
+
 	types              []cloud.MachineType
 	typesReadAt        units.Micros
 	catalogInFlight    bool
@@ -28,23 +35,23 @@
 }
 
 func newCloudView() cloudView {
-	return cloudView{listed: map[string]cloud.ListedMachine{}, rentals: map[string]*rentalRequest{}, offerNotBefore: map[string]units.Micros{},
+	return cloudView{calls: map[uint64]func(CloudResult){}, listed: map[string]cloud.ListedMachine{}, rentals: map[string]*rentalRequest{}, offerNotBefore: map[string]units.Micros{},
 		strayingSince: map[string]units.Micros{}}
 }
 
 func (c *Controller) callCloud(call CloudCall, done func(CloudResult)) {
 	call.CallID = c.newCallID()
-	c.cloudCalls[call.CallID] = done
-	c.effects = append(c.effects, call)
+	c.cloud.calls[call.CallID] = done
+	c.emit(call)
 }
 
 func (c *Controller) runAutoscaler() {
 	k := &c.cloud
-	if !k.catalogInFlight && (len(k.types) == 0 && c.isDue("catalog", 500*units.Millisecond) || c.now-k.typesReadAt > 60*units.Second && len(k.types) > 0) {
+	if !k.catalogInFlight && (len(k.types) == 0 && k.catalogPeriod.due(c.now, catalogRetryPeriod) || c.now-k.typesReadAt > 60*units.Second && len(k.types) > 0) {
 		k.catalogInFlight = true
 		c.callCloud(CloudCall{Op: CloudCatalog}, func(d CloudResult) {
 			k.catalogInFlight = false
-			if d.Status == 200 && len(d.Catalog.Types) > 0 {
+			if d.Status == cloud.StatusOK && len(d.Catalog.Types) > 0 {
 				k.types = d.Catalog.Types
 				c.planNeeded = true
 			}
@@ -53,7 +60,7 @@
 			}
 		})
 	}
-	look := len(c.led) > 0 && c.isDue("idle", units.Second)
+	look := len(c.partitions.led) > 0 && k.scalingPeriod.due(c.now, scalingPeriod)
 	var lacking []unmetDemand
 	if look {
 		short, bound := 0.0, 0.0
@@ -75,11 +82,11 @@
 		c.drainUnderused(waiting || c.now-k.noDemandSince < c.longestIdlePeriod(), starvingJobs)
 		c.scaleInIdle(waiting, starvingJobs)
 	}
-	if c.isDue("delete", 200*units.Millisecond) {
+	if k.deletePeriod.due(c.now, deletePeriod) {
 		c.deleteDecommissioned()
 	}
-	keeper := c.led[0] != nil && c.leads(0) && len(k.types) > 0
-	if !k.listInFlight && (keeper || c.now-k.silenceSuspectedAt < 10*units.Second && k.silenceSuspectedAt > 0) && c.isDue("list", 4*units.Second) {
+	keeper := c.partitions.led[0] != nil && c.leads(0) && len(k.types) > 0
+	if !k.listInFlight && (keeper || c.now-k.silenceSuspectedAt < 10*units.Second && k.silenceSuspectedAt > 0) && k.listPeriod.due(c.now, listPeriod) {
 		c.listMachines("", map[string]cloud.ListedMachine{}, c.now)
 	}
 	if !keeper {
@@ -103,7 +110,7 @@
 func (c *Controller) unplacedCPUs() float64 {
 	sum := 0.0
 	using := c.teamUsage()
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if !j.cancelled() && c.now >= j.retryAt {
 			sum += float64(min(j.waiting(), c.quotaRoom(j, using))) * j.spec.CPUs
 		}
@@ -117,7 +124,7 @@
 	k.listInFlight = true
 	c.callCloud(CloudCall{Op: CloudList, After: since}, func(d CloudResult) {
 		k.listInFlight = false
-		if d.Status != 200 {
+		if d.Status != cloud.StatusOK {
 			return
 		}
 		last := since
@@ -179,7 +186,7 @@
 	}
 	c.log.Info("deleting machines that never reported", "machines", stray)
 	c.callCloud(CloudCall{Op: CloudDelete, Machines: cloud.MachineNames{Names: stray}}, func(d CloudResult) {
-		if d.Status == 200 {
+		if d.Status == cloud.StatusOK {
 			for _, n := range stray {
 				delete(k.listed, n)
 			}
@@ -193,7 +200,7 @@
 // or its own network, are gone.
 func (c *Controller) decommissionUnlisted() {
 	settle := units.FromSeconds(4*c.cfg.Settings.Cloud.ListLagS) + 5*units.Second
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		if _, ok := c.cloud.listed[m.name]; ok || m.agent == nil || c.now-m.agent.since < settle || c.now-max(m.agent.heardAt, m.agent.since) < settle {
 			continue
 		}
@@ -205,15 +212,39 @@
 // to another controller: it is not silent, only the store is slow.
 func (c *Controller) heardRecently(name string) bool {
 	lately := 3 * c.cfg.Settings.HeartbeatPeriod()
-	if at, ok := c.heardAt[name]; ok && c.now-at < lately {
+	if at, ok := c.agents.heardAt[name]; ok && c.now-at < lately {
 		return true
 	}
 	// Who cannot be asked is no witness here: nothing runs on such a machine, and
 	// one that never comes up would be paid for as long as one heartbeat stays away.
-	for _, p := range c.peers {
+	for _, p := range c.peers.latest {
 		if ago, ok := p.heartbeat.Heard[name]; ok && c.now-p.receivedAt+units.Micros(ago) < lately {
 			return true
 		}
 	}
 	return false
 }
+
+func (c *Controller) machineType(name string) *cloud.MachineType {
+	for i := range c.cloud.types {
+		if c.cloud.types[i].Name == name {
+			return &c.cloud.types[i]
+		}
+	}
+	return nil
+}
+
+func (c *Controller) handleCloudResult(result CloudResult) {
+	if done, ok := c.cloud.calls[result.CallID]; ok {
+		delete(c.cloud.calls, result.CallID)
+		done(result)
+	}
+}
+
+// Periods of the autoscaler's work.
+const (
+	catalogRetryPeriod = 500 * units.Millisecond
+	scalingPeriod      = units.Second
+	deletePeriod       = 200 * units.Millisecond
+	listPeriod         = 4 * units.Second
+)
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -105,7 +105,7 @@
 	m.forgetOccupancy()
 	id := c.newCallID()
 	sess := rt.epoch
-	c.agentCalls[id] = func(d AgentResult) {
+	c.agents.calls[id] = func(d AgentResult) {
 		if m.agent != rt {
 			return
 		}
@@ -122,15 +122,15 @@
 		c.planNeeded = true
 		c.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", tok)
 	}
-	c.effects = append(c.effects, AgentCall{CallID: id, Address: m.doc.Addr, Commands: &agent.CommandRequest{FencingToken: tok, Epoch: sess, Commands: orders}})
+	c.emit(AgentCall{CallID: id, Address: m.doc.Addr, Commands: &agent.CommandRequest{FencingToken: tok, Epoch: sess, Commands: orders}})
 }
 
 // pushCommands tells the machines whose entries have changed. That waits until a step has read all
 // that it was given: what enters a task may be followed, in the same answer of the state service,
 // by what cancels its job, and such a task was once started all the same.
 func (c *Controller) pushCommands() {
-	changed := c.machinesToPush
-	c.machinesToPush = nil
+	changed := c.agents.toPush
+	c.agents.toPush = nil
 	for _, m := range changed {
 		if c.replica.machines[m.name] == m {
 			c.push(m)
@@ -147,7 +147,7 @@
 	rt.probing = true
 	session, seq := rt.epoch, rt.sequence
 	id := c.newCallID()
-	c.agentCalls[id] = func(d AgentResult) {
+	c.agents.calls[id] = func(d AgentResult) {
 		if m.agent != rt {
 			return
 		}
@@ -169,5 +169,5 @@
 		c.reconcile(m, d.Heartbeat)
 		c.push(m)
 	}
-	c.effects = append(c.effects, AgentCall{CallID: id, Address: m.doc.Addr})
+	c.emit(AgentCall{CallID: id, Address: m.doc.Addr})
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -93,7 +93,7 @@
 			o.keys[e.Set] = kv.KeyValue{Key: e.Set, Value: e.Value, ModRevision: e.ModRevision}
 		}
 	}
-	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: 200, Revision: o.rev, Events: events}}
+	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.rev, Events: events}}
 }
 
 // TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"fmt"
+	"strconv"
 	"strings"
 
 	"frostdock.example/frostdock/internal/kv"
@@ -24,12 +25,12 @@
 // refillWriteCredit gives this node the changes that it may make since the last time.
 func (c *Controller) refillWriteCredit() {
 	rate := c.writeRate()
-	c.writeCredit += rate * (c.now - c.writeCreditAt).Seconds()
+	c.budget.credit += rate * (c.now - c.budget.refilledAt).Seconds()
 	// A slow store must still let a job's end through, which is several changes
 	// in one: kept below that, no job would ever be over.
-	c.writeCreditMax = max(rate, min(c.storeLimits.WriteRPS, 8))
-	c.writeCredit = min(c.writeCredit, c.writeCreditMax)
-	c.writeCreditAt = c.now
+	c.budget.maxCredit = max(rate, min(c.store.limits.WriteRPS, 8))
+	c.budget.credit = min(c.budget.credit, c.budget.maxCredit)
+	c.budget.refilledAt = c.now
 }
 
 // writeRate is this node's part of the permitted changes, per second: most of them go
@@ -37,14 +38,14 @@
 // Not all are busy at once, so the parts add up to a little more than the whole; the
 // service's 429 corrects what is too much.
 func (c *Controller) writeRate() float64 {
-	whole := c.storeLimits.WriteRPS
+	whole := c.store.limits.WriteRPS
 	owners := map[string]bool{}
 	mine := false
-	for _, n := range c.teamPartitions {
+	for _, n := range c.partitions.withTeams {
 		if p := c.replica.partitions[n]; p != nil {
 			owners[p.doc.Member] = true
 		}
-		mine = mine || c.led[n] != nil
+		mine = mine || c.partitions.led[n] != nil
 	}
 	rate := 0.2 * whole
 	if mine {
@@ -74,13 +75,13 @@
 		}
 		used += heartbeat.Writes
 	}
-	return targetWriteUse*c.storeLimits.WriteRPS - used
+	return targetWriteUse*c.store.limits.WriteRPS - used
 }
 
 // hasWriteCredit reports whether what goes before the rest may still be written. Accepts
 // and claims may run up a debt of one second's changes, which everything else has
 // to wait for.
-func (c *Controller) hasWriteCredit() bool { return c.writeCredit >= -c.storeLimits.WriteRPS }
+func (c *Controller) hasWriteCredit() bool { return c.budget.credit >= -c.store.limits.WriteRPS }
 
 func encode(v any) json.RawMessage {
 	b, err := json.Marshal(v)
@@ -96,10 +97,10 @@
 // the guards. When a repeat fails, the mark tells whether the first copy had
 // been applied. So done is called exactly once, with the truth.
 func (c *Controller) commit(txn *kv.Txn, mark string, done func(commitOutcome, uint64, []string)) {
-	c.writeCredit -= float64(len(txn.Operations))
-	c.changesSinceHeartbeat += len(txn.Operations)
+	c.budget.credit -= float64(len(txn.Operations))
+	c.budget.changesSinceHeartbeat += len(txn.Operations)
 	for _, op := range txn.Operations {
-		c.changesByKind[documentKind(op.Set+op.Delete)]++
+		c.budget.changesByKind[documentKind(op.Set+op.Delete)]++
 	}
 	unclear := false
 	var try func()
@@ -117,11 +118,11 @@
 		done(commitApplied, rev, nil)
 	}
 	try = func() {
-		c.callStore(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
+		c.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
 			switch {
-			case r.Status == 200:
+			case r.Status == kv.StatusOK:
 				settle(r.Revision)
-			case r.Status == 409 && unclear:
+			case r.Status == kv.StatusConflict && unclear:
 				c.wasApplied(txn, mark, func(applied bool, rev uint64) {
 					if applied {
 						settle(rev)
@@ -129,12 +130,12 @@
 						done(commitConflict, r.Revision, r.FailedKeys)
 					}
 				})
-			case r.Status == 409:
+			case r.Status == kv.StatusConflict:
 				done(commitConflict, r.Revision, r.FailedKeys)
-			case r.Status == 0:
+			case r.Status == kv.StatusUnknown:
 				unclear = true
 				c.after(150*units.Millisecond, try)
-			case r.Status == 400 && unclear:
+			case r.Status == kv.StatusMalformed && unclear:
 				// The limits have fallen since it was first sent: no copy of it is carried out
 				// any more, and whether one was shows now. Repeated for ever, such a
 				// transaction once kept a partition from planning for good.
@@ -142,19 +143,19 @@
 					if applied {
 						settle(rev)
 					} else {
-						done(commitConflict, c.replica.seenRevision, nil)
+						done(commitConflict, c.store.seenRevision, nil)
 					}
 				})
 			case unclear: // this copy was refused, an earlier one may still be applied
 				c.after(200*units.Millisecond, try)
 			default:
-				if r.Status == 429 {
-					c.writeCredit = min(c.writeCredit, -1)
+				if r.Status == kv.StatusThrottled {
+					c.budget.credit = min(c.budget.credit, -1)
 				}
-				if r.Status == 400 {
+				if r.Status == kv.StatusMalformed {
 					c.log.Error("store rejected transaction as malformed", "conditions", len(txn.Conditions), "ops", len(txn.Operations))
 				}
-				if r.Status == 429 {
+				if r.Status == kv.StatusThrottled {
 					done(commitThrottled, 0, nil)
 				} else {
 					done(commitRefused, 0, nil)
@@ -190,11 +191,11 @@
 	}
 	var try func()
 	try = func() {
-		c.callStore(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
+		c.store.call(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
 			switch r.Status {
-			case 200:
+			case kv.StatusOK:
 				done(bytes.Contains(schema.PlainJSON(r.Value), []byte(`"`+mark+`"`)), r.ModRevision)
-			case 404:
+			case kv.StatusNotFound:
 				done(false, 0)
 			default:
 				c.after(150*units.Millisecond, try)
@@ -217,11 +218,11 @@
 // the right to act rests on.
 func (c *Controller) keepProofRecent() {
 	again := units.Second
-	if c.storeFailing {
+	if c.store.failing {
 		again = 300 * units.Millisecond
 	}
-	if c.replica.synced && len(c.awaitingRead) == 0 && c.now-c.revisionReadAt > again {
-		c.awaitingRead = append(c.awaitingRead, freshnessWaiter{then: func(bool) {}})
+	if c.replica.synced && len(c.freshness.awaitingRead) == 0 && c.now-c.freshness.readAt > again {
+		c.freshness.awaitingRead = append(c.freshness.awaitingRead, freshnessWaiter{then: func(bool) {}})
 	}
 }
 
@@ -229,37 +230,37 @@
 // the store's revision serves all that wait for it, and their answers can then
 // never be older than any answer given before.
 func (c *Controller) whenCurrent(then func(ok bool)) {
-	if !c.replica.synced || c.storeFailing && c.now-c.storeAnsweredAt > 500*units.Millisecond {
+	if !c.replica.synced || c.store.failing && c.now-c.store.answeredAt > 500*units.Millisecond {
 		then(false)
 		return
 	}
-	c.awaitingRead = append(c.awaitingRead, freshnessWaiter{then: then})
+	c.freshness.awaitingRead = append(c.freshness.awaitingRead, freshnessWaiter{then: then})
 	c.readRevision()
 }
 
 // requestInterval is the time between requests of one kind that may take such a part of
 // this node's part of the permitted requests.
 func (c *Controller) requestInterval(part float64) units.Micros {
-	return units.FromSeconds(float64(c.cfg.Settings.Size) / (c.storeLimits.RPS * part))
+	return units.FromSeconds(float64(c.cfg.Settings.Size) / (c.store.limits.RPS * part))
 }
 
 func (c *Controller) readRevision() {
-	if len(c.awaitingRead) == 0 || c.revisionReadsInFlight >= 2 || c.now-c.revisionReadAt < max(10*units.Millisecond, c.requestInterval(0.4)) {
+	if len(c.freshness.awaitingRead) == 0 || c.freshness.readsInFlight >= 2 || c.now-c.freshness.readAt < max(10*units.Millisecond, c.requestInterval(0.4)) {
 		return
 	}
-	batch := c.awaitingRead
-	c.awaitingRead = nil
-	c.revisionReadAt = c.now
-	c.revisionReadsInFlight++
+	batch := c.freshness.awaitingRead
+	c.freshness.awaitingRead = nil
+	c.freshness.readAt = c.now
+	c.freshness.readsInFlight++
 	sent := c.now
-	c.callStore(kv.Request{Kind: kv.Get, Key: schema.RootPrefix + "none"}, func(r kv.Response) {
-		c.revisionReadsInFlight--
+	c.store.call(kv.Request{Kind: kv.Get, Key: schema.RootPrefix + "none"}, func(r kv.Response) {
+		c.freshness.readsInFlight--
 		for _, w := range batch {
-			if r.Status != 404 || r.Revision == 0 {
+			if r.Status != kv.StatusNotFound || r.Revision == 0 {
 				w.then(false)
 				continue
 			}
-			c.awaitingRevision = append(c.awaitingRevision, freshnessWaiter{r.Revision, sent, w.then})
+			c.freshness.awaitingRevision = append(c.freshness.awaitingRevision, freshnessWaiter{r.Revision, sent, w.then})
 		}
 		c.releaseCurrent()
 	})
@@ -271,18 +272,57 @@
 		return
 	}
 	var due, rest []freshnessWaiter
-	for _, w := range c.awaitingRevision {
+	for _, w := range c.freshness.awaitingRevision {
 		if w.revision <= c.replica.watchRevision {
 			due = append(due, w)
 		} else {
 			rest = append(rest, w)
 		}
 	}
-	c.awaitingRevision = rest
+	c.freshness.awaitingRevision = rest
 	for _, w := range due {
-		c.provenAt = max(c.provenAt, w.sentAt)
+		c.freshness.provenAt = max(c.freshness.provenAt, w.sentAt)
 	}
 	for _, w := range due {
 		w.then(true)
 	}
 }
+
+// committer carries out transactions and knows which keys they are about to change.
+type committer struct {
+	writeTags    uint64          // that were given out
+	keysInFlight map[string]bool // keys in a transaction that is not yet answered
+}
+
+func newCommitter() committer { return committer{keysInFlight: map[string]bool{}} }
+
+// newWriteTag makes a value that no other commit has, so that after an unclear answer
+// a reader can tell this commit's writes from all others.
+func (c *Controller) newWriteTag() string {
+	c.commits.writeTags++
+	return c.membership.incarnation + "-" + strconv.FormatUint(c.commits.writeTags, 36)
+}
+
+// freshness knows up to which moment the replica is proven to be complete.
+type freshness struct {
+	provenAt         units.Micros // the replica is known to have been complete then; 0: never
+	awaitingRead     []freshnessWaiter
+	awaitingRevision []freshnessWaiter
+	readAt           units.Micros // when the store's revision was last asked for
+	readsInFlight    int
+}
+
+// writeBudget is this controller's part of the changes that the store permits.
+type writeBudget struct {
+	credit                float64 // changes that may still be made now
+	maxCredit             float64 // that may be saved up
+	refilledAt            units.Micros
+	changesByKind         map[string]int // since the last summary, by what they changed
+	changesSinceHeartbeat int
+	averageRate           float64 // changes a second, a moving average
+}
+
+func newWriteBudget() writeBudget { return writeBudget{changesByKind: map[string]int{}} }
+
+// changeRateWeight is how much the last second counts in the moving average of changes.
+const changeRateWeight = 0.4
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -24,12 +24,12 @@
 // jobs have not stored yet.
 func (c *Controller) completionsForPeers() []peer.EndedTask {
 	var out []peer.EndedTask
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		if m.agent == nil {
 			continue
 		}
 		for k, e := range m.agent.completions {
-			if j := c.replica.jobs[k.job]; j != nil && j.accepted && c.led[j.partition] == nil && !j.done.Contains(k.num) {
+			if j := c.replica.jobs[k.job]; j != nil && j.accepted && c.partitions.led[j.partition] == nil && !j.done.Contains(k.num) {
 				out = append(out, peer.EndedTask{Job: k.job, Num: k.num, Ran: int64(e.tenths-1) * int64(runTimeUnit)})
 			}
 		}
@@ -42,7 +42,7 @@
 func (c *Controller) applyPeerCompletions(ended []peer.EndedTask) {
 	for _, e := range ended {
 		j := c.replica.jobs[e.Job]
-		if j == nil || !j.accepted || c.led[j.partition] == nil || e.Num < 0 || e.Num >= j.spec.Tasks || j.isDone(e.Num) {
+		if j == nil || !j.accepted || c.partitions.led[j.partition] == nil || e.Num < 0 || e.Num >= j.spec.Tasks || j.isDone(e.Num) {
 			continue
 		}
 		j.failures, j.succeeded = 0, true
--- a/internal/controller/decisions.go
+++ b/internal/controller/decisions.go
@@ -58,7 +58,7 @@
 }
 
 // authority is what a controller may do at a moment.
-type authority struct {
+type permissions struct {
 	mayCommand bool // it owns the machine's partition, and its copy is recent enough to command
 	mayStart   bool // its copy is recent enough for starts
 }
@@ -75,7 +75,7 @@
 )
 
 // mayStart tells whether the task may be started now.
-func (f taskFacts) mayStart(r authority) startRefusal {
+func (f taskFacts) mayStart(r permissions) startRefusal {
 	switch {
 	case f.mustStop() != keepRunning:
 		return startMustNotRun
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"strconv"
 
 	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/units"
@@ -24,7 +23,7 @@
 		resources
 	}
 	gaps := map[int][]*freeMachine{} // with something free
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		t := c.machineType(m.doc.Type)
 		if t == nil || m.part() < 0 || m.agent != nil && (m.agent.hasNotice || m.agent.quarantined || m.agent.draining || m.agent.decommissionReason != "") {
 			continue
@@ -46,7 +45,7 @@
 	}
 	var out []unmetDemand
 	using := c.teamUsage()
-	jobs := c.sortedJobs()
+	jobs := c.replica.sortedJobs()
 	for grade := 3; grade >= 0; grade-- {
 		for _, j := range jobs {
 			if j.cancelled() || j.spec.Priority != grade || c.now < j.retryAt {
@@ -102,7 +101,7 @@
 func (c *Controller) starvingJobs() []*job {
 	var out []*job
 	using := c.teamUsage()
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if j.failures > 0 && j.active() > 0 && c.now-j.failedAt > failureForgetPeriod {
 			j.failures = 0 // what has run on for so long is no failure: the others need not wait for its end
 		}
@@ -157,7 +156,7 @@
 
 // transferUnusedShards hands machine shards that are of no use here to the partition that lacks room.
 func (c *Controller) transferUnusedShards(b *plan) {
-	if !c.isDue("pass"+strconv.Itoa(b.leadership.partition), 500*units.Millisecond) {
+	if !periodOf(c.scheduling.transferPeriods, b.leadership.partition).due(c.now, rebalancePeriod) {
 		return
 	}
 	short := c.unmetDemands(false)
@@ -169,7 +168,7 @@
 		return
 	}
 	to := -1
-	for _, n := range c.teamPartitions {
+	for _, n := range c.partitions.withTeams {
 		if lack[n] > 0 && (to < 0 || lack[n] > lack[to]) {
 			to = n
 		}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 
@@ -105,11 +106,11 @@
 // ends that it was shown since it was loaded, and not all of those.
 func (c *Controller) readMissingOutcomes() {
 	r := c.replica
-	if !r.synced || c.storeFailing || len(c.outcomesBeingRead) >= maxOutcomeReads {
+	if !r.synced || c.store.failing || len(c.outcomeReads.inFlight) >= maxOutcomeReads {
 		return
 	}
 	for _, id := range r.dependencies.Unresolved(2 * maxOutcomeReads) {
-		if !c.outcomesBeingRead[id] && c.isDue("read end", c.requestInterval(0.2)) {
+		if !c.outcomeReads.inFlight[id] && c.outcomeReads.period.due(c.now, c.requestInterval(0.2)) {
 			c.readOutcome(id)
 		}
 	}
@@ -117,31 +118,39 @@
 
 // readOutcome reads one.
 func (c *Controller) readOutcome(id string) {
-	c.outcomesBeingRead[id] = true
-	c.fetchOutcome(id, func(status int, _ schema.Outcome) {
-		if status == 200 {
-			delete(c.outcomesBeingRead, id)
+	c.outcomeReads.inFlight[id] = true
+	c.fetchOutcome(id, func(lookup outcomeLookup, _ schema.Outcome) {
+		if lookup == outcomeFound {
+			delete(c.outcomeReads.inFlight, id)
 			return
 		}
 		// Not over after all, and soon shown among the accepted ones; or no answer.
-		c.after(units.Second, func() { delete(c.outcomesBeingRead, id) })
+		c.after(units.Second, func() { delete(c.outcomeReads.inFlight, id) })
 	})
 }
 
-// fetchOutcome asks the state service for a job's end: status 200 with the end, 404 when there is
-// none, anything else when it can't be told.
-func (c *Controller) fetchOutcome(id string, then func(status int, f schema.Outcome)) {
+// outcomeLookup is what a read of a job's outcome has shown.
+type outcomeLookup int
+
+const (
+	outcomeUndecided outcomeLookup = iota // it can't be told now
+	outcomeFound
+	outcomeNone // the job has none
+)
+
+// fetchOutcome reads a job's outcome from the store.
+func (c *Controller) fetchOutcome(id string, then func(lookup outcomeLookup, f schema.Outcome)) {
 	key := schema.OutcomePrefix + id
-	c.callStore(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
+	c.store.call(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
 		var f schema.Outcome
 		switch {
-		case r.Status == 200 && c.decode(key, r.Value, &f):
+		case r.Status == kv.StatusOK && c.decode(key, r.Value, &f):
 			c.learnOutcome(id, f)
-			then(200, f)
-		case r.Status == 404:
-			then(404, f)
+			then(outcomeFound, f)
+		case r.Status == kv.StatusNotFound:
+			then(outcomeNone, f)
 		default:
-			then(503, f)
+			then(outcomeUndecided, f)
 		}
 	})
 }
@@ -153,7 +162,7 @@
 	for _, key := range failed {
 		id, isEnd := strings.CutPrefix(key, schema.OutcomePrefix)
 		if _, known := c.replica.outcomes.get(id); isEnd && !known {
-			c.fetchOutcome(id, func(int, schema.Outcome) {})
+			c.fetchOutcome(id, func(outcomeLookup, schema.Outcome) {})
 		}
 	}
 }
@@ -212,11 +221,11 @@
 	rest := names[len(now):]
 	left := len(now)
 	for _, name := range now {
-		c.fetchOutcome(name, func(status int, f schema.Outcome) {
-			switch status {
-			case 200:
+		c.fetchOutcome(name, func(lookup outcomeLookup, f schema.Outcome) {
+			switch lookup {
+			case outcomeFound:
 				result.addOutcome(name, f)
-			case 404:
+			case outcomeNone:
 				result.rejection = "waitsOn: " + name + ": no such job was accepted"
 			default:
 				result.undecided = true
@@ -235,15 +244,15 @@
 		return
 	}
 	if !c.chainsEnabled() { // a process of the version before would lose what it waits for
-		c.answerUser(q.RequestID, 503, nil)
+		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	c.checkDependencies(q.JobID, q.Job.Needs, func(n dependencyCheck) {
 		switch {
 		case n.rejection != "":
-			c.answerUser(q.RequestID, 422, map[string]string{"error": n.rejection})
+			c.answerUser(q.RequestID, http.StatusUnprocessableEntity, map[string]string{"error": n.rejection})
 		case n.undecided:
-			c.answerUser(q.RequestID, 503, nil)
+			c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		case n.cancelledBy != "":
 			c.acceptCancelled(q, n.cancelledBy)
 		default:
@@ -264,11 +273,11 @@
 	c.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
 		switch res {
 		case commitApplied:
-			c.answerUser(q.RequestID, 201, outcomeStatus(q.JobID, f))
+			c.answerUser(q.RequestID, http.StatusCreated, outcomeStatus(q.JobID, f))
 		case commitConflict: // it is over already
 			c.currentStatus(q.JobID, func(st *JobStatus, ok bool) { c.answerKnownJob(q.RequestID, st, ok) })
 		default:
-			c.answerUser(q.RequestID, 503, nil)
+			c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		}
 	})
 }
@@ -283,3 +292,11 @@
 	f := schema.Outcome{State: StageCancelled, RecordedAt: int64(b.c.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: b.writeTag}
 	b.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(f)}, 0)
 }
+
+// outcomeReads are reads of outcomes that jobs depend on and that the replica lacks.
+type outcomeReads struct {
+	inFlight map[string]bool
+	period   period
+}
+
+func newOutcomeReads() outcomeReads { return outcomeReads{inFlight: map[string]bool{}} }
--- /dev/null
+++ b/internal/controller/duties.go
@@ -0,0 +1,91 @@
+package controller
+
+import "frostdock.example/frostdock/internal/units"
+
+// period tells when something that is done now and then is due again. The zero value is due.
+type period struct {
+	lastAt units.Micros
+	begun  bool
+}
+
+// due reports whether the time has passed since it last was, and begins anew if so.
+func (p *period) due(now, length units.Micros) bool {
+	if p.begun && now-p.lastAt < length {
+		return false
+	}
+	p.lastAt, p.begun = now, true
+	return true
+}
+
+// duty is something that a controller does without being asked.
+type duty struct {
+	name   string
+	every  units.Micros // 0: at each step
+	run    func()
+	period period
+}
+
+// Periods of the duties.
+const (
+	budgetPeriod     = 20 * units.Millisecond
+	expiryPeriod     = 100 * units.Millisecond
+	leadershipPeriod = 250 * units.Millisecond
+	heartbeatPeriod  = units.Second
+	planPeriod       = 100 * units.Millisecond
+)
+
+// periodicDuties lists the duties in the order in which a step runs them.
+func (c *Controller) periodicDuties() []duty {
+	return []duty{
+		{name: "write budget", every: budgetPeriod, run: c.refillWriteCredit},
+		{name: "proof of freshness", run: c.keepProofRecent},
+		{name: "authority", run: c.noteAuthority},
+		{name: "revision reads", run: c.readRevision},
+		{name: "accepts", run: c.storeAccepts},
+		{name: "request expiry", every: expiryPeriod, run: c.expireRequests},
+		{name: "leadership", every: leadershipPeriod, run: c.superviseLeadership},
+		{name: "agent registrations", run: c.finishRegistrations},
+		{name: "outcome reads", run: c.readMissingOutcomes},
+		{name: "job shard splits", run: c.splitJobShards},
+		{name: "heartbeat", every: heartbeatPeriod, run: c.sendHeartbeat},
+		{name: "decision log", every: decisionLogPeriod, run: c.logDecisions},
+		{name: "summary", every: summaryPeriod, run: c.logSummary},
+		{name: "autoscaler", run: c.runAutoscalerWhenSynced},
+		{name: "plans", run: c.planWhenNeeded},
+	}
+}
+
+// runDuties runs what is due.
+func (c *Controller) runDuties() {
+	for i := range c.duties {
+		if d := &c.duties[i]; d.period.due(c.now, d.every) {
+			d.run()
+		}
+	}
+}
+
+// superviseLeadership looks after what leadership rests on: the watch, the partitions, the store's
+// format and the machines.
+func (c *Controller) superviseLeadership() {
+	c.checkWatch()
+	c.balanceLeadership()
+	c.raiseFormat()
+	c.checkFleet()
+}
+
+func (c *Controller) runAutoscalerWhenSynced() {
+	if c.replica.synced {
+		c.runAutoscaler()
+	}
+}
+
+// planWhenNeeded plans for the led partitions when something has changed, and now and then.
+func (c *Controller) planWhenNeeded() {
+	if !c.replica.synced || !c.planNeeded && !c.scheduling.planPeriod.due(c.now, planPeriod) {
+		return
+	}
+	c.planNeeded = false
+	for _, p := range c.ledPartitions() {
+		c.planPartition(p)
+	}
+}
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -9,18 +9,18 @@
 // mean over its jobs whose own average is known. A class keeps its last average while
 // none of its jobs is known.
 func (c *Controller) updateClassAverages() {
-	if !c.isDue("class averages", classAveragePeriod) {
+	if !c.estimates.period.due(c.now, classAveragePeriod) {
 		return
 	}
 	sum, known := map[string]units.Micros{}, map[string]units.Micros{}
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if average, _ := j.average(); average > 0 && !j.cancelled() {
 			sum[j.spec.Class] += average
 			known[j.spec.Class]++
 		}
 	}
 	for class, n := range known {
-		c.classAverages[class] = sum[class] / n
+		c.estimates.classAverages[class] = sum[class] / n
 	}
 }
 
@@ -28,7 +28,7 @@
 // has completed: that of its class, or else its owner's estimate. The average over all
 // jobs would put a new job of short tasks behind those of long ones.
 func (c *Controller) borrowedAverage(j *job) units.Micros {
-	if average := c.classAverages[j.spec.Class]; average > 0 {
+	if average := c.estimates.classAverages[j.spec.Class]; average > 0 {
 		return average
 	}
 	if j.spec.EstimatedSeconds > 0 {
@@ -36,3 +36,11 @@
 	}
 	return defaultTaskTime
 }
+
+// estimates are what is known of task times beyond a single job.
+type estimates struct {
+	classAverages map[string]units.Micros // average task time by class of jobs, as last known
+	period        period
+}
+
+func newEstimates() estimates { return estimates{classAverages: map[string]units.Micros{}} }
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -24,11 +24,11 @@
 // process of the version before may still have writes under way when it was killed: each
 // guards the documents that it writes, and fails if a later one was first.
 func (c *Controller) raiseFormat() {
-	if c.chainsEnabled() || !c.mayAct() || c.storeFailing || !c.hasWriteCredit() || c.keysInFlight[schema.LayoutKey] {
+	if c.chainsEnabled() || !c.mayAct() || c.store.failing || !c.hasWriteCredit() || c.commits.keysInFlight[schema.LayoutKey] {
 		return
 	}
 	guards, ok := c.memberRegistrations()
-	if !ok || !c.isDue("raise format", units.Second) {
+	if !ok || !c.scheduling.formatPeriod.due(c.now, units.Second) {
 		return
 	}
 	layout := c.replica.layout
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -90,7 +90,7 @@
 }
 
 func (o *fakeStore) list(q kv.Request) kv.Response {
-	r := kv.Response{Status: 200, Revision: o.rev}
+	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
 	var names []string
 	for k := range o.keys {
 		if strings.HasPrefix(k, q.Key) && k > q.After {
@@ -115,13 +115,13 @@
 	switch e := e.(type) {
 	case StoreCall:
 		o.asked[e.Request.Kind]++
-		r := kv.Response{Status: 200, Revision: o.rev}
+		r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
 		switch e.Request.Kind {
 		case kv.Get:
 			it, ok := o.keys[e.Request.Key]
-			r.Status, r.Key, r.Value, r.ModRevision = 200, it.Key, it.Value, it.ModRevision
+			r.Status, r.Key, r.Value, r.ModRevision = kv.StatusOK, it.Key, it.Value, it.ModRevision
 			if !ok {
-				r.Status = 404
+				r.Status = kv.StatusNotFound
 			}
 		case kv.List:
 			r = o.list(e.Request)
@@ -135,7 +135,7 @@
 		case kv.Transact:
 			o.tooLarge(e.Request.Txn)
 			if failed := o.failedGuards(e.Request.Txn); len(failed) > 0 {
-				return []Message{StoreResult{CallID: e.CallID, Response: kv.Response{Status: 409, Revision: o.rev, FailedKeys: failed}}}
+				return []Message{StoreResult{CallID: e.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.rev, FailedKeys: failed}}}
 			}
 			o.changes += len(e.Request.Txn.Operations)
 			o.rev++
@@ -149,16 +149,16 @@
 			}
 			out := []Message{StoreResult{CallID: e.CallID, Response: r}}
 			for _, w := range o.waits { // the core has applied its own commit already
-				out = append(out, StoreResult{CallID: w.CallID, Response: kv.Response{Status: 200, Revision: o.rev}})
+				out = append(out, StoreResult{CallID: w.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.rev}})
 			}
 			o.waits = nil
 			return out
 		}
 		return []Message{StoreResult{CallID: e.CallID, Response: r}}
 	case CloudCall:
-		d := CloudResult{CallID: e.CallID, Status: 503}
+		d := CloudResult{CallID: e.CallID, Status: cloud.StatusRefused}
 		if e.Op == CloudCatalog {
-			d.Status = 200
+			d.Status = cloud.StatusOK
 			d.Catalog.Types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, FetchGBPerSecond: 1, HourlyPrice: 1, BootSeconds: 30, Zones: []string{"a"}}}
 		}
 		return []Message{d}
@@ -169,7 +169,7 @@
 		if e.Commands != nil {
 			r.FencingToken = e.Commands.FencingToken
 		}
-		return []Message{AgentResult{CallID: e.CallID, Status: 200, Heartbeat: r}}
+		return []Message{AgentResult{CallID: e.CallID, Heartbeat: r}}
 	}
 	return nil
 }
@@ -243,7 +243,7 @@
 			if before < tc.machines*9/10 {
 				t.Errorf("views of %d machines are kept", before)
 			}
-			m := c.sortedMachines()[7]
+			m := c.replica.sortedMachines()[7]
 			o.seq++
 			c.handle(HeartbeatRequest{Heartbeat: agent.Heartbeat{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq, FencingToken: c.fencingToken(m)}})
 			if after := kept(); after < before-1 {
@@ -306,8 +306,8 @@
 	if n := long(); n > 0 {
 		t.Fatalf("%d documents are still too long", n)
 	}
-	if len(c.replica.machines) != machines || len(c.sortedJobs()) != jobs {
-		t.Errorf("%d machines, %d jobs", len(c.replica.machines), len(c.sortedJobs()))
+	if len(c.replica.machines) != machines || len(c.replica.sortedJobs()) != jobs {
+		t.Errorf("%d machines, %d jobs", len(c.replica.machines), len(c.replica.sortedJobs()))
 	}
 	if len(o.refused) > 0 {
 		t.Errorf("%d transactions were too large: %v", len(o.refused), o.refused[0])
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -11,7 +11,7 @@
 func (c *Controller) guaranteedJobs() map[*job]bool {
 	guaranteed := map[*job]bool{}
 	wants := map[string]*usage{}
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if j.cancelled() || j.blocked() {
 			continue
 		}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"maps"
 	"slices"
 	"sort"
 	"strconv"
@@ -39,40 +40,40 @@
 // register obtains a lease of the state service and enters this process in the
 // list of the living.
 func (c *Controller) register() {
-	c.registered = false
+	c.membership.registered = false
 	retry := func() { c.after(300*units.Millisecond, c.register) }
-	c.callStore(kv.Request{Kind: kv.GrantLease, TTLMillis: registrationTTL.Milliseconds()}, func(r kv.Response) {
-		if r.Status != 200 || r.LeaseID == 0 {
+	c.store.call(kv.Request{Kind: kv.GrantLease, TTLMillis: registrationTTL.Milliseconds()}, func(r kv.Response) {
+		if r.Status != kv.StatusOK || r.LeaseID == 0 {
 			retry()
 			return
 		}
-		c.leaseID = r.LeaseID
-		key := schema.RegistrationKey(c.cfg.Member, c.incarnation)
+		c.membership.leaseID = r.LeaseID
+		key := schema.RegistrationKey(c.cfg.Member, c.membership.incarnation)
 		txn := &kv.Txn{
 			Conditions: []kv.Condition{{Key: key}},
-			Operations: []kv.Operation{{Set: key, Value: encode(schema.Registration{Incarnation: c.incarnation, Format: knownFormat}), LeaseID: c.leaseID}},
+			Operations: []kv.Operation{{Set: key, Value: encode(schema.Registration{Incarnation: c.membership.incarnation, Format: knownFormat}), LeaseID: c.membership.leaseID}},
 		}
-		c.callStore(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
-			if r.Status != 200 {
+		c.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
+			if r.Status != kv.StatusOK {
 				// Perhaps entered, perhaps not: a new incarnation is always safe.
 				c.abandonIncarnation()
 				retry()
 				return
 			}
 			c.apply(key, txn.Operations[0].Value, r.Revision, false)
-			c.registered = true
-			c.log.Info("registered", "inc", c.incarnation)
+			c.membership.registered = true
+			c.log.Info("registered", "inc", c.membership.incarnation)
 			c.renew()
 		})
 	})
 }
 
 func (c *Controller) abandonIncarnation() {
-	c.registrations++
-	c.incarnation = c.processID + "." + strconv.Itoa(c.registrations)
-	c.registered = false
-	for p := range c.led {
-		delete(c.led, p)
+	c.membership.registrations++
+	c.membership.incarnation = c.membership.processID + "." + strconv.Itoa(c.membership.registrations)
+	c.membership.registered = false
+	for p := range c.partitions.led {
+		delete(c.partitions.led, p)
 	}
 	for _, m := range c.replica.machines {
 		m.agent = nil
@@ -80,12 +81,12 @@
 }
 
 func (c *Controller) renew() {
-	leaseID := c.leaseID
-	c.callStore(kv.Request{Kind: kv.RenewLease, LeaseID: leaseID}, func(r kv.Response) {
+	leaseID := c.membership.leaseID
+	c.store.call(kv.Request{Kind: kv.RenewLease, LeaseID: leaseID}, func(r kv.Response) {
 		switch r.Status {
-		case 200:
+		case kv.StatusOK:
 			c.after(registrationTTL/5, c.renew)
-		case 404:
+		case kv.StatusNotFound:
 			// The lease has ended: others may own what this process held.
 			c.log.Warn("registration lease expired, giving up leadership", "partitions", c.ledPartitions())
 			c.abandonIncarnation()
@@ -103,18 +104,18 @@
 // and a leader that went by its renewals alone once started tasks whose
 // cancellation it had not seen, more than cancel_s after it was confirmed.
 func (c *Controller) mayAct() bool {
-	return c.registered && c.replica.synced && c.replica.watchRevision >= c.replica.completeRevision && c.provenAt > 0 && c.now-c.provenAt < c.cfg.Settings.StalenessBound()
+	return c.membership.registered && c.replica.synced && c.replica.watchRevision >= c.replica.completeRevision && c.freshness.provenAt > 0 && c.now-c.freshness.provenAt < c.cfg.Settings.StalenessBound()
 }
 
 // noteAuthority notes since when this process may act, and tells when that changes.
 func (c *Controller) noteAuthority() {
 	switch may := c.mayAct(); {
-	case may && c.mayActSince == 0:
-		c.mayActSince = c.now
-		c.log.Info("authority gained", append(c.proofAttrs(), "complete_revision", c.replica.completeRevision, "incarnation", c.incarnation)...)
-	case !may && c.mayActSince > 0:
-		c.log.Info("authority lost", append(c.proofAttrs(), "for_s", (c.now-c.mayActSince).Seconds(), "registered", c.registered, "synced", c.replica.synced)...)
-		c.mayActSince = 0
+	case may && c.membership.mayActSince == 0:
+		c.membership.mayActSince = c.now
+		c.log.Info("authority gained", append(c.proofAttrs(), "complete_revision", c.replica.completeRevision, "incarnation", c.membership.incarnation)...)
+	case !may && c.membership.mayActSince > 0:
+		c.log.Info("authority lost", append(c.proofAttrs(), "for_s", (c.now-c.membership.mayActSince).Seconds(), "registered", c.membership.registered, "synced", c.replica.synced)...)
+		c.membership.mayActSince = 0
 	}
 }
 
@@ -124,32 +125,34 @@
 const startProofMax = 3 * units.Second
 
 // mayStartTasks reports whether the copy is recent enough for starts.
-func (c *Controller) mayStartTasks() bool { return c.mayAct() && c.now-c.provenAt < startProofMax }
+func (c *Controller) mayStartTasks() bool {
+	return c.mayAct() && c.now-c.freshness.provenAt < startProofMax
+}
 
 // leads reports whether partition p is mine and the replica shows all that
 // the former owner wrote.
 func (c *Controller) leads(p int) bool {
-	o := c.led[p]
+	o := c.partitions.led[p]
 	return o != nil && c.replica.watchRevision >= o.revision && c.mayAct()
 }
 
 // applyLeadership follows a partition's document.
 func (c *Controller) applyLeadership(n int) {
 	p := c.replica.partitions[n]
-	mine := c.registered && p.doc.Member == c.cfg.Member && p.doc.Incarnation == c.incarnation
-	o := c.led[n]
+	mine := c.membership.registered && p.doc.Member == c.cfg.Member && p.doc.Incarnation == c.membership.incarnation
+	o := c.partitions.led[n]
 	switch {
 	case mine && (o == nil || o.revision != p.revision):
 		o = &leadership{partition: n, revision: p.revision, term: p.doc.Term, since: c.now, reservations: map[string]reservation{}}
-		c.led[n] = o
+		c.partitions.led[n] = o
 		c.log.Info("leadership acquired", append(c.proofAttrs(), "partition", n, "term", o.term, "leadership_revision", o.revision)...)
-		for _, m := range c.sortedMachines() {
+		for _, m := range c.replica.sortedMachines() {
 			if m.part() == n {
 				c.beginCommand(m, o)
 			}
 		}
 	case !mine && o != nil:
-		delete(c.led, n)
+		delete(c.partitions.led, n)
 		c.log.Info("leadership lost", append(c.proofAttrs(), "partition", n, "to", p.doc.Member, "term", p.doc.Term, "own_term", o.term, "held_s", (c.now-o.since).Seconds())...)
 		for _, m := range c.replica.machines {
 			if m.shard.partition == n {
@@ -177,12 +180,12 @@
 // balanceLeadership takes partitions that nobody living owns, and gives one away when
 // another has none.
 func (c *Controller) balanceLeadership() {
-	if !c.mayAct() || !c.hasWriteCredit() || c.storeFailing {
+	if !c.mayAct() || !c.hasWriteCredit() || c.store.failing {
 		return
 	}
 	c.removeOwnStaleRegistrations()
 	living := c.registeredProcesses()
-	me := c.cfg.Member + "/" + c.incarnation
+	me := c.cfg.Member + "/" + c.membership.incarnation
 	load := map[string]int{}
 	for _, l := range living {
 		load[l] = 0
@@ -203,14 +206,14 @@
 			}
 		}
 		load[best] += c.partitionLoad(n)
-		first, ok := c.lastRunAt["orphan"+strconv.Itoa(n)]
+		first, ok := c.partitions.orphanedSince[n]
 		if !ok {
 			first = c.now
-			c.lastRunAt["orphan"+strconv.Itoa(n)] = first
+			c.partitions.orphanedSince[n] = first
 		}
 		// The one with the least to do takes it; if it does not, anyone may.
 		if best == me || c.now-first > 2*units.Second {
-			delete(c.lastRunAt, "orphan"+strconv.Itoa(n))
+			delete(c.partitions.orphanedSince, n)
 			c.acquireLeadership(n, me)
 			return
 		}
@@ -223,7 +226,7 @@
 func (c *Controller) removeOwnStaleRegistrations() {
 	for _, l := range c.registeredProcesses() {
 		key := schema.RegistrationPrefix + l
-		if strings.HasPrefix(l, c.cfg.Member+"/") && key != schema.RegistrationKey(c.cfg.Member, c.incarnation) {
+		if strings.HasPrefix(l, c.cfg.Member+"/") && key != schema.RegistrationKey(c.cfg.Member, c.membership.incarnation) {
 			txn := &kv.Txn{Conditions: []kv.Condition{{Key: key, ModRevision: c.replica.revisions[key]}}, Operations: []kv.Operation{{Delete: key}}}
 			c.commit(txn, "", func(commitOutcome, uint64, []string) {})
 			return
@@ -236,7 +239,7 @@
 	key := schema.PartitionKey(n)
 	mark := c.newWriteTag()
 	doc := schema.Partition{Term: 1, Member: member, Incarnation: incarnation, WriteTag: mark}
-	self := schema.RegistrationKey(c.cfg.Member, c.incarnation)
+	self := schema.RegistrationKey(c.cfg.Member, c.membership.incarnation)
 	txn := &kv.Txn{Conditions: []kv.Condition{{Key: self, ModRevision: c.replica.revisions[self]}}}
 	if p := c.replica.partitions[n]; p != nil {
 		doc.Term = p.doc.Term + 1
@@ -251,7 +254,7 @@
 		txn.Conditions = append(txn.Conditions, kv.Condition{Key: key})
 	}
 	txn.Operations = []kv.Operation{{Set: key, Value: encode(doc), LeaseID: 0}}
-	given := c.led[n] // when it is given away
+	given := c.partitions.led[n] // when it is given away
 	if given != nil {
 		given.commitsInFlight++
 	}
@@ -272,7 +275,7 @@
 // partitionLoad is how much work a partition is, against others: one without teams is
 // next to none.
 func (c *Controller) partitionLoad(part int) int {
-	if slices.Contains(c.teamPartitions, part) {
+	if slices.Contains(c.partitions.withTeams, part) {
 		return 100
 	}
 	return 1
@@ -286,7 +289,7 @@
 			continue
 		}
 		for _, p := range c.ledPartitions() {
-			o := c.led[p]
+			o := c.partitions.led[p]
 			if o.commitsInFlight == 0 && c.now-o.since > 5*units.Second && load[l]+c.partitionLoad(p) < load[me] {
 				c.acquireLeadership(p, l)
 				return
@@ -294,3 +297,47 @@
 		}
 	}
 }
+
+// membership is this process's registration among the living controllers.
+type membership struct {
+	processID     string
+	registrations int
+	incarnation   string
+	leaseID       uint64
+	registered    bool         // and as far as known still so
+	mayActSince   units.Micros // since when this process may act on its replica; 0: it may not
+}
+
+func newMembership(incarnation string) membership {
+	return membership{processID: incarnation, incarnation: incarnation}
+}
+
+// partitionTable knows which partitions this process leads and which teams belong to which.
+type partitionTable struct {
+	led           map[int]*leadership
+	withTeams     []int                // partitions that have teams
+	orphanedSince map[int]units.Micros // when a partition was first seen without a leader
+}
+
+func newPartitionTable(env *environment) partitionTable {
+	t := partitionTable{led: map[int]*leadership{}, orphanedSince: map[int]units.Micros{}}
+	for _, team := range env.cfg.Settings.Teams {
+		if p := env.partitionOf(team.Name); !slices.Contains(t.withTeams, p) {
+			t.withTeams = append(t.withTeams, p)
+		}
+	}
+	slices.Sort(t.withTeams)
+	if len(t.withTeams) == 0 {
+		t.withTeams = []int{0}
+	}
+	return t
+}
+
+// ofMachineShard is the partition of a machine shard that has no document yet.
+func (t partitionTable) ofMachineShard(shard int) int {
+	return t.withTeams[shard%len(t.withTeams)]
+}
+
+func (c *Controller) ledPartitions() []int {
+	return slices.Sorted(maps.Keys(c.partitions.led))
+}
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -1,7 +1,3 @@
-// Package core is the single owner of a controller's state. Step takes the
-// time and a batch of messages and returns the effects to carry out; it does no
-// I/O, reads no clock and draws no random number that its seed does not give,
-// so that every run can be replayed exactly.
 package controller
 
 import (
@@ -12,8 +8,16 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// Message is something that happened outside.
-type Message any
+// Message is something that happened outside. The types of this file are all that there are.
+type Message interface{ isMessage() }
+
+func (UserRequest) isMessage()      {}
+func (ReadyRequest) isMessage()     {}
+func (HeartbeatRequest) isMessage() {}
+func (StoreResult) isMessage()      {}
+func (CloudResult) isMessage()      {}
+func (AgentResult) isMessage()      {}
+func (PeerHeartbeat) isMessage()    {}
 
 // UserRequestKind tells what a user asks.
 type UserRequestKind int
@@ -43,34 +47,39 @@
 	Heartbeat agent.Heartbeat
 }
 
-// StoreResult answers a StateCall.
+// StoreResult answers a StoreCall.
 type StoreResult struct {
 	CallID   uint64
 	Response kv.Response
 }
 
-// CloudResult answers a CloudCall. Status 0 means that there was no answer.
+// CloudResult answers a CloudCall.
 type CloudResult struct {
 	CallID   uint64
-	Status   int
+	Status   cloud.Status
 	Catalog  cloud.Catalog
 	Machines cloud.MachineNames
 	Page     cloud.MachinePage
 }
 
-// AgentResult answers a WorkerCall. Status 0 means that there was no answer, and
-// that the command may yet be carried out.
+// AgentResult answers an AgentCall. Heartbeat is nil if there was no answer: the commands may yet be
+// carried out.
 type AgentResult struct {
 	CallID    uint64
-	Status    int
 	Heartbeat *agent.Heartbeat
 }
 
 // PeerHeartbeat is another controller's heartbeat.
 type PeerHeartbeat struct{ Heartbeat peer.Heartbeat }
 
-// Effect is something to do outside.
-type Effect any
+// Effect is something to do outside. The types of this file are all that there are.
+type Effect interface{ isEffect() }
+
+func (Reply) isEffect()              {}
+func (StoreCall) isEffect()          {}
+func (CloudCall) isEffect()          {}
+func (AgentCall) isEffect()          {}
+func (BroadcastHeartbeat) isEffect() {}
 
 // Reply answers a request.
 type Reply struct {
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -66,8 +66,8 @@
 // planPartition decides for one partition and writes what it decided; only when that is
 // stored are the machines told.
 func (c *Controller) planPartition(p int) {
-	o := c.led[p]
-	if o == nil || o.commitsInFlight > 0 || !c.leads(p) || c.storeFailing || c.now < o.pausedUntil || c.replica.watchRevision < o.requiredRevision || c.writeCredit < 2 || len(c.cloud.types) == 0 {
+	o := c.partitions.led[p]
+	if o == nil || o.commitsInFlight > 0 || !c.leads(p) || c.store.failing || c.now < o.pausedUntil || c.replica.watchRevision < o.requiredRevision || c.budget.credit < 2 || len(c.cloud.types) == 0 {
 		return
 	}
 	// A plan looks at everything, so the larger the fleet, the rarer it is.
@@ -81,9 +81,9 @@
 		partitionsWaiting: map[int]bool{}, cleared: map[*jobShard]map[string]bool{}, unplaceable: map[taskShape]bool{},
 	}
 	b.progress = newProgressWriter(b)
-	b.changesLeft = min(max(c.storeLimits.TxnOps, planChanges), int(c.writeCredit)-1) // one is kept back for accepts
-	b.jointChangesLeft = c.storeLimits.TxnOps
-	for _, j := range c.sortedJobs() {
+	b.changesLeft = min(max(c.store.limits.TxnOps, planChanges), int(c.budget.credit)-1) // one is kept back for accepts
+	b.jointChangesLeft = c.store.limits.TxnOps
+	for _, j := range c.replica.sortedJobs() {
 		if !j.cancelled() && j.partition != p && !b.partitionsWaiting[j.partition] && c.now >= j.retryAt && j.waiting() > 0 {
 			b.partitionsWaiting[j.partition] = true
 		}
@@ -98,8 +98,8 @@
 	c.finishJobs(b, jobs)
 	c.drainReclaimed(b)
 	b.writeReleases()
-	if c.writeCredit > reservedChanges {
-		b.changesLeft = min(b.changesLeft, int(c.writeCredit)-reservedChanges)
+	if c.budget.credit > reservedChanges {
+		b.changesLeft = min(b.changesLeft, int(c.budget.credit)-reservedChanges)
 		c.placeArrays(b, jobs)
 		c.transferUnusedShards(b)
 		c.moveServices(b)
@@ -109,7 +109,7 @@
 
 func (c *Controller) jobsOfPartition(p int) []*job {
 	var out []*job
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if j.partition == p {
 			out = append(out, j)
 		}
@@ -121,7 +121,7 @@
 // again, returned machines, doubt and writes under way included.
 func (c *Controller) teamUsage() map[string]*usage {
 	using := map[string]*usage{}
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		addUse(using, &j.spec, j.quotaHeld())
 	}
 	return using
@@ -188,7 +188,7 @@
 		gd.auditReleases()
 		pieces := gd.documents()
 		last := all[len(all)-1]
-		if len(last.txn.Operations)+len(pieces) > c.storeLimits.TxnOps {
+		if len(last.txn.Operations)+len(pieces) > c.store.limits.TxnOps {
 			last = b.newTransaction()
 			all = append(all, last)
 		}
@@ -284,3 +284,32 @@
 		r.job.runCount -= r.count
 	}
 }
+
+// scheduling paces plans and what they do only now and then.
+type scheduling struct {
+	planPeriod         period
+	transferPeriods    map[int]*period // of transfers of machine shards, by partition
+	movePeriods        map[int]*period // of moves of services, by partition
+	oversizedLogPeriod period
+	weightLogPeriod    period
+	formatPeriod       period
+}
+
+func newScheduling() scheduling {
+	return scheduling{transferPeriods: map[int]*period{}, movePeriods: map[int]*period{}}
+}
+
+// periodOf is the period of a key, begun when it is first asked for.
+func periodOf[K comparable](periods map[K]*period, key K) *period {
+	p := periods[key]
+	if p == nil {
+		p = &period{}
+		periods[key] = p
+	}
+	return p
+}
+
+// rebalancePeriod is how often machine shards are transferred, and services moved.
+const rebalancePeriod = 500 * units.Millisecond
+
+const weightLogPeriod = 60 * units.Second
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -19,7 +19,7 @@
 func (c *Controller) finishJobs(b *plan, jobs []*job) {
 	least := b.jointRoom() - b.jointRoom()/2 // the rest is for what waits to start
 	for _, j := range jobs {
-		if c.keysInFlight[schema.OutcomePrefix+j.id] {
+		if c.commits.keysInFlight[schema.OutcomePrefix+j.id] {
 			continue
 		}
 		final, _ := c.replica.outcomes.get(j.id)
@@ -43,7 +43,7 @@
 		}
 	}
 	every := progressFlushPeriod
-	if c.changesPlentiful() && !anyWaiting(c.sortedJobs()) {
+	if c.changesPlentiful() && !anyWaiting(c.replica.sortedJobs()) {
 		every = 0
 	}
 	var open []*job
@@ -75,7 +75,7 @@
 }
 
 // changesPlentiful reports whether changes are not scarce at the moment.
-func (c *Controller) changesPlentiful() bool { return c.writeCredit > c.writeCreditMax/2 }
+func (c *Controller) changesPlentiful() bool { return c.budget.credit > c.budget.maxCredit/2 }
 
 // storeProgress stores a job's progress.
 func (b *plan) storeProgress(j *job) {
@@ -103,7 +103,7 @@
 		need++
 		bytes += s.size
 	}
-	return b.jointRoom() >= need && b.bytesLeft >= bytes && !b.c.keysInFlight[s.key] && s.size <= b.c.maxValueBytes()
+	return b.jointRoom() >= need && b.bytesLeft >= bytes && !b.c.commits.keysInFlight[s.key] && s.size <= b.c.maxValueBytes()
 }
 
 // removeJob removes a job that is over from its job shard. Its progress goes when its
@@ -116,7 +116,7 @@
 		b.bytesLeft -= s.size
 	}
 	b.cleared[s][j.id] = true
-	if j.progressSegment != nil && !b.c.keysInFlight[j.progressSegment.key] && !b.c.oversized(j.progressSegment) && (b.progress.written(j) || b.jointRoom() > 2 && b.bytesLeft > j.progressSegment.size+documentOverheadBytes && b.c.changesPlentiful()) {
+	if j.progressSegment != nil && !b.c.commits.keysInFlight[j.progressSegment.key] && !b.c.oversized(j.progressSegment) && (b.progress.written(j) || b.jointRoom() > 2 && b.bytesLeft > j.progressSegment.size+documentOverheadBytes && b.c.changesPlentiful()) {
 		delete(b.progress.segment(j.progressSegment.key), j.id)
 	}
 }
@@ -179,7 +179,7 @@
 	written := j.progressSegment != nil && !b.c.oversized(j.progressSegment) // its document may be written again
 	if written {
 		old := j.progressSegment.key
-		if b.c.keysInFlight[old] || p.segments[old] == nil && (b.jointRoom() < 1 || b.bytesLeft < j.progressSegment.size+documentOverheadBytes+cost) {
+		if b.c.commits.keysInFlight[old] || p.segments[old] == nil && (b.jointRoom() < 1 || b.bytesLeft < j.progressSegment.size+documentOverheadBytes+cost) {
 			return false
 		}
 		grown := cost - len(j.progressSegment.jobs[j.id].DoneRanges)
@@ -222,7 +222,7 @@
 	}
 	for n := 0; ; n++ {
 		key := schema.ProgressKey(p.plan.leadership.partition, n)
-		if p.plan.c.keysInFlight[key] || p.segments[key] != nil {
+		if p.plan.c.commits.keysInFlight[key] || p.segments[key] != nil {
 			continue
 		}
 		old := p.plan.c.replica.progressSegments[key]
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -27,7 +27,7 @@
 		return
 	}
 	v := &fleetHealth{zones: map[string]*zoneHealth{}}
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		if m.agent != nil && c.leads(m.part()) {
 			c.endQuarantine(m)
 			c.checkMachine(v, m)
@@ -42,7 +42,7 @@
 		c.cloud.silenceSuspectedAt = c.now
 	}
 	// This node's own silence is no evidence: most machines must be heard here.
-	if len(v.silent)+len(v.unreachableOutbound)+len(v.unreachableInbound) == 0 || v.hearing*2 < v.total || !c.isDue("retire", units.Second) {
+	if len(v.silent)+len(v.unreachableOutbound)+len(v.unreachableInbound) == 0 || v.hearing*2 < v.total || !c.fleet.decommissionings.due(c.now, units.Second) {
 		return
 	}
 	c.giveUpUnreachable(v)
@@ -80,7 +80,7 @@
 	// itself, and again.
 	// In a zone where many fall silent all are asked, and those that do not answer
 	// once more.
-	asked := m.agent.failedProbes > 0 && c.suspectZones[m.doc.Zone].probedAt > 0
+	asked := m.agent.failedProbes > 0 && c.fleet.suspectZones[m.doc.Zone].probedAt > 0
 	if (overdue || m.agent.commandUnclear || asked) && c.now-m.agent.probedAt > units.Second {
 		m.agent.probedAt = c.now
 		c.inspect(m)
@@ -125,7 +125,7 @@
 func (c *Controller) giveUpUnreachable(v *fleetHealth) {
 	var gone []*machine
 	for _, m := range v.silent {
-		if len(gone) <= v.total/8 && m.agent.failedProbes >= 2 && !c.suspectZones[m.doc.Zone].suspected && c.zoneHeardSince(v, m) && !c.heardByOthers(m.name, v.zones[m.doc.Zone].reachable()) {
+		if len(gone) <= v.total/8 && m.agent.failedProbes >= 2 && !c.fleet.suspectZones[m.doc.Zone].suspected && c.zoneHeardSince(v, m) && !c.heardByOthers(m.name, v.zones[m.doc.Zone].reachable()) {
 			gone = append(gone, m)
 		}
 	}
@@ -160,9 +160,9 @@
 // gone the cloud's list will tell.
 func (c *Controller) judgeZones(zones map[string]*zoneHealth) {
 	several := func(z *zoneHealth) bool { return z != nil && z.failing >= max(3, len(z.machines)/20) }
-	for zone, s := range c.suspectZones {
+	for zone, s := range c.fleet.suspectZones {
 		if !several(zones[zone]) {
-			delete(c.suspectZones, zone)
+			delete(c.fleet.suspectZones, zone)
 			zones[zone].clearSuspicion(s.suspected)
 		}
 	}
@@ -170,11 +170,11 @@
 	others := len(zones) > 1
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		z := zones[zone]
-		s, open := c.suspectZones[zone]
+		s, open := c.fleet.suspectZones[zone]
 		switch {
 		case !several(z):
 		case !open || c.now-s.probedAt > zoneProbePeriod:
-			c.suspectZones[zone] = zoneSuspicion{probedAt: c.now, suspected: others && (!open || s.suspected)} // until the first answers
+			c.fleet.suspectZones[zone] = zoneSuspicion{probedAt: c.now, suspected: others && (!open || s.suspected)} // until the first answers
 			for _, m := range z.machines {
 				if c.now-m.agent.heardAt > units.Second {
 					m.agent.probedAt = c.now
@@ -185,13 +185,13 @@
 			answered := z.heardSince(s.probedAt - units.Second)
 			was := s.suspected
 			s.suspected = others && answered*4 < len(z.machines)
-			c.suspectZones[zone] = s
+			c.fleet.suspectZones[zone] = s
 			if !s.suspected {
 				z.clearSuspicion(was)
 				continue
 			}
 			c.cloud.silenceSuspectedAt = c.now
-			if c.isDue("zone"+zone, 10*units.Second) {
+			if periodOf(c.fleet.zoneLogPeriods, zone).due(c.now, 10*units.Second) {
 				c.log.Warn("zone suspected partitioned", "zone", zone, "machines", len(z.machines), "answer", answered)
 			}
 		}
@@ -234,8 +234,8 @@
 func (c *Controller) transferUnheardPartitions() {
 	report := c.cfg.Settings.HeartbeatPeriod()
 	for _, p := range c.ledPartitions() {
-		o := c.led[p]
-		if o.commitsInFlight > 0 || c.now-o.since < 3*report || !c.hasWriteCredit() || c.storeFailing {
+		o := c.partitions.led[p]
+		if o.commitsInFlight > 0 || c.now-o.since < 3*report || !c.hasWriteCredit() || c.store.failing {
 			continue
 		}
 		for _, l := range c.registeredProcesses() {
@@ -266,7 +266,7 @@
 // expiredNotices lists this node's machines whose announced end has come.
 func (c *Controller) expiredNotices() []*machine {
 	var out []*machine
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		if m.agent != nil && m.agent.hasNotice && c.now > m.agent.noticeEnds && c.leads(m.part()) {
 			out = append(out, m)
 		}
@@ -286,7 +286,7 @@
 		if member == c.cfg.Member {
 			continue
 		}
-		p, ok := c.peers[member]
+		p, ok := c.peers.latest[member]
 		if !ok || p.heartbeat.Inc != incarnation || c.now-p.receivedAt > 4*units.Second {
 			if !reached {
 				return true
@@ -299,3 +299,14 @@
 	}
 	return false
 }
+
+// fleetMonitor remembers what was noticed of machines that cannot be reached.
+type fleetMonitor struct {
+	suspectZones     map[string]zoneSuspicion // that may be partitioned
+	zoneLogPeriods   map[string]*period
+	decommissionings period
+}
+
+func newFleetMonitor() fleetMonitor {
+	return fleetMonitor{suspectZones: map[string]zoneSuspicion{}, zoneLogPeriods: map[string]*period{}}
+}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"net/http"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,8 +14,8 @@
 // answerHeartbeats answers the reports of a step. They wait until it has read all else that it was
 // given: an answer that starts a task must not leave beside the news that cancels its job.
 func (c *Controller) answerHeartbeats() {
-	reports := c.heartbeats
-	c.heartbeats = nil
+	reports := c.agents.heartbeats
+	c.agents.heartbeats = nil
 	for _, q := range reports {
 		c.answerHeartbeat(q)
 	}
@@ -24,7 +25,7 @@
 func (c *Controller) answerHeartbeat(q HeartbeatRequest) {
 	r := &q.Heartbeat
 	if !c.replica.synced || r.Machine == "" {
-		c.reply(q.RequestID, 503, nil)
+		c.reply(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	m := c.replica.machines[r.Machine]
@@ -33,27 +34,27 @@
 		return
 	}
 	if m.doc.Decommissioned { // nobody answers for it any more
-		c.reply(q.RequestID, 421, agent.Redirect{})
+		c.reply(q.RequestID, http.StatusMisdirectedRequest, agent.Redirect{})
 		return
 	}
-	if c.led[m.shard.partition] == nil {
-		c.heardAt[r.Machine] = c.now
-		c.reply(q.RequestID, 421, agent.Redirect{LeaderAddr: c.leaderOf(m.shard.partition)})
+	if c.partitions.led[m.shard.partition] == nil {
+		c.agents.heardAt[r.Machine] = c.now
+		c.reply(q.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: c.leaderOf(m.shard.partition)})
 		return
 	}
 	tok := c.fencingToken(m)
 	if r.FencingToken > tok || m.agent == nil {
 		// Somebody newer commands it. A 200 from here would be dropped and the
 		// machine held at this node while its lease runs out.
-		c.reply(q.RequestID, 421, agent.Redirect{})
+		c.reply(q.RequestID, http.StatusMisdirectedRequest, agent.Redirect{})
 		return
 	}
 	if !c.leads(m.shard.partition) {
-		c.reply(q.RequestID, 503, nil)
+		c.reply(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	if r.Newer(m.agent.epoch, m.agent.sequence) { // a late copy is no sign of life
-		c.heardAt[r.Machine] = c.now
+		c.agents.heardAt[r.Machine] = c.now
 		c.noteResponseReceived(m, r, tok)
 		if c.now-m.agent.answeredAt > c.cfg.Settings.Lease() {
 			m.agent.answeredSince = c.now
@@ -66,13 +67,13 @@
 	m.agent.leaseEnd = max(m.agent.leaseEnd, c.now+l+leaseMargin(l))
 	orders, ok := c.auditCommands(m, c.commandsFor(m))
 	if !ok {
-		c.reply(q.RequestID, 503, nil)
+		c.reply(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	if slices.ContainsFunc(orders, func(o agent.Command) bool { return o.Action == agent.Start }) {
 		m.agent.startAnsweredAt = c.now
 	}
-	c.reply(q.RequestID, 200, agent.HeartbeatResponse{FencingToken: tok, Commands: orders})
+	c.reply(q.RequestID, http.StatusOK, agent.HeartbeatResponse{FencingToken: tok, Commands: orders})
 }
 
 // maxUnheardAnswers is how many reports in a row may show that the answers before them
@@ -112,30 +113,30 @@
 // late copy from a machine that is long gone, and must not bring it back.
 func (c *Controller) registerAgent(q HeartbeatRequest) {
 	r := &q.Heartbeat
-	c.heardAt[r.Machine] = c.now
+	c.agents.heardAt[r.Machine] = c.now
 	g := c.replica.machineShardOf(r.Machine)
-	if c.led[g.partition] == nil {
-		c.reply(q.RequestID, 421, agent.Redirect{LeaderAddr: c.leaderOf(g.partition)})
+	if c.partitions.led[g.partition] == nil {
+		c.reply(q.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: c.leaderOf(g.partition)})
 		return
 	}
-	if !c.leads(g.partition) || c.storeFailing {
-		c.reply(q.RequestID, 503, nil)
+	if !c.leads(g.partition) || c.store.failing {
+		c.reply(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
-	if e := c.unregistered[r.Machine]; e != nil { // it came back: the earlier request is no longer waited for
+	if e := c.agents.unregistered[r.Machine]; e != nil { // it came back: the earlier request is no longer waited for
 		c.declineRegistration(e)
 		e.request, e.heardAt, e.unanswered = q, c.now, true
 		return
 	}
 	e := &unregisteredAgent{request: q, heardAt: c.now, unanswered: true}
-	c.unregistered[r.Machine] = e
+	c.agents.unregistered[r.Machine] = e
 	id := c.newCallID()
-	c.agentCalls[id] = func(d AgentResult) {
-		if c.unregistered[r.Machine] != e {
+	c.agents.calls[id] = func(d AgentResult) {
+		if c.agents.unregistered[r.Machine] != e {
 			return
 		}
 		if d.Heartbeat == nil || d.Heartbeat.Machine != r.Machine {
-			delete(c.unregistered, r.Machine)
+			delete(c.agents.unregistered, r.Machine)
 			c.declineRegistration(e)
 			return
 		}
@@ -143,7 +144,7 @@
 		e.token = max(d.Heartbeat.FencingToken, r.FencingToken)
 		c.planNeeded = true
 	}
-	c.effects = append(c.effects, AgentCall{CallID: id, Address: r.Addr})
+	c.emit(AgentCall{CallID: id, Address: r.Addr})
 }
 
 // unregisteredAgent is a machine that is about to be entered.
@@ -167,22 +168,22 @@
 func (c *Controller) declineRegistration(e *unregisteredAgent) {
 	if e.unanswered {
 		e.unanswered = false
-		c.reply(e.request.RequestID, 503, nil)
+		c.reply(e.request.RequestID, http.StatusServiceUnavailable, nil)
 	}
 }
 
 // finishRegistrations answers newcomers whose entry is stored, and those that wait too long.
 func (c *Controller) finishRegistrations() {
-	for _, name := range slices.Sorted(maps.Keys(c.unregistered)) {
-		e := c.unregistered[name]
+	for _, name := range slices.Sorted(maps.Keys(c.agents.unregistered)) {
+		e := c.agents.unregistered[name]
 		switch {
 		case c.replica.machines[name] != nil:
-			delete(c.unregistered, name)
+			delete(c.agents.unregistered, name)
 			if e.unanswered {
 				c.answerHeartbeat(e.request)
 			}
 		case c.now-e.heardAt > registrationKept:
-			delete(c.unregistered, name)
+			delete(c.agents.unregistered, name)
 		case c.now-e.heardAt > registrationReplyWait:
 			c.declineRegistration(e)
 		}
@@ -291,3 +292,24 @@
 		c.log.Debug("task ended", "task", k.task(), "machine", m.name, "cause", p.Cause)
 	}
 }
+
+// agentGateway is the exchange with worker agents: their heartbeats, calls to them, and machines that
+// are not registered yet.
+type agentGateway struct {
+	calls        map[uint64]func(AgentResult)  // continuations of calls that are not answered yet
+	heartbeats   []HeartbeatRequest            // that have come in this step
+	toPush       []*machine                    // machines whose entries have changed in this step
+	heardAt      map[string]units.Micros       // when each machine was last heard here
+	unregistered map[string]*unregisteredAgent // by machine
+}
+
+func newAgentGateway() agentGateway {
+	return agentGateway{calls: map[uint64]func(AgentResult){}, heardAt: map[string]units.Micros{}, unregistered: map[string]*unregisteredAgent{}}
+}
+
+func (c *Controller) handleAgentResult(result AgentResult) {
+	if done, ok := c.agents.calls[result.CallID]; ok {
+		delete(c.agents.calls, result.CallID)
+		done(result)
+	}
+}
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"fmt"
+	"maps"
 	"math"
 	"slices"
 	"strconv"
@@ -25,8 +26,7 @@
 	// may stand in neither before.
 	completeRevision uint64
 	synced           bool
-	watchID          int    // the watch that counts; answers to older ones are passed over
-	seenRevision     uint64 // latest revision that any answer has shown
+	watchID          int // the watch that counts; answers to older ones are passed over
 	behindSince      units.Micros
 
 	registeredSince   map[string]units.Micros // key -> first seen here
@@ -260,7 +260,7 @@
 	if doc.Format > r.format {
 		r.format = doc.Format
 		c.log.Info("store format version", "format", doc.Format)
-		c.storeLimits.adoptTighter()
+		c.store.limits.adoptTighter()
 		r.maxProgressGaps = progressGapsFor(c.maxValueBytes())
 	}
 }
@@ -459,7 +459,7 @@
 }
 
 func (c *Controller) applyMachine(m *machine, doc *schema.Machine, moved bool) {
-	own := c.led[m.shard.partition]
+	own := c.partitions.led[m.shard.partition]
 	old := m.doc
 	changed := !slices.Equal(old.Tasks, doc.Tasks) || old.TokenIncrements != doc.TokenIncrements || old.Decommissioned != doc.Decommissioned || old.Name == ""
 	if changed {
@@ -495,7 +495,7 @@
 				delete(m.agent.completions, k)
 			}
 		}
-		c.machinesToPush = append(c.machinesToPush, m)
+		c.agents.toPush = append(c.agents.toPush, m)
 	}
 }
 
@@ -519,7 +519,7 @@
 func (c *Controller) noteUnaskedReleases(old schema.Tasks) {
 	for _, t := range old {
 		j := c.replica.jobs[t.Job]
-		if j == nil || !j.accepted || j.cancelled() || t.StopMode > 0 || j.isDone(t.Index) || c.led[j.partition] == nil {
+		if j == nil || !j.accepted || j.cancelled() || t.StopMode > 0 || j.isDone(t.Index) || c.partitions.led[j.partition] == nil {
 			continue
 		}
 		if _, ok := j.bindings[t.Index]; !ok {
@@ -536,3 +536,28 @@
 	}
 	return true
 }
+
+// sortedMachines lists the machines in the order of their names: map order
+// would make runs differ.
+func (r *replica) sortedMachines() []*machine {
+	if r.machinesByName == nil {
+		r.machinesByName = slices.SortedFunc(maps.Values(r.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
+	}
+	return r.machinesByName
+}
+
+// sortedJobs lists the accepted jobs that are not over, the oldest first.
+func (r *replica) sortedJobs() []*job {
+	if r.jobsByAge == nil {
+		r.jobsByAge = make([]*job, 0, len(r.jobs))
+		for _, j := range r.jobs {
+			if j.accepted {
+				r.jobsByAge = append(r.jobsByAge, j)
+			}
+		}
+		slices.SortFunc(r.jobsByAge, func(a, b *job) int {
+			return cmp.Or(cmp.Compare(a.spec.AcceptedAt, b.spec.AcceptedAt), strings.Compare(a.id, b.id))
+		})
+	}
+	return r.jobsByAge
+}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -17,8 +17,8 @@
 	var base uint64
 	var page func(since string)
 	page = func(since string) {
-		c.callStore(kv.Request{Kind: kv.List, Key: schema.ActivePrefix, After: since}, func(resp kv.Response) {
-			if resp.Status != 200 {
+		c.store.call(kv.Request{Kind: kv.List, Key: schema.ActivePrefix, After: since}, func(resp kv.Response) {
+			if resp.Status != kv.StatusOK {
 				c.after(300*units.Millisecond, func() { page(since) })
 				return
 			}
@@ -81,8 +81,8 @@
 		Operations: []kv.Operation{{Set: schema.LayoutKey, Value: encode(layout)}},
 	}
 	asLoaded := layout == c.replica.layout
-	c.callStore(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
-		if r.Status != 200 || !asLoaded {
+	c.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
+		if r.Status != kv.StatusOK || !asLoaded {
 			c.after(100*units.Millisecond, c.load)
 			return
 		}
@@ -99,7 +99,7 @@
 // was refused it waits as in an outage.
 func (c *Controller) checkWatch() {
 	r := c.replica
-	if !r.synced || r.seenRevision <= r.watchRevision {
+	if !r.synced || c.store.seenRevision <= r.watchRevision {
 		r.behindSince = 0
 		return
 	}
@@ -108,7 +108,7 @@
 	}
 	if c.now-r.behindSince > staleAfter {
 		r.behindSince = c.now + staleAfter // give the new one time before the next
-		c.log.Info("watch lagging, reopening", "revision", r.watchRevision, "seen", r.seenRevision)
+		c.log.Info("watch lagging, reopening", "revision", r.watchRevision, "seen", c.store.seenRevision)
 		c.watch()
 	}
 }
@@ -117,12 +117,12 @@
 	c.replica.watchID++
 	n := c.replica.watchID
 	opened := c.now
-	c.callStore(kv.Request{Kind: kv.Watch, Key: schema.RootPrefix, Revision: c.replica.watchRevision, WaitMillis: 10000}, func(resp kv.Response) {
+	c.store.call(kv.Request{Kind: kv.Watch, Key: schema.RootPrefix, Revision: c.replica.watchRevision, WaitMillis: 10000}, func(resp kv.Response) {
 		if n != c.replica.watchID {
 			return
 		}
 		switch {
-		case resp.Status == 200:
+		case resp.Status == kv.StatusOK:
 			for _, e := range resp.Events {
 				if e.Set != "" {
 					c.apply(e.Set, e.Value, e.ModRevision, false)
@@ -139,13 +139,13 @@
 				}
 			}
 			c.releaseCurrent()
-			if len(resp.Events) == 0 && resp.Revision < c.replica.seenRevision {
+			if len(resp.Events) == 0 && resp.Revision < c.store.seenRevision {
 				c.after(100*units.Millisecond, func() { c.rewatch(n) }) // refused: it tells nothing
 				return
 			}
 			// While much changes, one answer should tell several changes.
 			c.after(max(0, opened+c.requestInterval(0.4)-c.now), func() { c.rewatch(n) })
-		case resp.Status == 410:
+		case resp.Status == kv.StatusCompacted:
 			c.log.Warn("watch revision compacted, reloading replica")
 			c.load()
 		default:
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/json"
 	"maps"
+	"net/http"
 	"slices"
 
 	"frostdock.example/frostdock/internal/api"
@@ -44,43 +45,43 @@
 
 // answerUser replies to a user once; a later one is passed over.
 func (c *Controller) answerUser(to uint64, status int, body any) {
-	if _, ok := c.openRequests[to]; !ok {
+	if _, ok := c.requests.deadlines[to]; !ok {
 		return
 	}
-	delete(c.openRequests, to)
-	if st, ok := body.(*JobStatus); ok && (status == 200 || status == 201) {
+	delete(c.requests.deadlines, to)
+	if st, ok := body.(*JobStatus); ok && (status == http.StatusOK || status == http.StatusCreated) {
 		body = c.auditAnswer(st)
 	}
 	retry := 0
-	if status == 503 || status == 429 {
+	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
 		retry = 1
 	}
-	c.effects = append(c.effects, Reply{RequestID: to, Status: status, Body: body, RetryAfterSeconds: retry})
+	c.emit(Reply{RequestID: to, Status: status, Body: body, RetryAfterSeconds: retry})
 }
 
 // expireRequests answers those that could not be decided in time.
 func (c *Controller) expireRequests() {
-	for _, to := range slices.Sorted(maps.Keys(c.openRequests)) {
-		if c.now > c.openRequests[to] {
-			c.answerUser(to, 503, nil)
+	for _, to := range slices.Sorted(maps.Keys(c.requests.deadlines)) {
+		if c.now > c.requests.deadlines[to] {
+			c.answerUser(to, http.StatusServiceUnavailable, nil)
 		}
 	}
 }
 
 func (c *Controller) handleReady(q ReadyRequest) {
-	ok := c.replica.synced && len(c.cloud.types) > 0 && c.registered
-	if ok && !c.storeHealthy() && c.now-c.storeAnsweredAt > 2*units.Second {
+	ok := c.replica.synced && len(c.cloud.types) > 0 && c.membership.registered
+	if ok && !c.store.healthy() && c.now-c.store.answeredAt > 2*units.Second {
 		// Alone without the state service: others serve better. If all are
 		// without it, staying in the balancer serves soonest when it returns.
-		for _, p := range c.peers {
+		for _, p := range c.peers.latest {
 			if c.now-p.receivedAt < 3*units.Second && p.heartbeat.StateOK {
 				ok = false
 			}
 		}
 	}
-	status := 200
+	status := http.StatusOK
 	if !ok {
-		status = 503
+		status = http.StatusServiceUnavailable
 	}
 	c.reply(q.RequestID, status, nil)
 }
@@ -90,21 +91,21 @@
 	if q.Kind != QueryJob {
 		wait = submitWait
 	}
-	c.openRequests[q.RequestID] = c.now + wait
+	c.requests.deadlines[q.RequestID] = c.now + wait
 	if q.JobID == "" {
-		c.answerUser(q.RequestID, 400, nil)
+		c.answerUser(q.RequestID, http.StatusBadRequest, nil)
 		return
 	}
 	if f, ok := c.replica.outcomes.get(q.JobID); ok { // an end is final: no need to ask
-		c.answerUser(q.RequestID, 200, outcomeStatus(q.JobID, f))
+		c.answerUser(q.RequestID, http.StatusOK, outcomeStatus(q.JobID, f))
 		return
 	}
 	if j := c.replica.jobs[q.JobID]; j != nil && j.accepted && j.dependency.CancelledBy() != "" { // so is a derived one
-		c.answerUser(q.RequestID, 200, c.statusOf(j))
+		c.answerUser(q.RequestID, http.StatusOK, c.statusOf(j))
 		return
 	}
-	if !c.replica.synced || c.storeFailing && c.now-c.storeAnsweredAt > 500*units.Millisecond {
-		c.answerUser(q.RequestID, 503, nil)
+	if !c.replica.synced || c.store.failing && c.now-c.store.answeredAt > 500*units.Millisecond {
+		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	if q.Kind == SubmitJob && q.Job != nil && len(q.Job.Needs) == 0 && len(c.cloud.types) > 0 && c.replica.jobs[q.JobID] == nil &&
@@ -120,30 +121,30 @@
 func (c *Controller) answerFromStatus(q UserRequest, st *JobStatus, ok bool) {
 	switch {
 	case !ok:
-		c.answerUser(q.RequestID, 503, nil)
+		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 	case st != nil && q.Kind == CancelJob && st.Stage != StageDone && st.Stage != StageCancelled:
 		c.cancelJob(q)
 	case st != nil:
-		c.answerUser(q.RequestID, 200, st) // also a repeated submission, whatever its body says
+		c.answerUser(q.RequestID, http.StatusOK, st) // also a repeated submission, whatever its body says
 	case q.Kind == SubmitJob && q.Job == nil:
-		c.answerUser(q.RequestID, 400, map[string]string{"error": q.Malformed.Error()})
+		c.answerUser(q.RequestID, http.StatusBadRequest, map[string]string{"error": q.Malformed.Error()})
 	case q.Kind == SubmitJob && len(c.cloud.types) == 0:
-		c.answerUser(q.RequestID, 503, nil)
+		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 	case q.Kind == SubmitJob:
 		if err := api.CheckFeasible(q.Job, c.cfg.Settings.Teams, c.cloud.types); err != nil {
-			c.answerUser(q.RequestID, 422, map[string]string{"error": err.Error()})
+			c.answerUser(q.RequestID, http.StatusUnprocessableEntity, map[string]string{"error": err.Error()})
 			return
 		}
 		c.admitSubmission(q)
 	default:
-		c.answerUser(q.RequestID, 404, nil)
+		c.answerUser(q.RequestID, http.StatusNotFound, nil)
 	}
 }
 
 // queueAccept queues a submission that can run to be stored.
 func (c *Controller) queueAccept(q UserRequest) {
 	q.Job.AcceptedAt = int64(c.timeOfDay)
-	c.pendingAccepts = append(c.pendingAccepts, pendingAccept{job: q.Job, requestID: q.RequestID, askedAt: c.now})
+	c.accepts.pending = append(c.accepts.pending, pendingAccept{job: q.Job, requestID: q.RequestID, askedAt: c.now})
 	c.storeAccepts()
 }
 
@@ -188,11 +189,11 @@
 	}
 	// Not among the active ones: its end may be stored all the same. Only
 	// the store's word makes a 404.
-	c.fetchOutcome(id, func(status int, f schema.Outcome) {
-		switch status {
-		case 200:
+	c.fetchOutcome(id, func(lookup outcomeLookup, f schema.Outcome) {
+		switch lookup {
+		case outcomeFound:
 			then(outcomeStatus(id, f), true)
-		case 404:
+		case outcomeNone:
 			then(nil, true)
 		default:
 			then(nil, false)
@@ -241,17 +242,17 @@
 
 // storeAccepts stores waiting submissions, as many as one transaction takes.
 func (c *Controller) storeAccepts() {
-	if len(c.pendingAccepts) == 0 || c.acceptInFlight || c.replica.watchRevision < c.acceptAfterRevision || !c.hasWriteCredit() || c.now < c.acceptNotBefore {
+	if len(c.accepts.pending) == 0 || c.accepts.inFlight || c.replica.watchRevision < c.accepts.afterRevision || !c.hasWriteCredit() || c.now < c.accepts.notBefore {
 		return
 	}
 	byShelf := map[*jobShard][]pendingAccept{}
-	for _, a := range c.pendingAccepts {
-		if _, ok := c.openRequests[a.requestID]; ok {
+	for _, a := range c.accepts.pending {
+		if _, ok := c.requests.deadlines[a.requestID]; ok {
 			s := c.replica.jobShardOf(a.job.ID)
 			byShelf[s] = append(byShelf[s], a)
 		}
 	}
-	c.pendingAccepts = nil
+	c.accepts.pending = nil
 	mark := c.newWriteTag()
 	txn := &kv.Txn{}
 	size := 0
@@ -259,8 +260,8 @@
 	for _, s := range c.shardsByUrgency(byShelf) {
 		// Of many job shards in one transaction, one that another controller has just
 		// written makes all fail.
-		if c.keysInFlight[s.key] || len(txn.Operations) >= max(1, c.storeLimits.TxnOps/2) || size > maxTransactionBytes/2 {
-			c.pendingAccepts = append(c.pendingAccepts, byShelf[s]...)
+		if c.commits.keysInFlight[s.key] || len(txn.Operations) >= max(1, c.store.limits.TxnOps/2) || size > maxTransactionBytes/2 {
+			c.accepts.pending = append(c.accepts.pending, byShelf[s]...)
 			continue
 		}
 		put, val := c.fillJobShard(s, byShelf[s], mark, len(txn.Conditions))
@@ -278,16 +279,16 @@
 	if len(in) == 0 {
 		return
 	}
-	c.acceptInFlight = true
+	c.accepts.inFlight = true
 	c.setKeysInFlight(txn, true)
 	c.commit(txn, mark, func(res commitOutcome, rev uint64, failed []string) {
-		c.acceptInFlight = false
+		c.accepts.inFlight = false
 		c.setKeysInFlight(txn, false)
 		if res == commitThrottled {
-			c.acceptNotBefore = c.now + 150*units.Millisecond
+			c.accepts.notBefore = c.now + 150*units.Millisecond
 		}
 		if res == commitConflict {
-			c.acceptAfterRevision = rev // the job shards as they now are must be seen first
+			c.accepts.afterRevision = rev // the job shards as they now are must be seen first
 		}
 		for _, a := range in {
 			c.finishAccept(a, res, failed)
@@ -300,15 +301,15 @@
 func (c *Controller) finishAccept(a pendingAccept, res commitOutcome, failed []string) {
 	switch {
 	case res == commitApplied:
-		c.answerUser(a.requestID, 201, &JobStatus{ID: a.job.ID, Stage: StagePending})
+		c.answerUser(a.requestID, http.StatusCreated, &JobStatus{ID: a.job.ID, Stage: StagePending})
 	case res == commitRefused:
-		c.answerUser(a.requestID, 503, nil)
+		c.answerUser(a.requestID, http.StatusServiceUnavailable, nil)
 	case res == commitThrottled: // a moment later it may be taken
-		c.pendingAccepts = append(c.pendingAccepts, a)
+		c.accepts.pending = append(c.accepts.pending, a)
 	case slices.Contains(failed, schema.OutcomePrefix+a.job.ID): // over already
 		c.currentStatus(a.job.ID, func(st *JobStatus, ok bool) { c.answerKnownJob(a.requestID, st, ok) })
 	default:
-		c.pendingAccepts = append(c.pendingAccepts, a)
+		c.accepts.pending = append(c.accepts.pending, a)
 	}
 }
 
@@ -327,11 +328,11 @@
 		case j != nil && j.accepted: // entered meanwhile, by way of another controller
 			c.currentStatus(a.job.ID, func(st *JobStatus, ok bool) { c.answerKnownJob(a.requestID, st, ok) })
 		case cost > c.maxValueBytes()-documentOverheadBytes:
-			c.answerUser(a.requestID, 422, map[string]string{"error": "too large to be stored"})
+			c.answerUser(a.requestID, http.StatusUnprocessableEntity, map[string]string{"error": "too large to be stored"})
 		case twice || guards+len(put)+2 > c.maxConditions():
-			c.pendingAccepts = append(c.pendingAccepts, a)
+			c.accepts.pending = append(c.accepts.pending, a)
 		case cost > room:
-			c.answerUser(a.requestID, 503, nil) // the job shard is full: others must end first
+			c.answerUser(a.requestID, http.StatusServiceUnavailable, nil) // the job shard is full: others must end first
 		default:
 			room -= cost
 			put = append(put, a)
@@ -346,7 +347,7 @@
 	if len(val) > c.maxValueBytes() { // what was added is longer than it looked
 		c.log.Error("job shard exceeds value limit", "shard", s.key, "bytes", len(val))
 		for _, a := range put {
-			c.answerUser(a.requestID, 503, nil)
+			c.answerUser(a.requestID, http.StatusServiceUnavailable, nil)
 		}
 		return nil, nil
 	}
@@ -356,9 +357,9 @@
 // answerKnownJob answers a submission of a job that was found to be known already.
 func (c *Controller) answerKnownJob(to uint64, st *JobStatus, ok bool) {
 	if ok && st != nil {
-		c.answerUser(to, 200, st)
+		c.answerUser(to, http.StatusOK, st)
 	} else {
-		c.answerUser(to, 503, nil)
+		c.answerUser(to, http.StatusServiceUnavailable, nil)
 	}
 }
 
@@ -388,9 +389,9 @@
 func (c *Controller) setKeysInFlight(txn *kv.Txn, under bool) {
 	for _, op := range txn.Operations {
 		if under {
-			c.keysInFlight[op.Set+op.Delete] = true
+			c.commits.keysInFlight[op.Set+op.Delete] = true
 		} else {
-			delete(c.keysInFlight, op.Set+op.Delete)
+			delete(c.commits.keysInFlight, op.Set+op.Delete)
 		}
 	}
 }
@@ -398,7 +399,7 @@
 // cancelJob writes the job's end; the owner sees it and stops the tasks.
 func (c *Controller) cancelJob(q UserRequest) {
 	if j := c.replica.jobs[q.JobID]; j == nil || !j.accepted {
-		c.answerUser(q.RequestID, 503, nil)
+		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
 	mark := c.newWriteTag()
@@ -413,19 +414,34 @@
 	c.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
 		switch res {
 		case commitApplied:
-			c.answerUser(q.RequestID, 200, outcomeStatus(q.JobID, f))
+			c.answerUser(q.RequestID, http.StatusOK, outcomeStatus(q.JobID, f))
 		case commitConflict: // it ended, or another node cancelled it, at the same time
-			if _, open := c.openRequests[q.RequestID]; open {
+			if _, open := c.requests.deadlines[q.RequestID]; open {
 				c.currentStatus(q.JobID, func(st *JobStatus, ok bool) { c.answerFromStatus(q, st, ok) })
 			}
 		case commitThrottled:
 			c.after(150*units.Millisecond, func() {
-				if _, open := c.openRequests[q.RequestID]; open {
+				if _, open := c.requests.deadlines[q.RequestID]; open {
 					c.cancelJob(q)
 				}
 			})
 		default:
-			c.answerUser(q.RequestID, 503, nil)
+			c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		}
 	})
 }
+
+// userRequests are the requests of users that are not answered yet.
+type userRequests struct {
+	deadlines map[uint64]units.Micros // when each is given up
+}
+
+func newUserRequests() userRequests { return userRequests{deadlines: map[uint64]units.Micros{}} }
+
+// acceptQueue holds submissions that wait to be stored.
+type acceptQueue struct {
+	pending       []pendingAccept
+	inFlight      bool
+	notBefore     units.Micros // when the store may take more
+	afterRevision uint64       // the replica must have come this far before the next are stored
+}
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -46,7 +46,7 @@
 			return out
 		}
 	}
-	if most < 2 || c.storeLimits.lowered {
+	if most < 2 || c.store.limits.lowered {
 		return nil
 	}
 	if out := cut(most); longestDocument(out) <= maxValueBytes(c.cfg.Settings.KVStore.ValueKB) {
@@ -79,9 +79,9 @@
 	slices.SortStableFunc(long, func(x, y *stagedShard) int { return cmp.Compare(y.shard.size, x.shard.size) })
 	changes := 0
 	for _, gd := range long {
-		pieces := c.splitToFit(c.splitCountFor(gd.shard.size), c.storeLimits.TxnOps, gd.split)
+		pieces := c.splitToFit(c.splitCountFor(gd.shard.size), c.store.limits.TxnOps, gd.split)
 		if len(pieces) < 2 {
-			if c.isDue("oversized", 10*units.Second) {
+			if c.scheduling.oversizedLogPeriod.due(c.now, 10*units.Second) {
 				c.log.Warn("cannot split machine shard yet", "shard", gd.shard.number, "bytes", gd.shard.size)
 			}
 			continue
@@ -127,13 +127,13 @@
 // splitJobShards splits job shards that have become too long, one at a time. It is done by one
 // controller, so that two seldom try the same; the stamps keep it safe if two do.
 func (c *Controller) splitJobShards() {
-	if !c.chainsEnabled() || !c.leads(0) || c.storeFailing || c.splittingJobShard || c.writeCredit < 2 || c.now < c.nextJobShardSplitAt {
+	if !c.chainsEnabled() || !c.leads(0) || c.store.failing || c.jobShardSplits.inFlight || c.budget.credit < 2 || c.now < c.jobShardSplits.notBefore {
 		return
 	}
-	c.nextJobShardSplitAt = c.now + 100*units.Millisecond
+	c.jobShardSplits.notBefore = c.now + 100*units.Millisecond
 	var long *jobShard
 	for _, s := range c.replica.jobShards {
-		if c.splitCountFor(s.size) > 1 && !c.keysInFlight[s.key] && (long == nil || s.size > long.size) {
+		if c.splitCountFor(s.size) > 1 && !c.commits.keysInFlight[s.key] && (long == nil || s.size > long.size) {
 			long = s
 		}
 	}
@@ -141,7 +141,7 @@
 		return
 	}
 	mark := c.newWriteTag()
-	pieces := c.splitToFit(c.splitCountFor(long.size), c.storeLimits.TxnOps, func(n int) []splitDocument { return c.splitJobShard(long, n, mark) })
+	pieces := c.splitToFit(c.splitCountFor(long.size), c.store.limits.TxnOps, func(n int) []splitDocument { return c.splitJobShard(long, n, mark) })
 	if len(pieces) < 2 {
 		return
 	}
@@ -150,11 +150,11 @@
 		c.addSet(txn, p.key, p.value)
 	}
 	c.log.Info("splitting job shard", "shard", long.key, "bytes", long.size, "pieces", len(pieces), "longest", longestDocument(pieces))
-	c.splittingJobShard = true
-	c.nextJobShardSplitAt = c.now + c.creditPeriod(len(pieces), 0.25)
+	c.jobShardSplits.inFlight = true
+	c.jobShardSplits.notBefore = c.now + c.creditPeriod(len(pieces), 0.25)
 	c.setKeysInFlight(txn, true)
 	c.commit(txn, mark, func(commitOutcome, uint64, []string) {
-		c.splittingJobShard = false
+		c.jobShardSplits.inFlight = false
 		c.setKeysInFlight(txn, false)
 	})
 }
@@ -187,7 +187,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(c.replica.progressSegments)) {
 		p := c.replica.progressSegments[key]
-		if p.partition != b.leadership.partition || !c.oversized(p) || c.keysInFlight[key] {
+		if p.partition != b.leadership.partition || !c.oversized(p) || c.commits.keysInFlight[key] {
 			continue
 		}
 		left := false
@@ -209,3 +209,9 @@
 func (c *Controller) oversized(p *progressSegment) bool {
 	return p != nil && p.size > c.maxValueBytes()
 }
+
+// jobShardSplits paces the splits of job shards.
+type jobShardSplits struct {
+	inFlight  bool
+	notBefore units.Micros
+}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -17,7 +17,7 @@
 		return
 	}
 	var names []string
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		if (m.doc.Decommissioned || m.agent != nil && m.agent.deleteAtOnce) && !m.deleted && c.leads(m.shard.partition) && len(names) < maxDeletions {
 			names = append(names, m.name)
 		}
@@ -27,7 +27,7 @@
 	}
 	k.deletionInFlight = true
 	c.callCloud(CloudCall{Op: CloudDelete, Machines: cloud.MachineNames{Names: names}}, func(d CloudResult) {
-		if d.Status != 200 {
+		if d.Status != cloud.StatusOK {
 			c.after(300*units.Millisecond, func() { k.deletionInFlight = false })
 			return
 		}
@@ -78,7 +78,7 @@
 	var all []candidate
 	free, used := 0.0, 0.0
 	draining := 0
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		t := c.machineType(m.doc.Type)
 		if t == nil || m.part() < 0 {
 			continue
@@ -128,7 +128,7 @@
 func (c *Controller) scaleInIdle(waiting bool, starvingJobs []*job) {
 	var idle []*machine
 	price := func(m *machine) float64 { return c.machineType(m.doc.Type).HourlyRate(m.doc.Spot) }
-	for _, m := range c.sortedMachines() {
+	for _, m := range c.replica.sortedMachines() {
 		t := c.machineType(m.doc.Type)
 		if t == nil || m.agent == nil {
 			continue
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -51,7 +51,7 @@
 	h.sent = true
 	c.callCloud(CloudCall{Op: CloudRent, Rental: h.request}, func(d CloudResult) {
 		switch {
-		case d.Status == 200:
+		case d.Status == cloud.StatusOK:
 			h.granted, h.grantedAt = true, c.now
 			h.pendingMachines = map[string]bool{}
 			for _, n := range d.Machines.Names {
@@ -62,7 +62,7 @@
 			if len(d.Machines.Names) < h.request.Count {
 				k.offerNotBefore[offerKeyOf(h.request)] = c.now + 15*units.Second
 			}
-		case d.Status == 503 || d.Status == 400:
+		case d.Status == cloud.StatusRefused:
 			c.log.Debug("rental refused", "request", h.request.Name, "type", h.request.Type, "zone", h.request.Zone, "spot", h.request.Spot)
 			k.offerNotBefore[offerKeyOf(h.request)] = c.now + 15*units.Second
 			delete(k.rentals, h.request.Name)
@@ -148,7 +148,7 @@
 		boot = min(boot, c.cloud.types[i].BootSeconds)
 	}
 	sum := 0.0
-	for _, j := range c.sortedJobs() {
+	for _, j := range c.replica.sortedJobs() {
 		if j.spec.Service || j.cancelled() {
 			continue
 		}
@@ -211,7 +211,7 @@
 		// most of a minute to rent a fleet that was wanted at once.
 		h.Count = min(lack, maxMachinesPerRental, max(c.policy.MaxLaunchBatch, len(c.replica.machines)/maxFleetShareDivisor, lack/(rentalRounds*max(1, permitted))))
 		k.rentalsSent++
-		h.Name = "r-" + c.incarnation + "-" + strconv.Itoa(k.rentalsSent)
+		h.Name = "r-" + c.membership.incarnation + "-" + strconv.Itoa(k.rentalsSent)
 		c.log.Info("renting machines", "request", h.Name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "unmet_cpus", *need)
 		*need -= float64(h.Count) * cpus
 		k.rentals[h.Name] = &rentalRequest{request: *h, grantedAt: c.now}
@@ -236,7 +236,7 @@
 	for i := range c.cloud.types {
 		t := &c.cloud.types[i]
 		for _, z := range t.Zones {
-			if c.suspectZones[z].suspected || !c.demandIn(short, t, z, spotJobs) {
+			if c.fleet.suspectZones[z].suspected || !c.demandIn(short, t, z, spotJobs) {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"strconv"
 	"strings"
 
 	"frostdock.example/frostdock/internal/schema"
@@ -240,7 +239,7 @@
 // another machine has their image and room, so that they are away for a moment
 // only. Those that have just started stay for now.
 func (c *Controller) moveServices(b *plan) {
-	if !c.isDue("move"+strconv.Itoa(b.leadership.partition), 500*units.Millisecond) {
+	if !periodOf(c.scheduling.movePeriods, b.leadership.partition).due(c.now, rebalancePeriod) {
 		return
 	}
 	moves := 0
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -100,7 +100,7 @@
 	if j == nil || !j.accepted || m.agent == nil || !j.unstoredCompletions[t.Index] {
 		return 0
 	}
-	if c.led[j.partition] != nil {
+	if c.partitions.led[j.partition] != nil {
 		return 1 // how long it ran goes with the progress; alike, neighbours stay one range
 	}
 	return max(1, m.agent.completions[keyOf(*t)].tenths)
@@ -116,7 +116,7 @@
 	if j.waiting() > 0 && c.quotaRoom(j, using) == 0 {
 		return true
 	}
-	return c.led[j.partition] == nil && !c.leaderStoresCompletion(j, m.agent.completions[keyOf(*t)].seenAt)
+	return c.partitions.led[j.partition] == nil && !c.leaderStoresCompletion(j, m.agent.completions[keyOf(*t)].seenAt)
 }
 
 func (gd *stagedShard) addsTasks() bool {
@@ -192,7 +192,7 @@
 func (b *plan) stageMachines() {
 	c := b.c
 	for _, g := range c.replica.machineShards {
-		if c.keysInFlight[g.key] {
+		if c.commits.keysInFlight[g.key] {
 			continue
 		}
 		gd := &stagedShard{c: c, shard: g, ownShard: g.partition == b.leadership.partition, bytesLeft: c.maxValueBytes() - g.size - documentOverheadBytes, writeTag: b.writeTag, transferTo: -1, oversized: g.size > c.maxValueBytes()}
@@ -238,8 +238,8 @@
 func (b *plan) enterAgents() {
 	c := b.c
 	wait := map[*machineShard][]string{}
-	for _, name := range slices.Sorted(maps.Keys(c.unregistered)) {
-		if c.unregistered[name].confirmed && c.replica.machines[name] == nil {
+	for _, name := range slices.Sorted(maps.Keys(c.agents.unregistered)) {
+		if c.agents.unregistered[name].confirmed && c.replica.machines[name] == nil {
 			g := c.replica.machineShardOf(name)
 			wait[g] = append(wait[g], name)
 		}
@@ -259,7 +259,7 @@
 			if !b.fitsShard(gd) || gd.bytesLeft < documentOverheadBytes {
 				break
 			}
-			e := c.unregistered[name]
+			e := c.agents.unregistered[name]
 			r := &e.request.Heartbeat
 			doc := schema.Machine{Name: name, Addr: r.Addr, MachineKind: schema.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
 			// A machine that had an entry before may have seen higher tokens.
--- /dev/null
+++ b/internal/controller/store.go
@@ -0,0 +1,68 @@
+package controller
+
+import (
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// storeClient sends requests to the key-value store and keeps what their answers tell of the store:
+// whether it answers, which revision it has reached, and the limits that it keeps to. It repeats
+// nothing: whether a request may be sent again is decided by who sent it.
+type storeClient struct {
+	env   *environment
+	calls map[uint64]func(kv.Response) // continuations of requests that are not answered yet
+
+	answeredAt   units.Micros // when it last answered
+	failing      bool         // it has refused, or not answered, since
+	seenRevision uint64       // the latest that any answer has shown
+	limits       storeLimits
+}
+
+func newStoreClient(env *environment) *storeClient {
+	return &storeClient{env: env, calls: map[uint64]func(kv.Response){}, limits: newStoreLimits(&env.cfg.Settings)}
+}
+
+// call sends a request; done runs once, with its answer.
+func (s *storeClient) call(request kv.Request, done func(kv.Response)) {
+	id := s.env.newCallID()
+	s.calls[id] = done
+	s.env.emit(StoreCall{id, request})
+}
+
+// take returns the continuation of an answered request, nil if none waits for it, and notes what the
+// answer tells of the store.
+func (s *storeClient) take(result StoreResult) func(kv.Response) {
+	done := s.calls[result.CallID]
+	if done == nil {
+		return nil
+	}
+	delete(s.calls, result.CallID)
+	switch result.Response.Status {
+	case kv.StatusOK, kv.StatusNotFound, kv.StatusConflict, kv.StatusCompacted:
+		s.answeredAt, s.failing = s.env.now, false
+		s.seenRevision = max(s.seenRevision, result.Response.Revision)
+	case kv.StatusUnknown, kv.StatusUnavailable:
+		s.failing = true
+	case kv.StatusThrottled, kv.StatusMalformed, kv.StatusUnexpected: // tells nothing of its health
+	}
+	return done
+}
+
+// storeSilence is how long the store may have given no answer and still count as healthy.
+const storeSilence = 3 * units.Second
+
+// healthy reports whether the store answers this controller.
+func (s *storeClient) healthy() bool {
+	return !s.failing && s.env.now-s.answeredAt < storeSilence
+}
+
+func (c *Controller) handleStoreResult(result StoreResult) {
+	done := c.store.take(result)
+	if done == nil {
+		return
+	}
+	if result.Response.Status == kv.StatusThrottled {
+		c.noteThrottled()
+	}
+	done(result.Response)
+}
--- a/internal/controller/storelimits.go
+++ b/internal/controller/storelimits.go
@@ -37,18 +37,18 @@
 // noteThrottled notes that the state service refused a request for its rate. While processes of the
 // version before are at work their writes count as well, so it says nothing before the gate.
 func (c *Controller) noteThrottled() {
-	if c.chainsEnabled() && c.storeLimits.noteThrottled() {
-		c.log.Warn("store throttles, adopting announced limits", "write_rps", c.storeLimits.WriteRPS, "rps", c.storeLimits.RPS)
+	if c.chainsEnabled() && c.store.limits.noteThrottled() {
+		c.log.Warn("store throttles, adopting announced limits", "write_rps", c.store.limits.WriteRPS, "rps", c.store.limits.RPS)
 	}
 }
 
 // maxValueBytes is how long a stored value may be: as the store allows, and so that
 // one transaction takes at least two.
-func (c *Controller) maxValueBytes() int { return maxValueBytes(c.storeLimits.ValueKB) }
+func (c *Controller) maxValueBytes() int { return maxValueBytes(c.store.limits.ValueKB) }
 
 func maxValueBytes(valueKB float64) int {
 	return min(int(valueKB*1024)-100, maxTransactionBytes/2-documentOverheadBytes)
 }
 
 // maxConditions is how many conditions a transaction may have.
-func (c *Controller) maxConditions() int { return 4 * c.storeLimits.TxnOps }
+func (c *Controller) maxConditions() int { return 4 * c.store.limits.TxnOps }
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -62,10 +62,9 @@
 	LeaseID    uint64
 }
 
-// Response is the answer to a Request. Status 0 means that there was none: the
-// request may have been carried out, or may yet be.
+// Response is the answer to a Request.
 type Response struct {
-	Status     int        `json:"-"`
+	Status     Status     `json:"-"`
 	Revision   uint64     `json:"ledgerRev"`
 	FailedKeys []string   `json:"failed"`
 	LeaseID    uint64     `json:"permit"`
--- a/internal/server/outbound.go
+++ b/internal/server/outbound.go
@@ -12,6 +12,7 @@
 	"github.com/valyala/fasthttp"
 
 	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/controller"
 	"frostdock.example/frostdock/internal/kv"
 )
@@ -137,23 +138,23 @@
 	req := call.Request
 	switch req.Kind {
 	case kv.Get:
-		resp.Status = requestJSON(c.kvClient, "GET", "/kv/"+req.Key, nil, kvTimeout, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvClient, "GET", "/kv/"+req.Key, nil, kvTimeout, &resp))
 	case kv.List:
 		path := "/kv?under=" + url.QueryEscape(req.Key) + "&most=1000"
 		if req.After != "" {
 			path += "&since=" + url.QueryEscape(req.After)
 		}
-		resp.Status = requestJSON(c.kvClient, "GET", path, nil, 2*kvTimeout, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvClient, "GET", path, nil, 2*kvTimeout, &resp))
 	case kv.Transact:
-		resp.Status = requestJSON(c.kvClient, "POST", "/txn", req.Txn, kvTimeout, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvClient, "POST", "/txn", req.Txn, kvTimeout, &resp))
 	case kv.GrantLease:
-		resp.Status = requestJSON(c.kvClient, "POST", "/holds", map[string]int64{"ttlMs": req.TTLMillis}, kvTimeout, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvClient, "POST", "/holds", map[string]int64{"ttlMs": req.TTLMillis}, kvTimeout, &resp))
 	case kv.RenewLease:
-		resp.Status = requestJSON(c.kvClient, "POST", "/holds/"+strconv.FormatUint(req.LeaseID, 10)+"/renew", nil, kvTimeout, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvClient, "POST", "/holds/"+strconv.FormatUint(req.LeaseID, 10)+"/renew", nil, kvTimeout, &resp))
 	case kv.Watch:
 		path := "/changes?under=" + url.QueryEscape(req.Key) + "&since=" + strconv.FormatUint(req.Revision, 10) +
 			"&holdMs=" + strconv.FormatInt(req.WaitMillis, 10)
-		resp.Status = requestJSON(c.kvWatchClient, "GET", path, nil, time.Duration(req.WaitMillis)*time.Millisecond+watchGracePeriod, &resp)
+		resp.Status = kv.StatusOf(requestJSON(c.kvWatchClient, "GET", path, nil, time.Duration(req.WaitMillis)*time.Millisecond+watchGracePeriod, &resp))
 	}
 	c.server.post(controller.StoreResult{CallID: call.CallID, Response: resp})
 }
@@ -162,17 +163,17 @@
 	done := controller.CloudResult{CallID: call.CallID}
 	switch call.Op {
 	case controller.CloudCatalog:
-		done.Status = requestJSON(c.cloudClient, "GET", "/catalog", nil, cloudTimeout, &done.Catalog)
+		done.Status = cloud.StatusOf(requestJSON(c.cloudClient, "GET", "/catalog", nil, cloudTimeout, &done.Catalog))
 	case controller.CloudRent:
-		done.Status = requestJSON(c.cloudClient, "POST", "/machines", call.Rental, cloudTimeout, &done.Machines)
+		done.Status = cloud.StatusOf(requestJSON(c.cloudClient, "POST", "/machines", call.Rental, cloudTimeout, &done.Machines))
 	case controller.CloudDelete:
-		done.Status = requestJSON(c.cloudClient, "POST", "/machines/delete", call.Machines, cloudTimeout, nil)
+		done.Status = cloud.StatusOf(requestJSON(c.cloudClient, "POST", "/machines/delete", call.Machines, cloudTimeout, nil))
 	case controller.CloudList:
 		path := "/machines?most=500"
 		if call.After != "" {
 			path += "&since=" + url.QueryEscape(call.After)
 		}
-		done.Status = requestJSON(c.cloudClient, "GET", path, nil, cloudTimeout, &done.Page)
+		done.Status = cloud.StatusOf(requestJSON(c.cloudClient, "GET", path, nil, cloudTimeout, &done.Page))
 	}
 	c.server.post(done)
 }
@@ -190,12 +191,13 @@
 	// Whoever commands the whole fleet has a connection from each worker as well:
 	// kept ones to each of them would be more than there are sockets.
 	closeAfter := c.openAgentConns.Load() > int64(c.server.cfg.Settings.ProcessLimits.Sockets/10)
+	var status int
 	if call.Commands == nil {
-		done.Status = exchangeJSON(client, "GET", "/inspect", nil, agentTimeout, &heartbeat, closeAfter)
+		status = exchangeJSON(client, "GET", "/inspect", nil, agentTimeout, &heartbeat, closeAfter)
 	} else {
-		done.Status = exchangeJSON(client, "POST", "/commands", call.Commands, agentTimeout, &heartbeat, closeAfter)
+		status = exchangeJSON(client, "POST", "/commands", call.Commands, agentTimeout, &heartbeat, closeAfter)
 	}
-	if done.Status == 200 || done.Status == 409 {
+	if status == fasthttp.StatusOK || status == fasthttp.StatusConflict { // either has the agent's heartbeat
 		done.Heartbeat = &heartbeat
 	}
 	c.server.post(done)
--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -333,10 +333,9 @@
 		}
 		execute := func() {
 			worker.checkLease()
-			result := controller.AgentResult{Status: 200}
+			result := controller.AgentResult{}
 			if command.Commands != nil {
 				if command.Commands.FencingToken < worker.token || command.Commands.Epoch != worker.epoch {
-					result.Status = 409
 				} else {
 					worker.raiseToken(command.Commands.FencingToken)
 					worker.execute(command.Commands.Commands, sentAt)
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -68,9 +68,9 @@
 
 func (c *fakeCloud) call(caller string, request controller.CloudCall, done func(controller.CloudResult)) {
 	call(c.world, caller, "cloud", 5*units.Second, func(answer func(controller.CloudResult)) {
-		result := controller.CloudResult{Status: 200}
+		result := controller.CloudResult{Status: cloud.StatusOK}
 		if c.down {
-			result.Status = 503
+			result.Status = cloud.StatusRefused
 			answer(result)
 			return
 		}
@@ -106,18 +106,18 @@
 	})
 }
 
-func (c *fakeCloud) scaleOut(request cloud.RentalRequest) ([]string, int) {
+func (c *fakeCloud) scaleOut(request cloud.RentalRequest) ([]string, cloud.Status) {
 	if names, ok := c.scaleOuts[request.Name]; ok {
-		return names, 200
+		return names, cloud.StatusOK
 	}
 	key := offerKey(request.Type, request.Zone, request.Spot)
 	count := min(request.Count, c.available[key])
 	machineType := c.machineType(request.Type)
 	if machineType == nil || request.Count < 1 || request.Count > 50 {
-		return nil, 400
+		return nil, cloud.StatusRefused
 	}
 	if count == 0 {
-		return nil, 503
+		return nil, cloud.StatusRefused
 	}
 	c.available[key] -= count
 	var names []string
@@ -131,7 +131,7 @@
 		c.world.after(boot, func() { c.bootCompleted(name) })
 	}
 	c.scaleOuts[request.Name] = names
-	return names, 200
+	return names, cloud.StatusOK
 }
 
 func (c *fakeCloud) create(typ, zone string, spot bool) string {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -124,19 +124,19 @@
 func (s *fakeStore) serve(caller string, request *kv.Request, answer func(kv.Response)) {
 	now := s.world.now
 	if s.unavailable(caller) {
-		answer(kv.Response{Status: 503})
+		answer(kv.Response{Status: kv.StatusUnavailable})
 		return
 	}
 	if !s.requestBudget.take(now, 1) {
-		answer(kv.Response{Status: 429})
+		answer(kv.Response{Status: kv.StatusThrottled})
 		return
 	}
 	switch request.Kind {
 	case kv.Get:
 		if stored := s.keys[request.Key]; stored != nil {
-			answer(kv.Response{Status: 200, Key: request.Key, Value: stored.value, ModRevision: stored.revision})
+			answer(kv.Response{Status: kv.StatusOK, Key: request.Key, Value: stored.value, ModRevision: stored.revision})
 		} else {
-			answer(kv.Response{Status: 404, Revision: s.rev})
+			answer(kv.Response{Status: kv.StatusNotFound, Revision: s.rev})
 		}
 	case kv.List:
 		answer(s.list(request))
@@ -146,18 +146,18 @@
 		s.lastLease++
 		ttl := units.Micros(request.TTLMillis) * units.Millisecond
 		s.leases[s.lastLease] = &lease{ttl, now + ttl}
-		answer(kv.Response{Status: 200, LeaseID: s.lastLease})
+		answer(kv.Response{Status: kv.StatusOK, LeaseID: s.lastLease})
 	case kv.RenewLease:
 		current := s.leases[request.LeaseID]
 		if current == nil {
-			answer(kv.Response{Status: 404})
+			answer(kv.Response{Status: kv.StatusNotFound})
 			return
 		}
 		current.expiresAt = now + current.ttl
-		answer(kv.Response{Status: 200})
+		answer(kv.Response{Status: kv.StatusOK})
 	case kv.Watch:
 		if request.Revision < s.compactedRev {
-			answer(kv.Response{Status: 410})
+			answer(kv.Response{Status: kv.StatusCompacted})
 			return
 		}
 		target := &watch{request.Key, request.Revision, caller, answer}
@@ -175,7 +175,7 @@
 		}
 	}
 	sort.Strings(names)
-	response := kv.Response{Status: 200, Revision: s.rev}
+	response := kv.Response{Status: kv.StatusOK, Revision: s.rev}
 	if len(names) > 20 { // small pages, so that paging is exercised
 		names, response.Truncated = names[:20], true
 	}
@@ -216,10 +216,10 @@
 		if !s.txnsBeforeGate[txn] {
 			s.oversizedTxns++
 		}
-		return kv.Response{Status: 400}
+		return kv.Response{Status: kv.StatusMalformed}
 	}
 	if len(txn.Operations) > 0 && !s.writeBudget.take(s.world.now, float64(len(txn.Operations))) {
-		return kv.Response{Status: 429}
+		return kv.Response{Status: kv.StatusThrottled}
 	}
 	var failed []string
 	for _, condition := range txn.Conditions {
@@ -232,15 +232,15 @@
 		}
 	}
 	if len(failed) > 0 {
-		return kv.Response{Status: 409, Revision: s.rev, FailedKeys: failed}
+		return kv.Response{Status: kv.StatusConflict, Revision: s.rev, FailedKeys: failed}
 	}
 	for _, op := range txn.Operations {
 		if op.Set != "" && op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
-			return kv.Response{Status: 400}
+			return kv.Response{Status: kv.StatusMalformed}
 		}
 	}
 	if len(txn.Operations) == 0 {
-		return kv.Response{Status: 200, Revision: s.rev}
+		return kv.Response{Status: kv.StatusOK, Revision: s.rev}
 	}
 	s.rev++
 	for _, op := range txn.Operations {
@@ -257,7 +257,7 @@
 		s.log = append([]kv.Event{}, s.log[len(s.log)-s.historyLength:]...)
 	}
 	s.notify()
-	return kv.Response{Status: 200, Revision: s.rev}
+	return kv.Response{Status: kv.StatusOK, Revision: s.rev}
 }
 
 // expire ends leases; after an outage each has its full time again.
@@ -317,12 +317,12 @@
 	if index < 0 {
 		return
 	}
-	response := kv.Response{Status: 200, Revision: s.rev}
+	response := kv.Response{Status: kv.StatusOK, Revision: s.rev}
 	if s.unavailable(target.process) {
 		response.Revision = target.since // nothing new is told
 	} else if target.since < s.compactedRev {
 		s.watches = append(s.watches[:index], s.watches[index+1:]...)
-		target.answer(kv.Response{Status: 410})
+		target.answer(kv.Response{Status: kv.StatusCompacted})
 		return
 	} else {
 		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > target.since })
