--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -4,6 +4,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -90,8 +91,9 @@
 
 // where adds the position in the script to an error of evaluation.
 func where(err error) error {
-	if e, ok := err.(*starlark.EvalError); ok && len(e.CallStack) > 0 {
-		return fmt.Errorf("line %d: %w", e.CallStack.At(0).Pos.Line, err)
+	var evalErr *starlark.EvalError
+	if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
+		return fmt.Errorf("line %d: %w", evalErr.CallStack.At(0).Pos.Line, err)
 	}
 	return err
 }
@@ -132,14 +134,14 @@
 	case "weight":
 		f, ok := v.(*starlark.Function)
 		if !ok || f.NumParams() != 1 {
-			return fmt.Errorf("needs a function of one job")
+			return errors.New("needs a function of one job")
 		}
 		p.weight = f
 		if _, err := p.call(Job{Class: "example", Grade: "standard", Tasks: 1, AgeS: 1}); err != nil {
 			return err
 		}
 	default:
-		return fmt.Errorf("unknown setting")
+		return errors.New("unknown setting")
 	}
 	return err
 }
