--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -6,7 +6,6 @@
 import (
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 
 	"github.com/pelletier/go-toml/v2"
@@ -99,21 +98,20 @@
 	}
 }
 
+// The smallest settings with which a controller can work.
 const (
-	leastTxnOps  = 3   // a job's end, its place among the accepted ones and its progress change together
-	leastValueKB = 1.0 // one job, and one machine with its tasks, must fit
+	minTxnOps  = 3   // a job's end, its place among the accepted ones and its progress change together
+	minValueKB = 1.0 // one job, and one machine with its tasks, must fit
+	minSockets = 50
 )
 
-// check names the first limit with which the service can't work.
-func (l StateLimits) check(at string, need func(ok bool, field, reason string)) {
-	positive := func(field string, v float64) {
-		need(v > 0 && v < 1e9, at+field, fmt.Sprintf("must be a positive number, got %v", v))
-	}
-	positive(".rps", l.RPS)
-	positive(".write_rps", l.WriteRPS)
-	positive(".value_kb", l.ValueKB)
-	need(l.ValueKB >= leastValueKB, at+".value_kb", fmt.Sprintf("must be at least %v, else a job could not be stored, got %v", leastValueKB, l.ValueKB))
-	need(l.TxnOps >= leastTxnOps, at+".txn_ops", fmt.Sprintf("must be at least %d, got %d", leastTxnOps, l.TxnOps))
+// check refuses limits with which the service can't work.
+func (l StateLimits) check(path string, v *validator) {
+	v.requirePositive(path+".rps", l.RPS)
+	v.requirePositive(path+".write_rps", l.WriteRPS)
+	v.requirePositive(path+".value_kb", l.ValueKB)
+	v.require(l.ValueKB >= minValueKB, path+".value_kb", fmt.Sprintf("must be at least %v, else a job could not be stored, got %v", minValueKB, l.ValueKB))
+	v.require(l.TxnOps >= minTxnOps, path+".txn_ops", fmt.Sprintf("must be at least %d, got %d", minTxnOps, l.TxnOps))
 }
 
 // Settings are the deployment's figures.
@@ -164,60 +162,63 @@
 	return &c, nil
 }
 
+// check reports the first field that is wrong: one clear line is worth more than a list.
 func (c *Config) check() error {
-	var errs []error
-	need := func(ok bool, field, reason string) {
-		if !ok {
-			errs = append(errs, fmt.Errorf("%s: %s", field, reason))
-		}
-	}
-	addr := func(field, v string) {
-		if _, err := netip.ParseAddrPort(v); err != nil {
-			errs = append(errs, fmt.Errorf("%s: needs an IP number and port, got %q", field, v))
-		}
-	}
-	positive := func(field string, v float64) {
-		need(v > 0 && v < 1e9, field, fmt.Sprintf("must be a positive number, got %v", v))
-	}
-	need(c.Member != "", "member", "missing")
-	addr("public_addr", c.PublicAddr)
-	addr("peer_bind", c.PeerBind)
-	addr("outside.cloud", c.Outside.Cloud)
-	addr("outside.state", c.Outside.State)
+	var v validator
+	c.checkAddresses(&v)
+	c.Settings.check(&v)
+	return v.err
+}
+
+// checkAddresses checks the controller's own names and addresses and those it talks to.
+func (c *Config) checkAddresses(v *validator) {
+	v.require(c.Member != "", "member", "missing")
+	v.requireAddr("public_addr", c.PublicAddr)
+	v.requireAddr("peer_bind", c.PeerBind)
+	v.requireAddr("outside.cloud", c.Outside.Cloud)
+	v.requireAddr("outside.state", c.Outside.State)
 	seen := map[string]bool{c.Member: true}
-	for i, o := range c.Others {
-		at := fmt.Sprintf("others[%d]", i)
-		need(o.Member != "", at+".member", "missing")
-		need(!seen[o.Member], at+".member", fmt.Sprintf("%q is named twice", o.Member))
-		seen[o.Member] = true
-		addr(at+".address", o.Address)
+	for i, peer := range c.Others {
+		path := fmt.Sprintf("others[%d]", i)
+		v.require(peer.Member != "", path+".member", "missing")
+		v.require(!seen[peer.Member], path+".member", fmt.Sprintf("%q is named twice", peer.Member))
+		seen[peer.Member] = true
+		v.requireAddr(path+".address", peer.Address)
 	}
-	s := &c.Settings
-	need(s.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.Size))
-	need(len(s.Teams) > 0, "settings.teams", "missing")
-	teams := map[string]bool{}
-	for i, t := range s.Teams {
-		at := fmt.Sprintf("settings.teams[%d]", i)
-		need(t.Name != "", at+".name", "missing")
-		need(!teams[t.Name], at+".name", fmt.Sprintf("%q is named twice", t.Name))
-		teams[t.Name] = true
-		need(t.CPUs >= 0 && t.CPUsMax >= 0 && t.GPUs >= 0 && t.GPUsMax >= 0, at, "amounts must not be negative")
-	}
-	positive("settings.workers.report_s", s.Workers.ReportS)
-	positive("settings.workers.lease_s", s.Workers.LeaseS)
-	positive("settings.workers.cancel_s", s.Workers.CancelS)
-	need(s.Workers.CancelS-s.Workers.LeaseS > 2*(2+s.Workers.LeaseS/500), "settings.workers.cancel_s",
-		fmt.Sprintf("must exceed lease_s by more than %.1f s, else a controller could never answer workers safely", 2*(2+s.Workers.LeaseS/500)))
-	s.State.check("settings.state", need)
-	s.NextState().check("settings.state.next", need)
-	positive("settings.cloud.rps", s.Cloud.RPS)
-	need(s.Cloud.ListLagS >= 0, "settings.cloud.list_lag_s", "must not be negative")
-	positive("settings.machine_limits.memory_mb", s.Limits.MemoryMB)
-	need(s.Limits.Sockets >= 50, "settings.machine_limits.sockets", fmt.Sprintf("must be at least 50, got %d", s.Limits.Sockets))
-	if len(errs) > 0 {
-		return errs[0] // one clear line: the first field that is wrong
+}
+
+func (s *Settings) check(v *validator) {
+	v.require(s.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.Size))
+	s.checkTeams(v)
+	s.checkWorkers(v)
+	s.State.check("settings.state", v)
+	s.NextState().check("settings.state.next", v)
+	v.requirePositive("settings.cloud.rps", s.Cloud.RPS)
+	v.require(s.Cloud.ListLagS >= 0, "settings.cloud.list_lag_s", "must not be negative")
+	v.requirePositive("settings.machine_limits.memory_mb", s.Limits.MemoryMB)
+	v.require(s.Limits.Sockets >= minSockets, "settings.machine_limits.sockets",
+		fmt.Sprintf("must be at least %d, got %d", minSockets, s.Limits.Sockets))
+}
+
+func (s *Settings) checkTeams(v *validator) {
+	v.require(len(s.Teams) > 0, "settings.teams", "missing")
+	seen := map[string]bool{}
+	for i, team := range s.Teams {
+		path := fmt.Sprintf("settings.teams[%d]", i)
+		v.require(team.Name != "", path+".name", "missing")
+		v.require(!seen[team.Name], path+".name", fmt.Sprintf("%q is named twice", team.Name))
+		seen[team.Name] = true
+		v.require(team.CPUs >= 0 && team.CPUsMax >= 0 && team.GPUs >= 0 && team.GPUsMax >= 0, path, "amounts must not be negative")
 	}
-	return nil
+}
+
+func (s *Settings) checkWorkers(v *validator) {
+	v.requirePositive("settings.workers.report_s", s.Workers.ReportS)
+	v.requirePositive("settings.workers.lease_s", s.Workers.LeaseS)
+	v.requirePositive("settings.workers.cancel_s", s.Workers.CancelS)
+	minMargin := 2 * (2 + s.Workers.LeaseS/500)
+	v.require(s.Workers.CancelS-s.Workers.LeaseS > minMargin, "settings.workers.cancel_s",
+		fmt.Sprintf("must exceed lease_s by more than %.1f s, else a controller could never answer workers safely", minMargin))
 }
 
 // ErrNoTeam says that a team is not in the settings.
