--- a/internal/admission/limit.go
+++ b/internal/admission/limit.go
@@ -1,4 +1,4 @@
-// Package limit bounds the users' requests in progress. The bound adapts to
+// Package admission bounds the users' requests in progress. The bound adapts to
 // measured times: it shrinks when requests take much longer than they do at
 // rest, and grows again while they do not. Polls may use only a part of it, so
 // that they never starve submissions and cancellations.
--- a/internal/admission/limit_test.go
+++ b/internal/admission/limit_test.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"bufio"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -26,75 +25,101 @@
 	}
 }
 
-var names = map[string]Kind{"submit": Submit, "poll": Poll, "abort": Abort}
+var kindByName = map[string]Kind{"submit": Submit, "poll": Poll, "abort": Abort}
 
-type leaving struct {
-	at   units.Micros
-	kind Kind
-	took units.Micros
+// inFlightRequest is a request that was let in and has not finished.
+type inFlightRequest struct {
+	finishAt units.Micros
+	kind     Kind
+	latency  units.Micros
+}
+
+// scenario is a limiter under a scripted load in simulated time.
+type scenario struct {
+	limiter  *Limiter
+	now      units.Micros
+	inFlight []inFlightRequest
+	refused  map[Kind]int
 }
 
 func play(t *testing.T, file string) {
-	f, err := os.Open(file)
+	t.Helper()
+	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	l := New()
-	now := units.Second
-	var open []leaving
-	refused := map[Kind]int{}
-	step := func() {
-		now += units.Millisecond
-		rest := open[:0]
-		for _, o := range open {
-			if o.at <= now {
-				l.Leave(o.kind, now, o.took)
-			} else {
-				rest = append(rest, o)
-			}
+	s := &scenario{limiter: New(), now: units.Second, refused: map[Kind]int{}}
+	for line := range strings.Lines(string(text)) {
+		line, _, _ = strings.Cut(line, "#")
+		if strings.TrimSpace(line) != "" {
+			s.runLine(t, strings.TrimSpace(line))
 		}
-		open = rest
 	}
-	sc := bufio.NewScanner(f)
-	for sc.Scan() {
-		line, _, _ := strings.Cut(sc.Text(), "#")
-		var word, kind string
-		var a, b, c float64
-		if strings.TrimSpace(line) == "" {
-			continue
+}
+
+func (s *scenario) runLine(t *testing.T, line string) {
+	t.Helper()
+	verb, args, _ := strings.Cut(line, " ")
+	var kind string
+	switch verb {
+	case "serve":
+		var seconds, rate, latencyMs float64
+		scanAll(t, args, &seconds, &rate, &latencyMs, &kind)
+		s.serve(seconds, rate, units.FromSeconds(latencyMs/1000), kindByName[kind])
+	case "bound":
+		var low, high float64
+		scanAll(t, args, &low, &high)
+		if got := float64(s.limiter.Bound()); got < low || got > high {
+			t.Errorf("%s: bound is %v", line, got)
 		}
-		fmt.Sscan(line, &word)
-		switch word {
-		case "serve":
-			if n, _ := fmt.Sscan(line, &word, &a, &b, &c, &kind); n != 5 {
-				t.Fatalf("%q", line)
-			}
-			due := 0.0
-			for range int(a * 1000) {
-				step()
-				for due += b / 1000; due >= 1; due-- {
-					if l.Enter(names[kind]) {
-						took := units.FromSeconds(c / 1000)
-						open = append(open, leaving{now + took, names[kind], took})
-					} else {
-						refused[names[kind]]++
-					}
-				}
-			}
-		case "bound":
-			fmt.Sscan(line, &word, &a, &b)
-			if got := float64(l.Bound()); got < a || got > b {
-				t.Errorf("%s: bound is %v", line, got)
-			}
-		case "refused":
-			fmt.Sscan(line, &word, &a, &b, &kind)
-			if got := float64(refused[names[kind]]); got < a || got > b {
-				t.Errorf("%s: %v were", line, got)
+	case "refused":
+		var low, high float64
+		scanAll(t, args, &low, &high, &kind)
+		if got := float64(s.refused[kindByName[kind]]); got < low || got > high {
+			t.Errorf("%s: %v were", line, got)
+		}
+		s.refused[kindByName[kind]] = 0
+	default:
+		t.Fatalf("%q", line)
+	}
+}
+
+// scanAll reads all values from args, which must hold nothing else.
+func scanAll(t *testing.T, args string, values ...any) {
+	t.Helper()
+	if count := len(strings.Fields(args)); count != len(values) {
+		t.Fatalf("%q: %d values, want %d", args, count, len(values))
+	}
+	if _, err := fmt.Sscan(args, values...); err != nil {
+		t.Fatalf("%q: %v", args, err)
+	}
+}
+
+// serve offers rate requests of a kind in each second, every one of which takes as long as latency.
+func (s *scenario) serve(seconds, rate float64, latency units.Micros, kind Kind) {
+	due := 0.0
+	for range int(seconds * 1000) {
+		s.advance()
+		for due += rate / 1000; due >= 1; due-- {
+			if !s.limiter.Enter(kind) {
+				s.refused[kind]++
+				continue
 			}
-			refused[names[kind]] = 0
-		default:
-			t.Fatalf("%q", line)
+			s.inFlight = append(s.inFlight, inFlightRequest{s.now + latency, kind, latency})
+		}
+	}
+}
+
+// advance lets a millisecond pass and finishes the requests that are due.
+func (s *scenario) advance() {
+	s.now += units.Millisecond
+	remaining := s.inFlight[:0]
+	for _, request := range s.inFlight {
+		if request.finishAt > s.now {
+			remaining = append(remaining, request)
+			continue
 		}
+		s.limiter.Leave(request.kind, s.now, request.latency)
 	}
+	s.inFlight = remaining
 }
