--- a/cmd/frostdock/main.go
+++ b/cmd/frostdock/main.go
@@ -18,8 +18,8 @@
 	"github.com/spf13/pflag"
 
 	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/server"
 	"frostdock.example/frostdock/internal/policy"
+	"frostdock.example/frostdock/internal/server"
 )
 
 // version is set by release builds with -ldflags "-X main.version=...".
@@ -32,43 +32,64 @@
 	}
 }
 
-func run(args []string, stdout, stderr io.Writer) error {
+// options are the command line's flags.
+type options struct {
+	configPath  string
+	policyPath  string
+	checkOnly   bool
+	showVersion bool
+}
+
+// parseFlags returns pflag.ErrHelp once it has printed the usage for --help.
+func parseFlags(args []string, stderr io.Writer) (options, error) {
+	var opts options
 	flags := pflag.NewFlagSet("frostdock", pflag.ContinueOnError)
 	flags.SortFlags = false
 	flags.SetOutput(stderr)
-	path := flags.String("config", "", "settings file of the platform (required)")
-	script := flags.String("policy", "", "the operators' own settings, a Starlark script (optional)")
-	check := flags.Bool("check", false, "check settings and policy, then exit")
-	show := flags.Bool("version", false, "print the version, then exit")
+	flags.StringVar(&opts.configPath, "config", "", "settings file of the platform (required)")
+	flags.StringVar(&opts.policyPath, "policy", "", "the operators' own settings, a Starlark script (optional)")
+	flags.BoolVar(&opts.checkOnly, "check", false, "check settings and policy, then exit")
+	flags.BoolVar(&opts.showVersion, "version", false, "print the version, then exit")
 	flags.Usage = func() {
-		fmt.Fprintf(stderr, "frostdock runs one controller of a cluster scheduler.\n\nUsage: frostdock --config PATH [flags]\n\n%s\nLOG_LEVEL: error, info (default) or debug\n", flags.FlagUsages())
+		_, _ = fmt.Fprintf(stderr, "frostdock runs one controller of a cluster scheduler.\n\nUsage: frostdock --config PATH [flags]\n\n%s\nLOG_LEVEL: error, info (default) or debug\n", flags.FlagUsages())
 	}
 	if err := flags.Parse(args); err != nil {
-		if errors.Is(err, pflag.ErrHelp) {
-			return nil
-		}
-		return err
+		return options{}, err
 	}
-	if *show {
-		fmt.Fprintln(stdout, "frostdock", version)
-		return nil
+	if opts.showVersion {
+		return opts, nil
 	}
 	if flags.NArg() > 0 {
-		return fmt.Errorf("unexpected argument %q", flags.Arg(0))
+		return options{}, fmt.Errorf("unexpected argument %q", flags.Arg(0))
 	}
-	if *path == "" {
-		return errors.New("--config: missing; see --help")
+	if opts.configPath == "" {
+		return options{}, errors.New("--config: missing; see --help")
+	}
+	return opts, nil
+}
+
+func run(args []string, stdout, stderr io.Writer) error {
+	opts, err := parseFlags(args, stderr)
+	if errors.Is(err, pflag.ErrHelp) {
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	if opts.showVersion {
+		_, _ = fmt.Fprintln(stdout, "frostdock", version)
+		return nil
 	}
-	cfg, err := config.Load(*path)
+	cfg, err := config.Load(opts.configPath)
 	if err != nil {
 		return err
 	}
-	pol, err := policy.Load(*script)
+	pol, err := policy.Load(opts.policyPath)
 	if err != nil {
 		return err
 	}
-	if *check {
-		fmt.Fprintln(stdout, "settings and policy are fine")
+	if opts.checkOnly {
+		_, _ = fmt.Fprintln(stdout, "settings and policy are fine")
 		return nil
 	}
 	log := logger(stderr)
