--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,4 +1,4 @@
-// Package limit bounds the users' requests in progress. The bound adapts to
+// Package admission bounds the users' requests in progress. The bound adapts to
 // measured times: it shrinks when requests take much longer than they do at
 // rest, and grows again while they do not. Polls may use only a part of it, so
 // that they never starve submissions and cancellations.
@@ -27,7 +27,7 @@
 	minLimit     = 32.0 // what waits together is stored together, so fewer would not be quicker
 	maxLimit     = 1024.0
 	pollShare    = 0.6
-	// slowdownFactor is how much longer than at rest a request may take before the bound
+	// slow is how much longer than at rest a request may take before the bound
 	// shrinks; the allowance keeps a fast service from shrinking on trifles.
 	slowdownFactor   = 3.0
 	latencyAllowance = 100 * units.Millisecond
@@ -71,7 +71,7 @@
 	return true
 }
 
-// Release ends a request that took so long.
+// Release ends a request that had this latency.
 func (l *Limiter) Release(kind Kind, now, latency units.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +96,7 @@
 	l.latencySum, l.count, l.saturated, l.windowStart = 0, 0, false, now
 }
 
-// Limit is the present bound.
+// Limit is the number of requests that may be in flight now.
 func (l *Limiter) Limit() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -1,7 +1,6 @@
 package admission
 
 import (
-	"bufio"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -28,73 +27,99 @@
 
 var kindByName = map[string]Kind{"submit": Submit, "poll": Poll, "abort": Abort}
 
+// inFlightRequest is a request that was let in and has not finished.
 type inFlightRequest struct {
 	finishAt units.Micros
 	kind     Kind
 	latency  units.Micros
 }
 
-func runScenario(t *testing.T, file string) {
-	f, err := os.Open(file)
+// scenario is a limiter under a scripted load in simulated time.
+type scenario struct {
+	limiter  *Limiter
+	now      units.Micros
+	inFlight []inFlightRequest
+	refused  map[Kind]int
+}
+
+func runScenario(t *testing.T, path string) {
+	t.Helper()
+	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	limiter := New()
-	now := units.Second
-	var inFlight []inFlightRequest
-	refused := map[Kind]int{}
-	advance := func() {
-		now += units.Millisecond
-		remaining := inFlight[:0]
-		for _, request := range inFlight {
-			if request.finishAt <= now {
-				limiter.Release(request.kind, now, request.latency)
-			} else {
-				remaining = append(remaining, request)
-			}
+	s := &scenario{limiter: New(), now: units.Second, refused: map[Kind]int{}}
+	for line := range strings.Lines(string(text)) {
+		line, _, _ = strings.Cut(line, "#")
+		if strings.TrimSpace(line) != "" {
+			s.runLine(t, strings.TrimSpace(line))
 		}
-		inFlight = remaining
 	}
-	scanner := bufio.NewScanner(f)
-	for scanner.Scan() {
-		line, _, _ := strings.Cut(scanner.Text(), "#")
-		var verb, kind string
-		var a, b, c float64
-		if strings.TrimSpace(line) == "" {
-			continue
+}
+
+func (s *scenario) runLine(t *testing.T, line string) {
+	t.Helper()
+	verb, args, _ := strings.Cut(line, " ")
+	var kind string
+	switch verb {
+	case "serve":
+		var seconds, rate, latencyMs float64
+		scanAll(t, args, &seconds, &rate, &latencyMs, &kind)
+		s.serve(seconds, rate, units.FromSeconds(latencyMs/1000), kindByName[kind])
+	case "bound":
+		var low, high float64
+		scanAll(t, args, &low, &high)
+		if got := float64(s.limiter.Limit()); got < low || got > high {
+			t.Errorf("%s: bound is %v", line, got)
 		}
-		fmt.Sscan(line, &verb)
-		switch verb {
-		case "serve":
-			if n, _ := fmt.Sscan(line, &verb, &a, &b, &c, &kind); n != 5 {
-				t.Fatalf("%q", line)
-			}
-			due := 0.0
-			for range int(a * 1000) {
-				advance()
-				for due += b / 1000; due >= 1; due-- {
-					if limiter.TryAcquire(kindByName[kind]) {
-						latency := units.FromSeconds(c / 1000)
-						inFlight = append(inFlight, inFlightRequest{now + latency, kindByName[kind], latency})
-					} else {
-						refused[kindByName[kind]]++
-					}
-				}
-			}
-		case "bound":
-			fmt.Sscan(line, &verb, &a, &b)
-			if got := float64(limiter.Limit()); got < a || got > b {
-				t.Errorf("%s: bound is %v", line, got)
-			}
-		case "refused":
-			fmt.Sscan(line, &verb, &a, &b, &kind)
-			if got := float64(refused[kindByName[kind]]); got < a || got > b {
-				t.Errorf("%s: %v were", line, got)
+	case "refused":
+		var low, high float64
+		scanAll(t, args, &low, &high, &kind)
+		if got := float64(s.refused[kindByName[kind]]); got < low || got > high {
+			t.Errorf("%s: %v were", line, got)
+		}
+		s.refused[kindByName[kind]] = 0
+	default:
+		t.Fatalf("%q", line)
+	}
+}
+
+// scanAll reads all values from args, which must hold nothing else.
+func scanAll(t *testing.T, args string, values ...any) {
+	t.Helper()
+	if count := len(strings.Fields(args)); count != len(values) {
+		t.Fatalf("%q: %d values, want %d", args, count, len(values))
+	}
+	if _, err := fmt.Sscan(args, values...); err != nil {
+		t.Fatalf("%q: %v", args, err)
+	}
+}
+
+// serve offers rate requests of a kind in each second, every one of which takes as long as latency.
+func (s *scenario) serve(seconds, rate float64, latency units.Micros, kind Kind) {
+	due := 0.0
+	for range int(seconds * 1000) {
+		s.advance()
+		for due += rate / 1000; due >= 1; due-- {
+			if !s.limiter.TryAcquire(kind) {
+				s.refused[kind]++
+				continue
 			}
-			refused[kindByName[kind]] = 0
-		default:
-			t.Fatalf("%q", line)
+			s.inFlight = append(s.inFlight, inFlightRequest{s.now + latency, kind, latency})
+		}
+	}
+}
+
+// advance lets a millisecond pass and finishes the requests that are due.
+func (s *scenario) advance() {
+	s.now += units.Millisecond
+	remaining := s.inFlight[:0]
+	for _, request := range s.inFlight {
+		if request.finishAt > s.now {
+			remaining = append(remaining, request)
+			continue
 		}
+		s.limiter.Release(request.kind, s.now, request.latency)
 	}
+	s.inFlight = remaining
 }
--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -1,4 +1,4 @@
-// Package workers holds the messages between workers and controllers.
+// Package agent holds the messages between workers and controllers.
 package agent
 
 // Task states and causes as the workers name them.
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -1,4 +1,4 @@
-// Package intake reads and checks what users send.
+// Package api reads and checks what users send.
 package api
 
 import (
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -1,4 +1,4 @@
-// Package provision holds the messages between controllers and the cloud.
+// Package cloud holds the messages between controllers and the cloud.
 package cloud
 
 // MachineType is a machine type of the catalog.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -6,7 +6,6 @@
 import (
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 
 	"github.com/pelletier/go-toml/v2"
@@ -52,7 +51,7 @@
 	Settings Settings `toml:"settings"`
 }
 
-// KVLimits are the limits of the state service.
+// KVLimits are the limits of the key-value store.
 type KVLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -60,7 +59,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// KVLimitsOverride are limits that will hold later; what is missing stays as it is.
+// KVLimitsOverride holds limits that will hold later; what is missing stays as it is.
 type KVLimitsOverride struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -99,21 +98,20 @@
 	}
 }
 
+// The smallest settings with which a controller can work.
 const (
 	minTxnOps  = 3   // a job's end, its place among the accepted ones and its progress change together
 	minValueKB = 1.0 // one job, and one machine with its tasks, must fit
+	minSockets = 50
 )
 
-// validate names the first limit with which the service can't work.
-func (l KVLimits) validate(path string, require func(ok bool, field, reason string)) {
-	requirePositive := func(field string, value float64) {
-		require(value > 0 && value < 1e9, path+field, fmt.Sprintf("must be a positive number, got %v", value))
-	}
-	requirePositive(".rps", l.RPS)
-	requirePositive(".write_rps", l.WriteRPS)
-	requirePositive(".value_kb", l.ValueKB)
-	require(l.ValueKB >= minValueKB, path+".value_kb", fmt.Sprintf("must be at least %v, else a job could not be stored, got %v", minValueKB, l.ValueKB))
-	require(l.TxnOps >= minTxnOps, path+".txn_ops", fmt.Sprintf("must be at least %d, got %d", minTxnOps, l.TxnOps))
+// validate refuses limits with which the service can't work.
+func (l KVLimits) validate(path string, v *validator) {
+	v.requirePositive(path+".rps", l.RPS)
+	v.requirePositive(path+".write_rps", l.WriteRPS)
+	v.requirePositive(path+".value_kb", l.ValueKB)
+	v.require(l.ValueKB >= minValueKB, path+".value_kb", fmt.Sprintf("must be at least %v, else a job could not be stored, got %v", minValueKB, l.ValueKB))
+	v.require(l.TxnOps >= minTxnOps, path+".txn_ops", fmt.Sprintf("must be at least %d, got %d", minTxnOps, l.TxnOps))
 }
 
 // Settings are the deployment's figures.
@@ -164,60 +162,63 @@
 	return &cfg, nil
 }
 
+// validate reports the first field that is wrong: one clear line is worth more than a list.
 func (c *Config) validate() error {
-	var errs []error
-	require := func(ok bool, field, reason string) {
-		if !ok {
-			errs = append(errs, fmt.Errorf("%s: %s", field, reason))
-		}
-	}
-	requireAddr := func(field, value string) {
-		if _, err := netip.ParseAddrPort(value); err != nil {
-			errs = append(errs, fmt.Errorf("%s: needs an IP number and port, got %q", field, value))
-		}
-	}
-	requirePositive := func(field string, value float64) {
-		require(value > 0 && value < 1e9, field, fmt.Sprintf("must be a positive number, got %v", value))
-	}
-	require(c.Member != "", "member", "missing")
-	requireAddr("public_addr", c.PublicAddr)
-	requireAddr("peer_bind", c.PeerBind)
-	requireAddr("outside.cloud", c.Endpoints.Cloud)
-	requireAddr("outside.state", c.Endpoints.KVStore)
+	var v validator
+	c.validateAddresses(&v)
+	c.Settings.validate(&v)
+	return v.err
+}
+
+// validateAddresses checks the controller's own names and addresses and those it talks to.
+func (c *Config) validateAddresses(v *validator) {
+	v.require(c.Member != "", "member", "missing")
+	v.requireAddr("public_addr", c.PublicAddr)
+	v.requireAddr("peer_bind", c.PeerBind)
+	v.requireAddr("outside.cloud", c.Endpoints.Cloud)
+	v.requireAddr("outside.state", c.Endpoints.KVStore)
 	seen := map[string]bool{c.Member: true}
 	for i, peer := range c.Peers {
 		path := fmt.Sprintf("others[%d]", i)
-		require(peer.Member != "", path+".member", "missing")
-		require(!seen[peer.Member], path+".member", fmt.Sprintf("%q is named twice", peer.Member))
+		v.require(peer.Member != "", path+".member", "missing")
+		v.require(!seen[peer.Member], path+".member", fmt.Sprintf("%q is named twice", peer.Member))
 		seen[peer.Member] = true
-		requireAddr(path+".address", peer.Address)
+		v.requireAddr(path+".address", peer.Address)
 	}
-	settings := &c.Settings
-	require(settings.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", settings.Size))
-	require(len(settings.Teams) > 0, "settings.teams", "missing")
-	teams := map[string]bool{}
-	for i, team := range settings.Teams {
+}
+
+func (s *Settings) validate(v *validator) {
+	v.require(s.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.Size))
+	s.validateTeams(v)
+	s.validateWorkers(v)
+	s.KVStore.validate("settings.state", v)
+	s.NextKVLimits().validate("settings.state.next", v)
+	v.requirePositive("settings.cloud.rps", s.Cloud.RPS)
+	v.require(s.Cloud.ListLagS >= 0, "settings.cloud.list_lag_s", "must not be negative")
+	v.requirePositive("settings.machine_limits.memory_mb", s.ProcessLimits.MemoryMB)
+	v.require(s.ProcessLimits.Sockets >= minSockets, "settings.machine_limits.sockets",
+		fmt.Sprintf("must be at least %d, got %d", minSockets, s.ProcessLimits.Sockets))
+}
+
+func (s *Settings) validateTeams(v *validator) {
+	v.require(len(s.Teams) > 0, "settings.teams", "missing")
+	seen := map[string]bool{}
+	for i, team := range s.Teams {
 		path := fmt.Sprintf("settings.teams[%d]", i)
-		require(team.Name != "", path+".name", "missing")
-		require(!teams[team.Name], path+".name", fmt.Sprintf("%q is named twice", team.Name))
-		teams[team.Name] = true
-		require(team.GuaranteedCPUs >= 0 && team.QuotaCPUs >= 0 && team.GuaranteedGPUs >= 0 && team.QuotaGPUs >= 0, path, "amounts must not be negative")
+		v.require(team.Name != "", path+".name", "missing")
+		v.require(!seen[team.Name], path+".name", fmt.Sprintf("%q is named twice", team.Name))
+		seen[team.Name] = true
+		v.require(team.GuaranteedCPUs >= 0 && team.QuotaCPUs >= 0 && team.GuaranteedGPUs >= 0 && team.QuotaGPUs >= 0, path, "amounts must not be negative")
 	}
-	requirePositive("settings.workers.report_s", settings.Workers.HeartbeatS)
-	requirePositive("settings.workers.lease_s", settings.Workers.LeaseS)
-	requirePositive("settings.workers.cancel_s", settings.Workers.CancelS)
-	require(settings.Workers.CancelS-settings.Workers.LeaseS > 2*(2+settings.Workers.LeaseS/500), "settings.workers.cancel_s",
-		fmt.Sprintf("must exceed lease_s by more than %.1f s, else a controller could never answer workers safely", 2*(2+settings.Workers.LeaseS/500)))
-	settings.KVStore.validate("settings.state", require)
-	settings.NextKVLimits().validate("settings.state.next", require)
-	requirePositive("settings.cloud.rps", settings.Cloud.RPS)
-	require(settings.Cloud.ListLagS >= 0, "settings.cloud.list_lag_s", "must not be negative")
-	requirePositive("settings.machine_limits.memory_mb", settings.ProcessLimits.MemoryMB)
-	require(settings.ProcessLimits.Sockets >= 50, "settings.machine_limits.sockets", fmt.Sprintf("must be at least 50, got %d", settings.ProcessLimits.Sockets))
-	if len(errs) > 0 {
-		return errs[0] // one clear line: the first field that is wrong
-	}
-	return nil
+}
+
+func (s *Settings) validateWorkers(v *validator) {
+	v.requirePositive("settings.workers.report_s", s.Workers.HeartbeatS)
+	v.requirePositive("settings.workers.lease_s", s.Workers.LeaseS)
+	v.requirePositive("settings.workers.cancel_s", s.Workers.CancelS)
+	minMargin := 2 * (2 + s.Workers.LeaseS/500)
+	v.require(s.Workers.CancelS-s.Workers.LeaseS > minMargin, "settings.workers.cancel_s",
+		fmt.Sprintf("must exceed lease_s by more than %.1f s, else a controller could never answer workers safely", minMargin))
 }
 
 // ErrUnknownTeam says that a team is not in the settings.
@@ -235,13 +236,13 @@
 	return total
 }
 
-// NextKVLimits is the limits that the state service will have from some moment on.
+// NextKVLimits are the limits that the key-value store will have from some moment on.
 func (s *Settings) NextKVLimits() KVLimits { return s.KVStore.Next.ApplyTo(s.KVStore.KVLimits) }
 
 // Lease is the workers' lease.
 func (s *Settings) Lease() units.Micros { return units.FromSeconds(s.Workers.LeaseS) }
 
-// HeartbeatPeriod is the workers' report period.
+// HeartbeatPeriod is the time between two heartbeats of a worker.
 func (s *Settings) HeartbeatPeriod() units.Micros { return units.FromSeconds(s.Workers.HeartbeatS) }
 
 // StalenessBound is how long a controller may go on answering workers after the last
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -73,6 +73,7 @@
 			if a, ok := e.Body.(agent.HeartbeatResponse); ok {
 				orders = a.Commands
 			}
+		case StoreCall, CloudCall, BroadcastHeartbeat: // start nothing
 		}
 		for _, order := range orders {
 			if order.Action == agent.Start {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -170,6 +170,7 @@
 			r.FencingToken = e.Commands.FencingToken
 		}
 		return []Message{AgentResult{CallID: e.CallID, Heartbeat: r}}
+	case Reply, BroadcastHeartbeat: // bring nothing back
 	}
 	return nil
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -9,6 +9,8 @@
 )
 
 // Message is something that happened outside. The types of this file are all that there are.
+//
+//sumtype:decl
 type Message interface{ isMessage() }
 
 func (UserRequest) isMessage()      {}
@@ -73,6 +75,8 @@
 type PeerHeartbeat struct{ Heartbeat peer.Heartbeat }
 
 // Effect is something to do outside. The types of this file are all that there are.
+//
+//sumtype:decl
 type Effect interface{ isEffect() }
 
 func (Reply) isEffect()              {}
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,4 +1,4 @@
-// Package chain keeps the graph of jobs that wait for other jobs: which of them may
+// Package dag keeps the graph of jobs that wait for other jobs: which of them may
 // start, which are cancelled because a job that they need is, and which priority and
 // deadline each takes over from the jobs that need it. It is pure, and each change costs
 // as much as the edges that it concerns.
--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -1,4 +1,4 @@
-// Package placement is hSRTF-Pr: the order and the shares of the jobs that
+// Package fairshare is hSRTF-Pr: the order and the shares of the jobs that
 // compete for a partition's room. It is pure: all it knows is handed to it.
 package fairshare
 
--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -1,3 +1,5 @@
+// Package kv is the protocol of the consensus-backed key-value store: compare-and-swap transactions, leases and
+// watches, as requests and responses. It knows nothing of what is stored.
 package kv
 
 import "encoding/json"
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -4,6 +4,7 @@
 package policy
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -90,7 +91,8 @@
 
 // withPosition adds the position in the script to an error of evaluation.
 func withPosition(err error) error {
-	if evalErr, ok := err.(*starlark.EvalError); ok && len(evalErr.CallStack) > 0 {
+	var evalErr *starlark.EvalError
+	if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
 		return fmt.Errorf("line %d: %w", evalErr.CallStack.At(0).Pos.Line, err)
 	}
 	return err
@@ -132,14 +134,14 @@
 	case "weight":
 		function, ok := value.(*starlark.Function)
 		if !ok || function.NumParams() != 1 {
-			return fmt.Errorf("needs a function of one job")
+			return errors.New("needs a function of one job")
 		}
 		p.weight = function
 		if _, err := p.callWeight(Job{Class: "example", Grade: "standard", Tasks: 1, AgeS: 1}); err != nil {
 			return err
 		}
 	default:
-		return fmt.Errorf("unknown setting")
+		return errors.New("unknown setting")
 	}
 	return err
 }
--- a/internal/schema/documents.go
+++ b/internal/schema/documents.go
@@ -1,5 +1,5 @@
-// Package state owns what frostdock keeps in the state service: the layout of
-// its keys, the documents, the wire messages and the client.
+// Package schema is what frostdock keeps in the key-value store: the layout of its keys and the
+// documents.
 //
 // Changes are scarce, so documents are shared: a change of many machines or
 // jobs costs as many writes as there are documents that it touches.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,4 +1,4 @@
-// Package node carries the core's effects out and brings it messages: the
+// Package server carries the core's effects out and brings it messages: the
 // HTTP servers and clients, the heartbeats and the clock. All state is the core's.
 package server
 
--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -333,17 +333,12 @@
 		}
 		execute := func() {
 			worker.checkLease()
-			result := controller.AgentResult{}
-			if command.Commands != nil {
-				if command.Commands.FencingToken < worker.token || command.Commands.Epoch != worker.epoch {
-				} else {
-					worker.raiseToken(command.Commands.FencingToken)
-					worker.execute(command.Commands.Commands, sentAt)
-				}
+			if c := command.Commands; c != nil && c.FencingToken >= worker.token && c.Epoch == worker.epoch {
+				worker.raiseToken(c.FencingToken)
+				worker.execute(c.Commands, sentAt)
 			}
 			heartbeat := worker.heartbeat()
-			result.Heartbeat = roundTrip(&heartbeat)
-			answer(result)
+			answer(controller.AgentResult{Heartbeat: roundTrip(&heartbeat)})
 		}
 		if w.now < worker.hungUntil {
 			worker.delayedCommands = append(worker.delayedCommands, execute)
--- a/internal/simulator/trace_test.go
+++ b/internal/simulator/trace_test.go
@@ -78,7 +78,8 @@
 	if digest(1, "node0", commit(9, `{"a":1}`)) != base {
 		t.Error("the number that matches an answer to its call enters the digest")
 	}
-	if digest(1, "node0", beat("a", 7)) != digest(1, "node0", beat("a", 7)) {
+	first, second := digest(1, "node0", beat("a", 7)), digest(1, "node0", beat("a", 7))
+	if first != second {
 		t.Error("two digests of one heartbeat differ")
 	}
 	if digest(1, "node0", beat("a", 7)) == digest(1, "node0", beat("a", 8)) {
