--- a/internal/server/http_test.go
+++ b/internal/server/http_test.go
@@ -15,14 +15,23 @@
 	"frostdock.example/frostdock/internal/policy"
 )
 
-// newIsolatedServer is a controller with so many sockets that reaches neither state service nor cloud.
-func newIsolatedServer(t *testing.T, sockets int) *Server {
-	t.Helper()
+// newConfig is the configuration of a controller with so many sockets that reaches neither key-value store nor cloud.
+func newConfig(sockets int) *config.Config {
 	cfg := &config.Config{Member: "a"}
 	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
 	cfg.Settings.Size, cfg.Settings.ProcessLimits.Sockets = 1, sockets
 	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.HeartbeatS = 22, 47, 3
-	s := New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+	return cfg
+}
+
+func newServer(cfg *config.Config) *Server {
+	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+}
+
+// newIsolatedServer runs the loop of a controller with the configuration of newConfig.
+func newIsolatedServer(t *testing.T, sockets int) *Server {
+	t.Helper()
+	s := newServer(newConfig(sockets))
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { _ = s.loop(ctx) }()
