--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -5,210 +5,187 @@
 	"encoding/json"
 	"fmt"
 	"net"
+	"net/http"
 	"strconv"
-	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"frostdock.example/frostdock/internal/admission"
-	"frostdock.example/frostdock/internal/agent"
 	"frostdock.example/frostdock/internal/api"
 	"frostdock.example/frostdock/internal/controller"
+	"frostdock.example/frostdock/internal/units"
 )
 
-// requestTimeout is when a request is given up on: sooner than any caller does.
-const requestTimeout = 3500 * time.Millisecond
+const (
+	// requestTimeout is when a request is given up on: sooner than any caller does.
+	requestTimeout = 3500 * time.Millisecond
+	// retryAfterSeconds is when the caller of a refused request may come back.
+	retryAfterSeconds = 1
+
+	inboundReadTimeout  = 70 * time.Second
+	inboundWriteTimeout = 5 * time.Second
+	inboundIdleTimeout  = 90 * time.Second
+	// maxInboundBody is beyond what a submission may have, so that api.Parse can say what is wrong.
+	maxInboundBody = 4 * api.MaxBodyBytes
+	// minInboundConns is how many connections are accepted however few sockets the process may have.
+	minInboundConns = 16
+)
 
-// httpServer serves users, workers and health probes.
+// httpServer serves users, agents and health probes. It turns their requests into messages and waits
+// for the controller's replies, in goroutines of fasthttp's.
 type httpServer struct {
-	server        *Server
-	lastRequestID atomic.Uint64
+	post postFunc
+	now  func() units.Micros
 
+	http      *fasthttp.Server
 	limiter   *admission.Limiter
 	latencies *latencyRecorder
-	http      *fasthttp.Server
-
-	mu      sync.Mutex
-	pending map[uint64]chan controller.Reply
-}
-
-func newHTTPServer(server *Server) *httpServer {
-	return &httpServer{server: server, limiter: admission.New(), latencies: newLatencyRecorder(), pending: map[uint64]chan controller.Reply{}}
+	pending   *pendingReplies
 }
 
-func (h *httpServer) serve(ctx context.Context, addr string) error {
-	ln, err := net.Listen("tcp4", addr)
-	if err != nil {
-		return fmt.Errorf("listen for users and workers: %w", err)
-	}
-	h.http = h.newFastHTTPServer()
-	go func() {
-		<-ctx.Done()
-		_ = h.http.Shutdown()
-	}()
-	if err := h.http.Serve(ln); err != nil {
-		return fmt.Errorf("serve users and workers: %w", err)
+func newHTTPServer(post postFunc, now func() units.Micros, sockets int) *httpServer {
+	h := &httpServer{
+		post:      post,
+		now:       now,
+		limiter:   admission.New(),
+		latencies: newLatencyRecorder(),
+		pending:   newPendingReplies(),
 	}
-	return nil
+	h.http = newFastHTTPServer(h.handle, sockets)
+	return h
 }
 
-func (h *httpServer) newFastHTTPServer() *fasthttp.Server {
+func newFastHTTPServer(handler fasthttp.RequestHandler, sockets int) *fasthttp.Server {
 	return &fasthttp.Server{
-		Handler:            h.handle,
+		Handler:            handler,
 		Name:               "frostdock",
-		MaxRequestBodySize: 4 * api.MaxBodyBytes,
-		ReadTimeout:        70 * time.Second,
-		WriteTimeout:       5 * time.Second,
-		IdleTimeout:        90 * time.Second,
+		MaxRequestBodySize: maxInboundBody,
+		ReadTimeout:        inboundReadTimeout,
+		WriteTimeout:       inboundWriteTimeout,
+		IdleTimeout:        inboundIdleTimeout,
 		// What is left is for the connections that this process opens itself: without
-		// one to the state service it could do nothing at all.
-		Concurrency:           max(16, h.server.cfg.Settings.ProcessLimits.Sockets*7/10),
+		// one to the key-value store it could do nothing at all.
+		Concurrency:           max(minInboundConns, sockets*7/10),
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		Logger:                discardLogger{},
-		ErrorHandler: func(ctx *fasthttp.RequestCtx, err error) {
-			ctx.Error("malformed request", fasthttp.StatusBadRequest)
+		ErrorHandler: func(ctx *fasthttp.RequestCtx, _ error) {
+			ctx.Error("malformed request", http.StatusBadRequest)
 		},
 	}
 }
 
-// nearConnLimit reports whether so many connections are open that those of workers must not be kept:
-// each machine has one, and a fleet may have more machines than a controller has sockets.
-func (h *httpServer) nearConnLimit() bool {
-	return h.http != nil && int(h.http.GetOpenConnectionsCount()) > h.http.Concurrency*3/4
-}
-
-// discardLogger drops the server's own lines about clients that went away.
+// discardLogger drops fasthttp's own lines about clients that went away.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-func (h *httpServer) handle(ctx *fasthttp.RequestCtx) {
-	path := string(ctx.Path())
-	method := string(ctx.Method())
-	requireMethod := func(required string) bool {
-		if method != required {
-			ctx.Response.Header.Set("Allow", required)
-			ctx.Error("method not allowed", fasthttp.StatusMethodNotAllowed)
-		}
-		return method == required
-	}
-	id, action := "", ""
-	if rest, ok := strings.CutPrefix(path, "/submissions/"); ok {
-		id, action, _ = strings.Cut(rest, "/")
+// serve accepts connections until ctx ends or the listener fails. At the end of ctx it does not wait for
+// requests in progress: the loop stops as well, so none of them would be replied to.
+func (h *httpServer) serve(ctx context.Context, addr string) error {
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(ctx, "tcp4", addr)
+	if err != nil {
+		return fmt.Errorf("listen for users and agents: %w", err)
 	}
-	switch {
-	case path == "/ready":
-		if requireMethod("GET") {
-			h.await(ctx, func(requestID uint64) controller.Message { return controller.ReadyRequest{RequestID: requestID} })
-		}
-	case path == "/v1/report":
-		if requireMethod("POST") {
-			var heartbeat agent.Heartbeat
-			if err := json.Unmarshal(ctx.PostBody(), &heartbeat); err != nil || heartbeat.Machine == "" {
-				ctx.Error("malformed report", fasthttp.StatusBadRequest)
-				return
-			}
-			if h.nearConnLimit() {
-				ctx.SetConnectionClose()
-			}
-			started := time.Now()
-			h.await(ctx, func(requestID uint64) controller.Message {
-				return controller.HeartbeatRequest{RequestID: requestID, Heartbeat: heartbeat}
-			})
-			h.latencies.record("report", time.Since(started))
-		}
-	case path == "/submissions":
-		if requireMethod("POST") {
-			job, jobID, err := api.Parse(ctx.PostBody())
-			h.handleUser(ctx, controller.UserRequest{Kind: controller.SubmitJob, JobID: jobID, Job: job, Malformed: err})
-		}
-	case id != "" && action == "" && !strings.HasSuffix(path, "/"):
-		if !requireMethod("GET") {
-			return
-		}
-		if !api.ValidJobID(id) {
-			ctx.Error("no such job", fasthttp.StatusNotFound)
-			return
-		}
-		h.handleUser(ctx, controller.UserRequest{Kind: controller.QueryJob, JobID: id})
-	case id != "" && action == "abort":
-		if !requireMethod("POST") {
-			return
-		}
-		if !api.ValidJobID(id) {
-			ctx.Error("no such job", fasthttp.StatusNotFound)
-			return
-		}
-		h.handleUser(ctx, controller.UserRequest{Kind: controller.CancelJob, JobID: id})
-	default:
-		ctx.Error("no such path", fasthttp.StatusNotFound)
+	go func() {
+		<-ctx.Done()
+		// Shutdown closes the listener, which lets Serve return, and then waits for the connections;
+		// the process may end before. Its error would be the listener's, which is of no use any more.
+		_ = h.http.Shutdown()
+	}()
+	if err := h.http.Serve(listener); err != nil {
+		return fmt.Errorf("serve users and agents: %w", err)
 	}
+	return nil
 }
 
-var admissionKinds = map[controller.UserRequestKind]struct {
-	kind admission.Kind
-	name string
-}{controller.SubmitJob: {admission.Submit, "submit"}, controller.QueryJob: {admission.Poll, "poll"}, controller.CancelJob: {admission.Abort, "abort"}}
-
-// handleUser hands a user's request on if there is room for one more in progress;
-// otherwise it is refused at once, with the time to come back.
-func (h *httpServer) handleUser(ctx *fasthttp.RequestCtx, req controller.UserRequest) {
-	kind := admissionKinds[req.Kind]
-	if !h.limiter.TryAcquire(kind.kind) {
-		ctx.Response.Header.Set("Retry-After", "1")
-		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
-		return
-	}
-	started := h.server.now()
-	h.await(ctx, func(requestID uint64) controller.Message { req.RequestID = requestID; return req })
-	now := h.server.now()
-	h.limiter.Release(kind.kind, now, now-started)
-	h.latencies.record(kind.name, (now - started).Duration())
+// nearConnLimit reports whether so many connections are open that those of agents must not be kept:
+// each machine has one, and a fleet may have more machines than a controller has sockets.
+func (h *httpServer) nearConnLimit() bool {
+	return int(h.http.GetOpenConnectionsCount()) > h.http.Concurrency*3/4
 }
 
-// await hands a message to the core and waits for its reply.
-func (h *httpServer) await(ctx *fasthttp.RequestCtx, newMsg func(requestID uint64) controller.Message) {
-	requestID := h.lastRequestID.Add(1)
-	replies := make(chan controller.Reply, 1)
-	h.mu.Lock()
-	h.pending[requestID] = replies
-	h.mu.Unlock()
-	h.server.post(newMsg(requestID))
+// await posts a message to the controller and answers the request with its reply, or with a refusal
+// when there is none within requestTimeout of the queue's taking the message.
+func (h *httpServer) await(ctx *fasthttp.RequestCtx, newMessage func(requestID uint64) controller.Message) {
+	requestID, replies := h.pending.add()
+	h.post(newMessage(requestID))
 	timer := time.NewTimer(requestTimeout)
 	defer timer.Stop()
-	var reply controller.Reply
 	select {
-	case reply = <-replies:
+	case reply := <-replies:
+		writeReply(ctx, reply)
 	case <-timer.C:
-		h.mu.Lock()
-		delete(h.pending, requestID)
-		h.mu.Unlock()
-		reply = controller.Reply{Status: 503, RetryAfterSeconds: 1}
+		h.pending.remove(requestID)
+		refuse(ctx)
 	}
+}
+
+// writeReply answers a request as the controller decided.
+func writeReply(ctx *fasthttp.RequestCtx, reply controller.Reply) {
 	ctx.SetStatusCode(reply.Status)
 	if reply.RetryAfterSeconds > 0 {
-		ctx.Response.Header.Set("Retry-After", strconv.Itoa(reply.RetryAfterSeconds))
+		setRetryAfter(ctx, reply.RetryAfterSeconds)
+	}
+	if reply.Body == nil {
+		return
 	}
-	if reply.Body != nil {
-		encoded, err := json.Marshal(reply.Body)
-		if err != nil {
-			ctx.Error("internal error", fasthttp.StatusInternalServerError)
-			return
-		}
-		ctx.SetContentType("application/json")
-		ctx.SetBody(encoded)
+	encoded, err := json.Marshal(reply.Body)
+	if err != nil {
+		ctx.Error("internal error", http.StatusInternalServerError)
+		return
 	}
+	ctx.SetContentType(jsonContentType)
+	ctx.SetBody(encoded)
+}
+
+// refuse answers a request that the controller has not seen, or not replied to in time.
+func refuse(ctx *fasthttp.RequestCtx) {
+	ctx.SetStatusCode(http.StatusServiceUnavailable)
+	setRetryAfter(ctx, retryAfterSeconds)
+}
+
+func setRetryAfter(ctx *fasthttp.RequestCtx, seconds int) {
+	ctx.Response.Header.Set("Retry-After", strconv.Itoa(seconds))
+}
+
+// pendingReplies has the requests that wait for the controller's reply. It is safe for concurrent use.
+type pendingReplies struct {
+	mu     sync.Mutex
+	lastID uint64
+	byID   map[uint64]chan controller.Reply
+}
+
+func newPendingReplies() *pendingReplies {
+	return &pendingReplies{byID: map[uint64]chan controller.Reply{}}
+}
+
+// add returns the id of a new request, and the channel that its reply comes through.
+func (p *pendingReplies) add() (uint64, <-chan controller.Reply) {
+	replies := make(chan controller.Reply, 1) // so that deliver never blocks
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.lastID++
+	p.byID[p.lastID] = replies
+	return p.lastID, replies
+}
+
+// remove gives up on a request: a reply that still comes is dropped.
+func (p *pendingReplies) remove(requestID uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	delete(p.byID, requestID)
 }
 
-func (h *httpServer) reply(reply controller.Reply) {
-	h.mu.Lock()
-	replies := h.pending[reply.RequestID]
-	delete(h.pending, reply.RequestID)
-	h.mu.Unlock()
+// deliver hands a reply to its request, if that still waits.
+func (p *pendingReplies) deliver(reply controller.Reply) {
+	p.mu.Lock()
+	replies := p.byID[reply.RequestID]
+	delete(p.byID, reply.RequestID)
+	p.mu.Unlock()
 	if replies != nil {
 		replies <- reply
 	}
--- a/internal/server/http_test.go
+++ b/internal/server/http_test.go
@@ -1,103 +1,92 @@
 package server
 
 import (
-	"context"
-	"io"
-	"log/slog"
 	"net"
+	"net/http"
 	"strings"
 	"testing"
 
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttputil"
-
-	"frostdock.example/frostdock/internal/config"
-	"frostdock.example/frostdock/internal/policy"
 )
 
-// newConfig is the configuration of a controller with so many sockets that reaches neither key-value store nor cloud.
-func newConfig(sockets int) *config.Config {
-	cfg := &config.Config{Member: "a"}
-	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	cfg.Settings.Size, cfg.Settings.ProcessLimits.Sockets = 1, sockets
-	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.HeartbeatS = 22, 47, 3
-	return cfg
+const heartbeatBody = `{"bench":"n-1","shift":1,"tally":1}`
+
+// serveInMemory has the server of a controller serve a listener in memory.
+func serveInMemory(t *testing.T, s *Server) *fasthttputil.InmemoryListener {
+	t.Helper()
+	listener := fasthttputil.NewInmemoryListener()
+	t.Cleanup(func() { _ = listener.Close() })
+	go func() { _ = s.http.http.Serve(listener) }()
+	return listener
 }
 
-func newServer(cfg *config.Config) *Server {
-	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+func newInMemoryClient(listener *fasthttputil.InmemoryListener) *fasthttp.HostClient {
+	return &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return listener.Dial() }}
 }
 
-// newIsolatedServer runs the loop of a controller with the configuration of newConfig.
-func newIsolatedServer(t *testing.T, sockets int) *Server {
+// send makes one request and returns its response.
+func send(t *testing.T, client *fasthttp.HostClient, method, path, body string) *fasthttp.Response {
 	t.Helper()
-	s := newServer(newConfig(sockets))
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go func() { _ = s.loop(ctx) }()
-	return s
+	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
+	req.Header.SetMethod(method)
+	req.SetRequestURI("http://x" + path)
+	req.SetBodyString(body)
+	if err := client.Do(req, resp); err != nil {
+		t.Fatalf("%s %s: %v", method, path, err)
+	}
+	return resp
 }
 
-// TestStatuses asks a controller that has not reached its state service yet.
+// TestStatuses asks a controller that has not reached its key-value store yet.
 func TestStatuses(t *testing.T) {
-	s := newIsolatedServer(t, 100)
-	ln := fasthttputil.NewInmemoryListener()
-	defer ln.Close()
-	go func() { _ = fasthttp.Serve(ln, s.http.handle) }()
-	client := &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return ln.Dial() }}
+	client := newInMemoryClient(serveInMemory(t, newIsolatedServer(t, 100)))
 	for _, tc := range []struct {
 		method, path, body string
 		want               int
 	}{
-		{"GET", "/nothing", "", 404},
-		{"GET", "/submissions", "", 405},
-		{"POST", "/ready", "", 405},
-		{"GET", "/submissions/j-1/abort", "", 405},
-		{"GET", "/submissions/", "", 404},
-		{"GET", "/submissions/x", "", 404},
-		{"POST", "/submissions", "{", 400},
-		{"POST", "/submissions", "[]", 400},
-		{"POST", "/submissions", strings.Repeat(" ", 70<<10) + "{}", 400},
-		{"POST", "/submissions", `{"uid":"j-1"}`, 503}, // malformed, but perhaps a known job's repeat
-		{"GET", "/submissions/j-1", "", 503},
-		{"POST", "/submissions/j-1/abort", "", 503},
-		{"GET", "/ready", "", 503},
-		{"POST", "/v1/report", "{}", 400},
-		{"POST", "/v1/report", `{"bench":"n-1","shift":1,"tally":1}`, 503},
+		{http.MethodGet, "/nothing", "", http.StatusNotFound},
+		{http.MethodGet, "/submissions", "", http.StatusMethodNotAllowed},
+		{http.MethodPost, "/ready", "", http.StatusMethodNotAllowed},
+		{http.MethodPut, "/v1/report", heartbeatBody, http.StatusMethodNotAllowed},
+		{http.MethodGet, "/submissions/j-1/abort", "", http.StatusMethodNotAllowed},
+		{http.MethodGet, "/submissions/", "", http.StatusNotFound},
+		{http.MethodGet, "/submissions/j-1/", "", http.StatusNotFound},
+		{http.MethodPost, "/submissions/j-1/abort/", "", http.StatusNotFound},
+		{http.MethodPost, "/submissions/j-1/other", "", http.StatusNotFound},
+		{http.MethodGet, "/submissions/x", "", http.StatusNotFound},
+		{http.MethodPost, "/submissions/x/abort", "", http.StatusNotFound},
+		{http.MethodPost, "/submissions", "{", http.StatusBadRequest},
+		{http.MethodPost, "/submissions", "[]", http.StatusBadRequest},
+		{http.MethodPost, "/submissions", strings.Repeat(" ", 70<<10) + "{}", http.StatusBadRequest},
+		// Malformed, but perhaps a known job's repeat.
+		{http.MethodPost, "/submissions", `{"uid":"j-1"}`, http.StatusServiceUnavailable},
+		{http.MethodGet, "/submissions/j-1", "", http.StatusServiceUnavailable},
+		{http.MethodPost, "/submissions/j-1/abort", "", http.StatusServiceUnavailable},
+		{http.MethodGet, "/ready", "", http.StatusServiceUnavailable},
+		{http.MethodPost, "/v1/report", "{}", http.StatusBadRequest},
+		{http.MethodPost, "/v1/report", heartbeatBody, http.StatusServiceUnavailable},
 	} {
-		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		req.Header.SetMethod(tc.method)
-		req.SetRequestURI("http://x" + tc.path)
-		req.SetBodyString(tc.body)
-		if err := client.Do(req, resp); err != nil {
-			t.Fatal(err)
-		}
+		resp := send(t, client, tc.method, tc.path, tc.body)
 		if resp.StatusCode() != tc.want {
 			t.Errorf("%s %s %.20q: %d, want %d", tc.method, tc.path, tc.body, resp.StatusCode(), tc.want)
 		}
-		if tc.want == 503 && strings.HasPrefix(tc.path, "/submissions") && len(resp.Header.Peek("Retry-After")) == 0 {
+		needsRetryAfter := tc.want == http.StatusServiceUnavailable && strings.HasPrefix(tc.path, "/submissions")
+		if needsRetryAfter && len(resp.Header.Peek("Retry-After")) == 0 {
 			t.Errorf("%s %s: no Retry-After", tc.method, tc.path)
 		}
 	}
 }
 
-// TestNearConnLimit has more machines than the controller has sockets report: once most connections
-// are taken, workers are told to close theirs, so that all of them get through in turn.
+// TestNearConnLimit has more machines than the controller has sockets send heartbeats: once most
+// connections are taken, agents are told to close theirs, so that all of them get through in turn.
 func TestNearConnLimit(t *testing.T) {
-	s := newIsolatedServer(t, 50)
-	s.http.http = s.http.newFastHTTPServer()
-	ln := fasthttputil.NewInmemoryListener()
-	defer ln.Close()
-	go func() { _ = s.http.http.Serve(ln) }()
+	listener := serveInMemory(t, newIsolatedServer(t, 50))
 	closed := 0
 	for i := range 100 { // each keeps its connection unless it is told otherwise
-		client := &fasthttp.HostClient{Addr: "x", Dial: func(string) (net.Conn, error) { return ln.Dial() }}
-		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-		req.Header.SetMethod("POST")
-		req.SetRequestURI("http://x/v1/report")
-		req.SetBodyString(`{"bench":"n-1","shift":1,"tally":1}`)
-		if err := client.Do(req, resp); err != nil || resp.StatusCode() != 503 {
-			t.Fatalf("machine %d: %d, %v", i, resp.StatusCode(), err)
+		resp := send(t, newInMemoryClient(listener), http.MethodPost, "/v1/report", heartbeatBody)
+		if resp.StatusCode() != http.StatusServiceUnavailable {
+			t.Fatalf("machine %d: %d", i, resp.StatusCode())
 		}
 		if resp.ConnectionClose() {
 			closed++
--- a/internal/server/latency.go
+++ b/internal/server/latency.go
@@ -11,51 +11,86 @@
 	"frostdock.example/frostdock/internal/admission"
 )
 
-// latencyLogInterval is how often the measured times are told in the log.
-const latencyLogInterval = 30 * time.Second
+// operation is what a request asks for, as the log names it.
+type operation string
 
-// latencyRecorder gathers how long requests took, by what was asked.
+const (
+	submitOperation    operation = "submit"
+	queryOperation     operation = "poll"
+	cancelOperation    operation = "abort"
+	heartbeatOperation operation = "report"
+)
+
+// operations are all operations, in the order in which they are logged.
+var operations = []operation{submitOperation, queryOperation, cancelOperation, heartbeatOperation}
+
+const (
+	// latencyLogInterval is how often the latencies measured since the last time are logged.
+	latencyLogInterval = 30 * time.Second
+	// maxLatency is the longest latency that the histograms distinguish.
+	maxLatency = 10 * time.Minute
+	// latencyDigits is how many decimal digits of a latency the histograms keep.
+	latencyDigits = 2
+	// microsPerMillisecond converts the histograms' microseconds.
+	microsPerMillisecond = 1000
+)
+
+// latencyRecorder gathers how long requests took, by operation. It is safe for concurrent use.
 type latencyRecorder struct {
 	mu         sync.Mutex
-	histograms map[string]*hdrhistogram.Histogram
+	histograms map[operation]*hdrhistogram.Histogram // in microseconds
 }
 
 func newLatencyRecorder() *latencyRecorder {
-	return &latencyRecorder{histograms: map[string]*hdrhistogram.Histogram{}}
+	return &latencyRecorder{histograms: map[operation]*hdrhistogram.Histogram{}}
 }
 
-// record notes one request.
-func (r *latencyRecorder) record(operation string, latency time.Duration) {
+// record adds one request.
+func (r *latencyRecorder) record(requested operation, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	histogram := r.histograms[operation]
+	histogram := r.histograms[requested]
 	if histogram == nil {
-		histogram = hdrhistogram.New(1, int64(10*time.Minute/time.Microsecond), 2)
-		r.histograms[operation] = histogram
+		histogram = hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
+		r.histograms[requested] = histogram
 	}
-	_ = histogram.RecordValue(max(1, latency.Microseconds())) // a value beyond the range is not worth an error
+	// The only error is a latency beyond the range, and requestTimeout is far below maxLatency: such a one
+	// tells of a host that stood still, and is left out.
+	_ = histogram.RecordValue(max(1, latency.Microseconds()))
 }
 
-// logPeriodically tells the times of each period, at info, until ctx ends.
-func (r *latencyRecorder) logPeriodically(ctx context.Context, log *slog.Logger, limiter *admission.Limiter) error {
+// logPeriodically logs the latencies of each period, at info, until ctx ends.
+func (r *latencyRecorder) logPeriodically(ctx context.Context, log *slog.Logger, limiter *admission.Limiter) {
 	ticker := time.NewTicker(latencyLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			return nil
+			return
 		case <-ticker.C:
+			r.logAndReset(log, limiter)
 		}
-		r.mu.Lock()
-		for _, operation := range []string{"submit", "poll", "abort", "report"} {
-			histogram := r.histograms[operation]
-			if histogram == nil || histogram.TotalCount() == 0 {
-				continue
-			}
-			log.Info("request latencies", "of", operation, "count", histogram.TotalCount(), "p50_ms", float64(histogram.ValueAtQuantile(50))/1000,
-				"p99_ms", float64(histogram.ValueAtQuantile(99))/1000, "max_ms", float64(histogram.Max())/1000, "limit", limiter.Limit())
-			histogram.Reset()
+	}
+}
+
+// logAndReset logs a line for each operation that was requested, and begins a new period.
+func (r *latencyRecorder) logAndReset(log *slog.Logger, limiter *admission.Limiter) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, requested := range operations {
+		histogram := r.histograms[requested]
+		if histogram == nil || histogram.TotalCount() == 0 {
+			continue
 		}
-		r.mu.Unlock()
+		log.Info("request latencies",
+			"of", string(requested),
+			"count", histogram.TotalCount(),
+			"p50_ms", milliseconds(histogram.ValueAtQuantile(50)),
+			"p99_ms", milliseconds(histogram.ValueAtQuantile(99)),
+			"max_ms", milliseconds(histogram.Max()),
+			"limit", limiter.Limit())
+		histogram.Reset()
 	}
 }
+
+func milliseconds(micros int64) float64 { return float64(micros) / microsPerMillisecond }
--- a/internal/server/outbound_test.go
+++ b/internal/server/outbound_test.go
@@ -3,73 +3,97 @@
 import (
 	"io"
 	"net"
-	"sync"
+	"net/http"
+	"reflect"
 	"testing"
-	"time"
 
 	"github.com/valyala/fasthttp"
 
-	"frostdock.example/frostdock/internal/agent"
 	"frostdock.example/frostdock/internal/controller"
 )
 
-// silentWorker accepts connections and never answers.
-func silentWorker(t *testing.T) string {
-	t.Helper()
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
+// testCallID is the id of every call, which its result has to repeat.
+const testCallID = 7
+
+// wireRequest is what a callee sees of a request.
+type wireRequest struct{ method, uri, contentType, body string }
+
+func getRequest(uri string) wireRequest { return wireRequest{method: http.MethodGet, uri: uri} }
+
+// postRequest is a request with a JSON body, or with none when that is empty.
+func postRequest(uri, body string) wireRequest {
+	if body == "" {
+		return wireRequest{method: http.MethodPost, uri: uri}
 	}
-	t.Cleanup(func() { _ = ln.Close() })
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
+	return wireRequest{http.MethodPost, uri, "application/json", body}
+}
+
+// outboundCase is a call that a callee answers.
+type outboundCase struct {
+	name    string
+	call    controller.Effect
+	request wireRequest // what has to be sent
+	status  int         // the answer
+	answer  string
+	result  controller.Message // what has to be posted
+}
+
+// runOutboundCases has each call carried out against a callee on loopback.
+func runOutboundCases(t *testing.T, cases []outboundCase) {
+	t.Helper()
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			address, requests := startCallee(t, tc.status, tc.answer)
+			cfg := newConfig(64)
+			cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = address, address
+			s := newServer(cfg)
+			if call, ok := tc.call.(controller.AgentCall); ok {
+				call.Address = address
+				tc.call = call
+			}
+			s.execute(tc.call)
+			if got := <-requests; got != tc.request {
+				t.Errorf("request %+v, want %+v", got, tc.request)
+			}
+			if got := <-s.queue; !reflect.DeepEqual(got, tc.result) {
+				t.Errorf("message %+v, want %+v", got, tc.result)
 			}
-			t.Cleanup(func() { _ = conn.Close() })
+		})
+	}
+}
+
+// startCallee answers every request in the same way. It returns its address, and the requests.
+func startCallee(t *testing.T, status int, answer string) (string, <-chan wireRequest) {
+	t.Helper()
+	requests := make(chan wireRequest, 1)
+	address := serveOnLoopback(t, func(ctx *fasthttp.RequestCtx) {
+		requests <- wireRequest{
+			method:      string(ctx.Method()),
+			uri:         string(ctx.RequestURI()),
+			contentType: string(ctx.Request.Header.ContentType()),
+			body:        string(ctx.PostBody()),
 		}
-	}()
-	return ln.Addr().String()
+		ctx.SetStatusCode(status)
+		_, _ = io.WriteString(ctx, answer)
+	})
+	return address, requests
 }
 
-// maxCommandAge is how long after its decision a command may still leave, with time for a busy machine.
-const maxCommandAge = 1400 * time.Millisecond
+// serveOnLoopback serves until the test ends, and returns the address.
+func serveOnLoopback(t *testing.T, handler fasthttp.RequestHandler) string {
+	t.Helper()
+	listener := listenOnLoopback(t)
+	go func() { _ = fasthttp.Serve(listener, handler) }()
+	return listener.Addr().String()
+}
 
-// TestNoOldCommand has so many machines not answer that the commands under way are as many as
-// may be. A command that waits for its turn must not leave long after it was decided: what it
-// starts may be cancelled by then, and the right to start may have lapsed.
-func TestNoOldCommand(t *testing.T) {
-	s := newIsolatedServer(t, 64)
-	silent := silentWorker(t)
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func listenOnLoopback(t *testing.T) net.Listener {
+	t.Helper()
+	var listenConfig net.ListenConfig
+	listener, err := listenConfig.Listen(t.Context(), "tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	var mu sync.Mutex
-	var received []time.Time
-	go func() {
-		_ = fasthttp.Serve(ln, func(ctx *fasthttp.RequestCtx) {
-			mu.Lock()
-			received = append(received, time.Now())
-			mu.Unlock()
-			_, _ = io.WriteString(ctx, "{}")
-		})
-	}()
-	command := &agent.CommandRequest{FencingToken: 1, Epoch: 1, Commands: []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: 1}}}
-	for i := range 4 * cap(s.outbound.commandSlots) {
-		s.execute(controller.AgentCall{CallID: uint64(1000 + i), Address: silent, Commands: command})
-	}
-	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
-	decidedAt := time.Now()
-	s.execute(controller.AgentCall{CallID: 1, Address: ln.Addr().String(), Commands: command})
-	time.Sleep(7 * time.Second)
-	mu.Lock()
-	defer mu.Unlock()
-	for _, receivedAt := range received {
-		if age := receivedAt.Sub(decidedAt); age > maxCommandAge {
-			t.Errorf("a command left %v after it was decided", age)
-		}
-	}
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener
 }
--- /dev/null
+++ b/internal/server/routes.go
@@ -0,0 +1,146 @@
+package server
+
+import (
+	"encoding/json"
+	"net/http"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"frostdock.example/frostdock/internal/admission"
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/controller"
+)
+
+// route is what is served at a path: one method, and the handler for it.
+type route struct {
+	method string
+	// handle answers a request; jobID is as in the path, unchecked, or empty where that names no job.
+	handle func(h *httpServer, ctx *fasthttp.RequestCtx, jobID string)
+}
+
+// routes are the paths that name no job.
+var routes = map[string]route{
+	"/ready":       {http.MethodGet, (*httpServer).handleReady},
+	"/v1/report":   {http.MethodPost, (*httpServer).handleHeartbeat},
+	"/submissions": {http.MethodPost, (*httpServer).handleSubmit},
+}
+
+// jobPathPrefix begins the paths that name a job: /submissions/{id} and /submissions/{id}/{action}.
+const jobPathPrefix = "/submissions/"
+
+// jobRoutes are the paths that name a job, by their action; the job itself has none.
+var jobRoutes = map[string]route{
+	"":      {http.MethodGet, (*httpServer).handleQuery},
+	"abort": {http.MethodPost, (*httpServer).handleCancel},
+}
+
+// findRoute returns what is served at a path, and the job that the path names.
+func findRoute(path string) (found route, jobID string, ok bool) {
+	if found, ok = routes[path]; ok {
+		return found, "", true
+	}
+	rest, ok := strings.CutPrefix(path, jobPathPrefix)
+	if !ok {
+		return route{}, "", false
+	}
+	jobID, action, hasAction := strings.Cut(rest, "/")
+	if jobID == "" || hasAction && action == "" {
+		return route{}, "", false
+	}
+	found, ok = jobRoutes[action]
+	return found, jobID, ok
+}
+
+// handle answers every request of users, agents and health probes.
+func (h *httpServer) handle(ctx *fasthttp.RequestCtx) {
+	found, jobID, ok := findRoute(string(ctx.Path()))
+	if !ok {
+		ctx.Error("no such path", http.StatusNotFound)
+		return
+	}
+	if string(ctx.Method()) != found.method {
+		ctx.Error("method not allowed", http.StatusMethodNotAllowed)
+		return
+	}
+	found.handle(h, ctx, jobID)
+}
+
+// handleReady answers a health probe.
+func (h *httpServer) handleReady(ctx *fasthttp.RequestCtx, _ string) {
+	h.await(ctx, func(requestID uint64) controller.Message {
+		return controller.ReadyRequest{RequestID: requestID}
+	})
+}
+
+// handleHeartbeat answers an agent's heartbeat.
+func (h *httpServer) handleHeartbeat(ctx *fasthttp.RequestCtx, _ string) {
+	var heartbeat agent.Heartbeat
+	if err := json.Unmarshal(ctx.PostBody(), &heartbeat); err != nil || heartbeat.Machine == "" {
+		ctx.Error("malformed report", http.StatusBadRequest)
+		return
+	}
+	if h.nearConnLimit() {
+		ctx.SetConnectionClose()
+	}
+	started := time.Now()
+	h.await(ctx, func(requestID uint64) controller.Message {
+		return controller.HeartbeatRequest{RequestID: requestID, Heartbeat: heartbeat}
+	})
+	h.latencies.record(heartbeatOperation, time.Since(started))
+}
+
+// handleSubmit answers a submission. A malformed one goes to the controller as well, since it may
+// repeat a known job.
+func (h *httpServer) handleSubmit(ctx *fasthttp.RequestCtx, _ string) {
+	job, jobID, err := api.Parse(ctx.PostBody())
+	h.handleUserRequest(ctx, controller.UserRequest{Kind: controller.SubmitJob, JobID: jobID, Job: job, Malformed: err})
+}
+
+// handleQuery answers the question for a job's state.
+func (h *httpServer) handleQuery(ctx *fasthttp.RequestCtx, jobID string) {
+	h.handleJobRequest(ctx, controller.QueryJob, jobID)
+}
+
+// handleCancel answers the cancellation of a job.
+func (h *httpServer) handleCancel(ctx *fasthttp.RequestCtx, jobID string) {
+	h.handleJobRequest(ctx, controller.CancelJob, jobID)
+}
+
+func (h *httpServer) handleJobRequest(ctx *fasthttp.RequestCtx, kind controller.UserRequestKind, jobID string) {
+	if !api.ValidJobID(jobID) {
+		ctx.Error("no such job", http.StatusNotFound)
+		return
+	}
+	h.handleUserRequest(ctx, controller.UserRequest{Kind: kind, JobID: jobID})
+}
+
+// userOperations says what each kind of user request counts as, for the limiter and the latencies.
+var userOperations = map[controller.UserRequestKind]struct {
+	admission admission.Kind
+	latency   operation
+}{
+	controller.SubmitJob: {admission.Submit, submitOperation},
+	controller.QueryJob:  {admission.Poll, queryOperation},
+	controller.CancelJob: {admission.Abort, cancelOperation},
+}
+
+// handleUserRequest passes a user's request on unless the limiter has too many in progress;
+// otherwise it is refused at once, with the time to come back.
+func (h *httpServer) handleUserRequest(ctx *fasthttp.RequestCtx, request controller.UserRequest) {
+	kind := userOperations[request.Kind]
+	if !h.limiter.TryAcquire(kind.admission) {
+		refuse(ctx)
+		return
+	}
+	started := h.now()
+	h.await(ctx, func(requestID uint64) controller.Message {
+		request.RequestID = requestID
+		return request
+	})
+	now := h.now()
+	h.limiter.Release(kind.admission, now, now-started)
+	h.latencies.record(kind.latency, (now - started).Duration())
+}
--- /dev/null
+++ b/internal/server/server_test.go
@@ -0,0 +1,36 @@
+package server
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"testing"
+
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/policy"
+)
+
+// newConfig is the configuration of a controller with so many sockets that reaches neither key-value
+// store nor cloud.
+func newConfig(sockets int) *config.Config {
+	cfg := &config.Config{Member: "a"}
+	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
+	cfg.Settings.Size, cfg.Settings.ProcessLimits.Sockets = 1, sockets
+	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.HeartbeatS = 22, 47, 3
+	return cfg
+}
+
+// newServer is a server that does not run: what it posts stays in its queue.
+func newServer(cfg *config.Config) *Server {
+	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+}
+
+// newIsolatedServer runs the loop of a server with the configuration of newConfig.
+func newIsolatedServer(t *testing.T, sockets int) *Server {
+	t.Helper()
+	s := newServer(newConfig(sockets))
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go s.loop(ctx)
+	return s
+}
