--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -100,12 +100,12 @@
 		t.Error("what is not entered is started")
 	}
 	fired(invariantStart, true)
-	c.apply(shardOfMachine(c.replica.layout), encode(machineWith(entry)), o.rev+1, false)
+	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(entry)), o.rev+1, false)
 	if out, ok := c.auditCommands(m, launch); !ok || len(out) != 1 {
 		t.Error("what is entered is not started")
 	}
 	fired(invariantStart, false)
-	c.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), o.rev+2, false)
+	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), o.rev+2, false)
 	if out, _ := c.auditCommands(m, launch); len(out) > 0 {
 		t.Error("a task of a cancelled job is started")
 	}
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -107,9 +107,9 @@
 	settle := func(rev uint64) {
 		for _, op := range txn.Operations {
 			if op.Set != "" {
-				c.apply(op.Set, op.Value, rev, false)
+				c.replica.apply(op.Set, op.Value, rev, false)
 			} else {
-				c.apply(op.Delete, nil, rev, true)
+				c.replica.apply(op.Delete, nil, rev, true)
 				if rev > c.replica.watchRevision {
 					c.replica.tombstones[op.Delete] = rev
 				}
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -46,7 +46,7 @@
 			continue
 		}
 		j.failures, j.succeeded = 0, true
-		c.noteCompletion(j, e.Num, units.Micros(e.Ran))
+		j.noteCompletion(e.Num, units.Micros(e.Ran))
 		c.planNeeded = true
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -59,7 +59,7 @@
 		audit:       newAudit(),
 	}
 	c.outcomeReads = newOutcomeReads()
-	c.replica = newReplica(c.newLayout(), c.partitions.ofMachineShard)
+	c.replica = newReplica(env, c, c.newLayout(), c.partitions.ofMachineShard)
 	c.duties = c.periodicDuties()
 	return c
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"encoding/json"
 	"log/slog"
 	"slices"
 
@@ -83,3 +84,12 @@
 	}
 	return 0
 }
+
+// decode reads a stored document. An unreadable one is logged and left out.
+func (e *environment) decode(key string, value json.RawMessage, into any) bool {
+	if err := json.Unmarshal(value, into); err != nil {
+		e.log.Error("unreadable document", "key", key, "err", err)
+		return false
+	}
+	return true
+}
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -29,7 +29,7 @@
 		stamp := uint64(10)
 		for key, format := range tc.formats {
 			stamp++
-			c.apply(schema.RegistrationPrefix+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
+			c.replica.apply(schema.RegistrationPrefix+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
 		}
 		guards, ok := c.memberRegistrations()
 		if ok != tc.want || ok && len(guards) != len(tc.formats) {
@@ -57,8 +57,8 @@
 			whole.Machines = append(whole.Machines, schema.Machine{Name: fmt.Sprintf("n-%06d", 3+i*of), Addr: "x", Tasks: schema.Tasks{{Job: "j-000001", Index: i, Attempt: 7}}})
 			shelf.Jobs = append(shelf.Jobs, schema.Job{ID: fmt.Sprintf("j-%06d", 5+i*len(c.replica.jobShards)), Tasks: 1})
 		}
-		c.apply(schema.MachineShardKey(3), encode(whole), 10, false)
-		c.apply(schema.JobShardKey(5), encode(shelf), 11, false)
+		c.replica.apply(schema.MachineShardKey(3), encode(whole), 10, false)
+		c.replica.apply(schema.JobShardKey(5), encode(shelf), 11, false)
 		known := map[string]*machine{}
 		for name, m := range c.replica.machines {
 			known[name] = m
@@ -75,7 +75,7 @@
 			if !parentFirst {
 				d = docs[len(docs)-1-i]
 			}
-			c.apply(d.key, d.value, 20, false)
+			c.replica.apply(d.key, d.value, 20, false)
 		}
 		if len(c.replica.machines) != 6 || len(c.replica.jobs["j-000001"].bindings) != 6 {
 			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bindings))
@@ -113,7 +113,7 @@
 			of := len(c.replica.jobShards)
 			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
 			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
-			c.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
+			c.replica.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
 			docs := []struct {
 				key   string
 				doc   schema.JobShard
@@ -124,7 +124,7 @@
 				{schema.JobShardKey(5 + 3*of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
 			}
 			for _, i := range order {
-				c.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
+				c.replica.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
 			}
 			for _, want := range []schema.Job{stays, moves, movesTwice} {
 				if j := c.replica.jobs[want.ID]; j == nil || !j.accepted || j.dependency == nil {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -280,7 +280,7 @@
 	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 	layout := schema.Layout{MachineShards: 48, JobShards: 24}
 	o.put(schema.LayoutKey, layout)
-	c.replica.applyLayout(layout)
+	c.replica.useLayout(layout)
 	fill(o, c, machines, 8, jobs, 1) // no task waits
 	pack := schema.ProgressSegment{Jobs: map[string]schema.JobProgress{}}
 	for j := range 40 {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -94,16 +94,9 @@
 
 func (j *job) isDone(n int) bool { return j.unstoredCompletions[n] || j.done.Contains(n) }
 
-// dropIfUnused drops an entry of which nothing is left.
-func (r *replica) dropIfUnused(j *job) {
-	if !j.accepted && !j.cancellationShown && j.progressSegment == nil && len(j.bindings) == 0 {
-		delete(r.jobs, j.id)
-	}
-}
-
 // noteCompletion notes a task that has completed, and how long it ran if that is
 // known.
-func (c *Controller) noteCompletion(j *job, n int, ran units.Micros) {
+func (j *job) noteCompletion(n int, ran units.Micros) {
 	if j.unstoredCompletions == nil {
 		j.unstoredCompletions = map[int]bool{}
 	}
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -60,7 +60,7 @@
 				retry()
 				return
 			}
-			c.apply(key, txn.Operations[0].Value, r.Revision, false)
+			c.replica.apply(key, txn.Operations[0].Value, r.Revision, false)
 			c.membership.registered = true
 			c.log.Info("registered", "inc", c.membership.incarnation)
 			c.renew()
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -2,34 +2,34 @@
 
 import "frostdock.example/frostdock/internal/schema"
 
-// outcomeCache remembers how jobs ended, the latest ones only: the state service
-// holds them all.
+// outcomeCache keeps the latest outcomes of jobs, so many at most. An outcome never changes, so what is
+// kept is true for ever; what is not kept must be read from the store.
 type outcomeCache struct {
 	capacity int
 	byJob    map[string]schema.Outcome
-	order    []string
+	order    []string // ids in a ring, the oldest at oldest
 	oldest   int
 }
 
-func newOutcomeCache(most int) *outcomeCache {
-	return &outcomeCache{capacity: most, byJob: map[string]schema.Outcome{}}
+func newOutcomeCache(capacity int) *outcomeCache {
+	return &outcomeCache{capacity: capacity, byJob: map[string]schema.Outcome{}}
 }
 
-func (f *outcomeCache) put(id string, v schema.Outcome) {
-	if _, ok := f.byJob[id]; ok {
-		return // an end never changes
+func (c *outcomeCache) put(id string, outcome schema.Outcome) {
+	if _, ok := c.byJob[id]; ok {
+		return
 	}
-	if len(f.order) < f.capacity {
-		f.order = append(f.order, id)
+	if len(c.order) < c.capacity {
+		c.order = append(c.order, id)
 	} else {
-		delete(f.byJob, f.order[f.oldest])
-		f.order[f.oldest] = id
-		f.oldest = (f.oldest + 1) % f.capacity
+		delete(c.byJob, c.order[c.oldest])
+		c.order[c.oldest] = id
+		c.oldest = (c.oldest + 1) % c.capacity
 	}
-	f.byJob[id] = v
+	c.byJob[id] = outcome
 }
 
-func (f *outcomeCache) get(id string) (schema.Outcome, bool) {
-	v, ok := f.byJob[id]
-	return v, ok
+func (c *outcomeCache) get(id string) (schema.Outcome, bool) {
+	outcome, ok := c.byJob[id]
+	return outcome, ok
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -277,7 +277,7 @@
 		}
 		m.agent.completions[k] = completion{c.now, 1 + int(ran/runTimeUnit)}
 		if !j.isDone(k.num) {
-			c.noteCompletion(j, k.num, ran)
+			j.noteCompletion(k.num, ran)
 		}
 	case agent.CauseError:
 		c.backOff(j)
--- /dev/null
+++ b/internal/controller/replica_shards.go
@@ -0,0 +1,98 @@
+package controller
+
+import (
+	"cmp"
+	"encoding/json"
+	"slices"
+	"strings"
+
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// machineShard is a document of machines; its revision is 0 while there is none.
+type machineShard struct {
+	number    int
+	key       string
+	spread    int // into how many machine shards it was split, this being one; 0: it never was
+	revision  uint64
+	size      int // of the stored value
+	partition int
+	handover  uint64
+	machines  []*machine   // in the order of their names
+	movedAt   units.Micros // when it was last seen to change partitions
+	changedAt units.Micros // when it was last seen to change at all
+}
+
+// jobShard is a document of accepted jobs.
+type jobShard struct {
+	number int
+	key    string
+	spread int // into how many job shards it was split, this being one; 0: it never was
+	size   int // of the stored value
+	jobIDs []string
+}
+
+// applyLayout takes the store's layout, once, and its format, which may be raised.
+func (r *replica) applyLayout(key string, value json.RawMessage, deleted bool) {
+	var doc schema.Layout
+	if deleted || !r.env.decode(key, value, &doc) || doc.MachineShards <= 0 || doc.JobShards <= 0 {
+		return
+	}
+	if !r.layoutKnown {
+		r.useLayout(doc)
+		r.layoutKnown = true
+	}
+	if doc.Format > r.format {
+		r.format = doc.Format
+		r.env.log.Info("store format version", "format", doc.Format)
+		r.maxProgressGaps = r.observer.formatRaised()
+	}
+}
+
+// useLayout spreads machines and jobs over so many documents. Documents that are known already stay.
+func (r *replica) useLayout(layout schema.Layout) {
+	r.layout = layout
+	r.growMachineShards(layout.MachineShards)
+	r.growJobShards(layout.JobShards)
+	r.machineShards, r.jobShards = r.machineShards[:layout.MachineShards], r.jobShards[:layout.JobShards]
+	for key := range r.revisions { // what was read by another layout is to be read again
+		if strings.HasPrefix(key, schema.MachineShardPrefix) || strings.HasPrefix(key, schema.JobShardPrefix) {
+			delete(r.revisions, key)
+		}
+	}
+}
+
+// growMachineShards has at least count machine shards; those that have no document are empty.
+func (r *replica) growMachineShards(count int) {
+	for n := len(r.machineShards); n < count; n++ {
+		r.machineShards = append(r.machineShards, &machineShard{number: n, key: schema.MachineShardKey(n), partition: r.defaultPartition(n)})
+	}
+}
+
+// growJobShards has at least count job shards; those that have no document are empty.
+func (r *replica) growJobShards(count int) {
+	for n := len(r.jobShards); n < count; n++ {
+		r.jobShards = append(r.jobShards, &jobShard{number: n, key: schema.JobShardKey(n)})
+	}
+}
+
+func (r *replica) machineShardOf(machine string) *machineShard {
+	shardCount := func(n int) int { return r.machineShards[n].spread }
+	return r.machineShards[schema.FindShard(machine, r.layout.MachineShards, r.machineShardCounts, shardCount)]
+}
+
+func (r *replica) jobShardOf(job string) *jobShard {
+	shardCount := func(n int) int { return r.jobShards[n].spread }
+	return r.jobShards[schema.FindShard(job, r.layout.JobShards, r.jobShardCounts, shardCount)]
+}
+
+// withShardCount enters a number of documents among the others, the largest first.
+func withShardCount(counts []int, count int) []int {
+	if count <= 0 || slices.Contains(counts, count) {
+		return counts
+	}
+	counts = append(slices.Clone(counts), count)
+	slices.SortFunc(counts, func(a, b int) int { return cmp.Compare(b, a) })
+	return counts
+}
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.apply(c.replica.machineShardOf(machine).key, raw, stamp, false)
+		c.replica.apply(c.replica.machineShardOf(machine).key, raw, stamp, false)
 	}
 	first := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 5}
 	second := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 9}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -28,7 +28,7 @@
 			c.replica.completeRevision = max(c.replica.completeRevision, resp.Revision)
 			for _, it := range resp.Items {
 				seen[it.Key] = true
-				c.apply(it.Key, it.Value, it.ModRevision, false)
+				c.replica.apply(it.Key, it.Value, it.ModRevision, false)
 			}
 			if resp.Truncated && len(resp.Items) > 0 {
 				page(resp.Items[len(resp.Items)-1].Key)
@@ -37,7 +37,7 @@
 			// What the list no longer has, and was not written since, is gone.
 			for key, stamp := range c.replica.revisions {
 				if !seen[key] && stamp <= base {
-					c.apply(key, nil, base, true)
+					c.replica.apply(key, nil, base, true)
 				}
 			}
 			if !c.replica.layoutKnown {
@@ -86,7 +86,7 @@
 			c.after(100*units.Millisecond, c.load)
 			return
 		}
-		c.apply(schema.LayoutKey, txn.Operations[0].Value, r.Revision, false)
+		c.replica.apply(schema.LayoutKey, txn.Operations[0].Value, r.Revision, false)
 		c.loaded(rev)
 	})
 }
@@ -125,9 +125,9 @@
 		case resp.Status == kv.StatusOK:
 			for _, e := range resp.Events {
 				if e.Set != "" {
-					c.apply(e.Set, e.Value, e.ModRevision, false)
+					c.replica.apply(e.Set, e.Value, e.ModRevision, false)
 				} else {
-					c.apply(e.Delete, nil, e.ModRevision, true)
+					c.replica.apply(e.Delete, nil, e.ModRevision, true)
 				}
 			}
 			if resp.Revision > c.replica.watchRevision {
