--- /dev/null
+++ b/internal/soak/agent_http.go
@@ -0,0 +1,76 @@
+package soak
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"frostdock.example/frostdock/internal/agent"
+)
+
+// lostCommandTime is longer than a controller waits for an agent.
+const lostCommandTime = 2 * time.Second
+
+// minCommandDelay and maxCommandDelay bound how long a command is held up.
+const minCommandDelay, maxCommandDelay = 2 * time.Second, 8 * time.Second
+
+// handle answers a controller: a POST has commands, anything else asks for a heartbeat.
+func (a *fakeAgent) handle(ctx *fasthttp.RequestCtx) {
+	if !a.awaitDelivery(ctx) {
+		return
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.removed {
+		ctx.SetConnectionClose()
+		ctx.SetStatusCode(http.StatusServiceUnavailable)
+		return
+	}
+	a.checkLease(time.Now())
+	status := http.StatusOK
+	if ctx.IsPost() {
+		var request agent.CommandRequest
+		if json.Unmarshal(ctx.PostBody(), &request) != nil {
+			ctx.SetStatusCode(http.StatusBadRequest)
+			return
+		}
+		status = a.obey(request)
+	}
+	respond(ctx, response{status, a.heartbeat()})
+}
+
+// awaitDelivery holds a request up as the faults want, and reports whether the agent gets it.
+// What comes while the machine hangs is carried out when it goes on.
+func (a *fakeAgent) awaitDelivery(ctx *fasthttp.RequestCtx) bool {
+	for {
+		a.mu.Lock()
+		faults := a.faults
+		a.mu.Unlock()
+		if faults.isInboundLost(time.Now()) {
+			a.world.loseRequest(ctx, lostCommandTime)
+			return false
+		}
+		if hung := time.Until(faults.hungUntil); hung > 0 {
+			if !a.world.sleep(hung) {
+				return false
+			}
+			continue
+		}
+		if ctx.IsPost() && faults.lateCommandRate > 0 && a.world.rng.chance(faults.lateCommandRate) {
+			return a.world.sleep(a.world.rng.between(minCommandDelay, maxCommandDelay))
+		}
+		return true
+	}
+}
+
+// obey carries commands out, unless they are of an older leader or for an earlier epoch.
+func (a *fakeAgent) obey(request agent.CommandRequest) (status int) {
+	if request.FencingToken < a.fencingToken || request.Epoch != a.epoch {
+		return http.StatusConflict
+	}
+	a.raiseToken(request.FencingToken)
+	a.execute(request.Commands)
+	return http.StatusOK
+}
--- /dev/null
+++ b/internal/soak/agent_tasks.go
@@ -0,0 +1,150 @@
+package soak
+
+import (
+	"strconv"
+	"strings"
+	"time"
+
+	"frostdock.example/frostdock/internal/agent"
+)
+
+// agentTask is a task on a machine.
+type agentTask struct {
+	id      string
+	jobID   string
+	num     int
+	attempt uint64
+	state   string
+	cause   string
+	dueAt   time.Time // when its image is there, or it completes
+}
+
+// isOnMachine reports whether the task counts as on the machine by the protocol's rules.
+func (t *agentTask) isOnMachine() bool {
+	return t.state == agent.Running || t.state == agent.Checkpointing
+}
+
+// Causes with which an agent refuses a start.
+const (
+	causeNoSuchTask = "no_such"
+	causeNoCapacity = "no_room"
+)
+
+// minPullTime and maxPullTime bound how long an image takes.
+const minPullTime, maxPullTime = 20 * time.Millisecond, 300 * time.Millisecond
+
+// cpuRounding is the rounding error allowed in a machine's sum of CPUs.
+const cpuRounding = 1e-9
+
+// advance moves a task on if its time has come.
+func (a *fakeAgent) advance(task *agentTask, now time.Time) {
+	if now.Before(task.dueAt) || task.state == agent.Ended {
+		return
+	}
+	job := a.world.users.job(task.jobID)
+	switch task.state {
+	case agent.Pulling:
+		a.beginTask(task, now, job.runTime)
+	case agent.Running:
+		if !job.facts.Service {
+			a.endTask(task, agent.CauseDone)
+			a.world.checker.Completed(task.jobID, task.num)
+		}
+	case agent.Checkpointing:
+		a.endTask(task, agent.CauseStopped)
+	}
+}
+
+// beginTask runs a task whose image is there. One that has completed before finds its result and
+// completes at once.
+func (a *fakeAgent) beginTask(task *agentTask, now time.Time, runTime time.Duration) {
+	task.state, a.changed = agent.Running, true
+	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.num)
+	a.world.events.add("task %s attempt %d starts on %s", task.id, task.attempt, a.listed.Name)
+	task.dueAt = now.Add(runTime)
+	if a.world.checker.IsCompleted(task.jobID, task.num) {
+		task.dueAt = now
+	}
+}
+
+func (a *fakeAgent) endTask(task *agentTask, cause string) {
+	a.noteStopped(task)
+	task.state, task.cause, a.changed = agent.Ended, cause, true
+}
+
+// dropTasks ends all tasks without a trace.
+func (a *fakeAgent) dropTasks() {
+	for id, task := range a.tasks {
+		a.noteStopped(task)
+		delete(a.tasks, id)
+	}
+}
+
+func (a *fakeAgent) noteStopped(task *agentTask) {
+	if task.isOnMachine() {
+		a.world.checker.TaskStopped(a.listed.Name, task.jobID, task.num)
+	}
+}
+
+func (a *fakeAgent) execute(commands []agent.Command) {
+	for _, command := range commands {
+		task := a.tasks[command.Task]
+		same := task != nil && task.attempt == command.Attempt
+		switch command.Action {
+		case agent.Start:
+			if !same {
+				a.startTask(command, task)
+			}
+		case agent.Stop:
+			if same && task.state != agent.Ended {
+				a.endTask(task, agent.CauseStopped)
+			}
+		case agent.Remove:
+			if same && task.state == agent.Ended {
+				delete(a.tasks, command.Task)
+				a.changed = true
+			}
+		}
+	}
+}
+
+// startTask obeys a start, unless another attempt of the task is there.
+func (a *fakeAgent) startTask(command agent.Command, previous *agentTask) {
+	if previous != nil && previous.state != agent.Ended {
+		return
+	}
+	jobID, digits, _ := strings.Cut(command.Task, "/")
+	num, err := strconv.Atoi(digits)
+	if err != nil {
+		return
+	}
+	task := &agentTask{id: command.Task, jobID: jobID, num: num, attempt: command.Attempt, state: agent.Pulling}
+	task.dueAt = time.Now().Add(a.world.rng.between(minPullTime, maxPullTime))
+	if cause := a.refusalCause(jobID, num); cause != "" {
+		task.state, task.cause = agent.Ended, cause
+	}
+	a.tasks[command.Task] = task
+	a.changed = true
+}
+
+// refusalCause is why a task can't start here; empty: it can.
+func (a *fakeAgent) refusalCause(jobID string, num int) string {
+	job := a.world.users.job(jobID)
+	switch {
+	case job == nil || num >= job.facts.Tasks:
+		return causeNoSuchTask
+	case a.usedCPUs()+job.facts.CPUs > machineCPUs+cpuRounding:
+		return causeNoCapacity
+	}
+	return ""
+}
+
+func (a *fakeAgent) usedCPUs() float64 {
+	used := 0.0
+	for _, task := range a.tasks {
+		if task.state != agent.Ended {
+			used += a.world.users.job(task.jobID).facts.CPUs
+		}
+	}
+	return used
+}
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -1,7 +1,8 @@
 package soak
 
 import (
-	"strings"
+	"net/http"
+	"slices"
 	"testing"
 	"time"
 )
@@ -23,16 +24,18 @@
 	return h
 }
 
-func (h *history) answer(kind, id string, status int, stage string) *history {
+func (h *history) answer(kind RequestKind, id string, status int, stage Stage) *history {
 	h.checker.Answered(kind, id, status, stage, h.checker.BeforeRequest(id))
 	return h
 }
 
-func (h *history) accept(id string) *history { return h.answer("submit", id, 201, "pending") }
+func (h *history) accept(id string) *history {
+	return h.answer(SubmitRequest, id, http.StatusCreated, StagePending)
+}
 
 func (h *history) cancel(id string) *history {
 	h.checker.CancelRequested(id)
-	return h.answer("abort", id, 200, "cancelled")
+	return h.answer(CancelRequest, id, http.StatusOK, StageCancelled)
 }
 
 func (h *history) started(id string, num int, machine string) *history {
@@ -51,15 +54,40 @@
 	return h
 }
 
-// TestChecker has each check catch a made-up history that breaks it, and pass one that just
-// does not.
-func TestChecker(t *testing.T) {
-	const limit = 10 * time.Second
-	late, early := limit+time.Millisecond, limit
-	for _, tc := range []struct {
-		name, rule string // rule is empty where none is broken
-		play       func(h *history)
-	}{
+// The time for a cancellation in all histories, and moments just after and within it.
+const (
+	limit = 10 * time.Second
+	late  = limit + time.Millisecond
+	early = limit
+)
+
+// checkerCase is a made-up history, and the rule that it breaks.
+type checkerCase struct {
+	name string
+	rule Rule // as it is printed; empty where none is broken
+	play func(h *history)
+}
+
+// testChecker has a checker judge histories.
+func testChecker(t *testing.T, cases []checkerCase) {
+	t.Helper()
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			h := &history{checker: NewChecker(limit, map[string]float64{"red": 4})}
+			h.checker.clock = func() time.Duration { return h.at }
+			tc.play(h)
+			violations := h.checker.Observations().Violations
+			caught := slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == tc.rule })
+			if tc.rule == "" && len(violations) > 0 || tc.rule != "" && !caught {
+				t.Errorf("want %q, got %q", tc.rule, violations)
+			}
+		})
+	}
+}
+
+// TestCheckerPlacement has the checks on tasks on machines catch a history that breaks them, and pass one that just does not.
+func TestCheckerPlacement(t *testing.T) {
+	testChecker(t, []checkerCase{
 		{"twice", "ran_twice", func(h *history) { h.job(JobFacts{ID: "a"}).started("a", 0, "m").started("a", 0, "n") }},
 		{"one after the other", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).started("a", 0, "m").stopped("a", 0, "m").started("a", 0, "n")
@@ -77,6 +105,13 @@
 			h.job(JobFacts{ID: "a", Spot: true})
 			h.checker.TaskStarted("m", "north", true, "a", 0)
 		}},
+		{"nothing ran", "nothing_ran", func(h *history) { h.checker.Finish() }},
+	})
+}
+
+// TestCheckerCancellation has the checks on tasks after a cancellation catch a history that breaks them, and pass one that just does not.
+func TestCheckerCancellation(t *testing.T) {
+	testChecker(t, []checkerCase{
 		{"goes on after cancellation", "ran_cancelled", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").cancel("a").wait(late).checker.CheckDeadlines()
 		}},
@@ -94,6 +129,18 @@
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
 			h.started("a", 0, "m").complete("a", 0, "m").started("b", 0, "m").cancel("a").wait(late).checker.CheckDeadlines()
 		}},
+		{"runs on though nobody knows it", "orphaned", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").cancel("a").checker.Finish()
+		}},
+		{"nothing runs on", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").stopped("a", 0, "m").cancel("a").checker.Finish()
+		}},
+	})
+}
+
+// TestCheckerDependencies has the checks on jobs that need others catch a history that breaks them, and pass one that just does not.
+func TestCheckerDependencies(t *testing.T) {
+	testChecker(t, []checkerCase{
 		{"starts before what it needs", "too_early", func(h *history) {
 			h.job(JobFacts{ID: "a", Tasks: 2}).job(JobFacts{ID: "b", Needs: []string{"a"}}).started("a", 0, "m").complete("a", 0, "m").started("b", 0, "m")
 		}},
@@ -102,59 +149,81 @@
 		}},
 		{"called pending after what it needs was cancelled", "orphaned", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("a").wait(late).answer("poll", "b", 200, "pending")
+			h.cancel("a").wait(late).answer(PollRequest, "b", http.StatusOK, StagePending)
 		}},
 		{"called pending through another", "orphaned", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b").job(JobFacts{ID: "c", Needs: []string{"b"}}).accept("c")
-			h.cancel("a").wait(late).answer("poll", "c", 200, "running")
+			h.cancel("a").wait(late).answer(PollRequest, "c", http.StatusOK, StageRunning)
 		}},
 		{"called pending in time", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("a").wait(early).answer("poll", "b", 200, "pending").answer("poll", "b", 200, "cancelled")
+			h.cancel("a").wait(early).answer(PollRequest, "b", http.StatusOK, StagePending).answer(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
-		{"runs on though nobody knows it", "orphaned", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").cancel("a").checker.Finish()
+		{"cancelled with what it needs", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b").cancel("a").answer(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
-		{"nothing runs on", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").stopped("a", 0, "m").cancel("a").checker.Finish()
+		{"starts before one of two that it needs", "too_early", func(h *history) {
+			h.job(JobFacts{ID: "a"}).job(JobFacts{ID: "b", Tasks: 2}).job(JobFacts{ID: "c", Needs: []string{"a", "b"}})
+			h.started("a", 0, "m").complete("a", 0, "m").started("b", 1, "n").complete("b", 1, "n").started("c", 0, "m")
+		}},
+		{"starts after both that it needs", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).job(JobFacts{ID: "b"}).job(JobFacts{ID: "c", Needs: []string{"a", "b"}})
+			h.started("a", 0, "m").complete("a", 0, "m").started("b", 0, "n").complete("b", 0, "n").started("c", 0, "m")
+		}},
+		{"called pending after what needs it was cancelled", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
+			h.cancel("b").wait(late).answer(PollRequest, "a", http.StatusOK, StagePending)
+		}},
+	})
+}
+
+// TestCheckerAnswers has the checks on answers to users catch a history that breaks them, and pass one that just does not.
+func TestCheckerAnswers(t *testing.T) {
+	testChecker(t, []checkerCase{
+		{"accepted and 404", "forgotten", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusNotFound, "")
+		}},
+		{"404 before it is accepted", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).answer(PollRequest, "a", http.StatusNotFound, "").accept("a")
+		}},
+		{"repeat refused", "forgotten", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
+		}},
+		{"refused at first", "", func(h *history) {
+			h.job(JobFacts{ID: "a"}).answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
+		}},
+		{"of nobody", "invented", func(h *history) { h.answer(PollRequest, "x", http.StatusOK, StagePending) }},
+		{"of nobody, 404", "", func(h *history) { h.answer(PollRequest, "x", http.StatusNotFound, "") }},
+		{"done too soon", "not_done", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusOK, StageDone)
 		}},
-		{"nothing ran", "nothing_ran", func(h *history) { h.checker.Finish() }},
-		{"accepted and 404", "forgotten", func(h *history) { h.job(JobFacts{ID: "a"}).accept("a").answer("poll", "a", 404, "") }},
-		{"404 before it is accepted", "", func(h *history) { h.job(JobFacts{ID: "a"}).answer("poll", "a", 404, "").accept("a") }},
-		{"repeat refused", "forgotten", func(h *history) { h.job(JobFacts{ID: "a"}).accept("a").answer("submit", "a", 422, "") }},
-		{"refused at first", "", func(h *history) { h.job(JobFacts{ID: "a"}).answer("submit", "a", 422, "") }},
-		{"of nobody", "invented", func(h *history) { h.answer("poll", "x", 200, "pending") }},
-		{"of nobody, 404", "", func(h *history) { h.answer("poll", "x", 404, "") }},
-		{"done too soon", "not_done", func(h *history) { h.job(JobFacts{ID: "a"}).accept("a").answer("poll", "a", 200, "done") }},
 		{"done", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m").answer("poll", "a", 200, "done")
+			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m").answer(PollRequest, "a", http.StatusOK, StageDone)
 		}},
 		{"done and pending", "went_back", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m").answer("poll", "a", 200, "done").answer("poll", "a", 200, "pending")
+			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m")
+			h.answer(PollRequest, "a", http.StatusOK, StageDone).answer(PollRequest, "a", http.StatusOK, StagePending)
 		}},
-		{"cancelled by nobody", "went_back", func(h *history) { h.job(JobFacts{ID: "a"}).accept("a").answer("poll", "a", 200, "cancelled") }},
-		{"cancelled with what it needs", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b").cancel("a").answer("poll", "b", 200, "cancelled")
+		{"cancelled by nobody", "went_back", func(h *history) {
+			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusOK, StageCancelled)
 		}},
 		{"overtaken answer", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a")
-			asked := h.checker.BeforeRequest("a")
-			h.cancel("a").checker.Answered("poll", "a", 200, "pending", asked)
+			known := h.checker.BeforeRequest("a")
+			h.cancel("a").checker.Answered(PollRequest, "a", http.StatusOK, StagePending, known)
 		}},
 		{"accepted though it can't run", "accepted_bad", func(h *history) { h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).accept("a") }},
 		{"refused since it can't run", "", func(h *history) {
-			h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).answer("submit", "a", 422, "")
+			h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
 		}},
-		{"no stage", "malformed", func(h *history) { h.job(JobFacts{ID: "a"}).answer("submit", "a", 201, "") }},
-	} {
-		t.Run(tc.name, func(t *testing.T) {
-			h := &history{checker: NewChecker(limit, map[string]float64{"red": 4})}
-			h.checker.clock = func() time.Duration { return h.at }
-			tc.play(h)
-			broken := strings.Join(h.checker.Report().Broken, "\n")
-			if tc.rule == "" && broken != "" || tc.rule != "" && !strings.Contains(broken, " "+tc.rule+": ") {
-				t.Errorf("want %q, got %q", tc.rule, broken)
-			}
-		})
+		{"no stage", "malformed", func(h *history) { h.job(JobFacts{ID: "a"}).answer(SubmitRequest, "a", http.StatusCreated, "") }},
+	})
+}
+
+// TestViolationLine pins the form in which operators read a violation.
+func TestViolationLine(t *testing.T) {
+	violation := Violation{At: 1500 * time.Millisecond, Rule: RuleQuota, Detail: "red uses 5 of 4 CPUs"}
+	if want := "1.500 quota: red uses 5 of 4 CPUs"; violation.String() != want {
+		t.Errorf("want %q, got %q", want, violation)
 	}
 }
--- a/internal/soak/cloud.go
+++ b/internal/soak/cloud.go
@@ -1,99 +1,101 @@
 package soak
 
 import (
-	"encoding/json"
 	"fmt"
 	"maps"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"frostdock.example/frostdock/internal/cloud"
 )
 
-// The machine type and the zones of all runs.
 const (
-	machineType  = "big"
-	machineCPUs  = 8
-	machineMemGB = 32
+	// scaleOutCapacity is how many machines can be had beside those that are there at the start.
+	scaleOutCapacity = 24
+	// minBootTime and maxBootTime bound how long a machine takes to be up.
+	minBootTime, maxBootTime = 200 * time.Millisecond, 3 * time.Second
+	// crashDetectionTime is how long the cloud lists a crashed machine as running.
+	crashDetectionTime = 3 * time.Second
 )
 
-var zones = []string{"north", "south"}
-
-// teamLimits are the CPUs that each team may use; 0: any.
-func teamLimits() map[string]float64 {
-	return map[string]float64{"red": 40, "blue": 0, "green": 60}
-}
-
-// cloud rents machines.
+// fakeCloud creates, lists and deletes machines.
 type fakeCloud struct {
-	world       *world
-	server      *fasthttp.Server
+	world  *world
+	server *httpServer
+
 	mu          sync.Mutex
 	nextMachine int
-	available   int // that can still be rented
+	available   int // that can still be had
 	down        bool
-	scaleOuts   map[string][]string
+	scaleOuts   map[string][]string // names of machines by that of the request, which may be repeated
 	machines    map[string]*machine
 }
 
 type machine struct {
 	listed    cloud.ListedMachine
 	createdAt time.Time
-	worker    *fakeAgent
+	agent     *fakeAgent // nil: it is not up
 }
 
-// scaleOutCapacity is how many machines may be rented beside those that are there at the start.
-const scaleOutCapacity = 24
-
 func newCloud(w *world) (*fakeCloud, error) {
 	c := &fakeCloud{world: w, available: scaleOutCapacity, scaleOuts: map[string][]string{}, machines: map[string]*machine{}}
-	c.server = &fasthttp.Server{Handler: c.handle, Logger: discardLogger{}}
-	return c, serve(w, c.server, w.address(hostCloud, 8443))
+	var err error
+	if c.server, err = w.serve(w.address(hostCloud, cloudPort), c.handle); err != nil {
+		return nil, err
+	}
+	return c, nil
 }
 
-func (c *fakeCloud) close() {
-	_ = c.server.Shutdown()
+// close ends the cloud; its machines end with the run.
+func (c *fakeCloud) close() error { return c.server.close() }
+
+// createRunning makes the machines that are up at the start.
+func (c *fakeCloud) createRunning(count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, row := range c.machines {
-		if row.worker != nil {
-			row.worker.remove()
+	for range count {
+		created := c.create(machineType, zoneOf(c.nextMachine), false)
+		if err := c.bootCompleted(created); err != nil {
+			return err
 		}
 	}
+	return nil
 }
 
-func (c *fakeCloud) nextZone() string { return zones[c.nextMachine%len(zones)] }
-
-// create makes a machine that is up after some time.
-func (c *fakeCloud) create(kind, zone string, spot bool, boot time.Duration) (string, error) {
-	name := fmt.Sprintf("n-%06d", c.nextMachine)
-	row := &machine{createdAt: time.Now()}
-	row.listed = cloud.ListedMachine{Name: name, Addr: c.world.address(hostWorker+c.nextMachine, 9000), Type: kind, Zone: zone, Spot: spot, State: cloud.Starting}
-	c.nextMachine++
-	c.machines[name] = row
-	if boot == 0 {
-		return name, c.bootCompleted(row)
+// create makes a machine that is starting.
+func (c *fakeCloud) create(kind, zone string, spot bool) *machine {
+	created := &machine{
+		createdAt: time.Now(),
+		listed: cloud.ListedMachine{
+			Name: fmt.Sprintf("n-%06d", c.nextMachine), Addr: c.world.address(hostWorker+c.nextMachine, agentPort),
+			Type: kind, Zone: zone, Spot: spot, State: cloud.Starting,
+		},
 	}
-	c.world.after(boot, func() {
+	c.nextMachine++
+	c.machines[created.listed.Name] = created
+	return created
+}
+
+// bootAfter has a machine be up after some time, if it is not deleted by then.
+func (c *fakeCloud) bootAfter(delay time.Duration, booting *machine) {
+	c.world.after(delay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.machines[name] == row {
-			if err := c.bootCompleted(row); err != nil {
-				c.world.events.add("machine %s does not start: %v", name, err)
-			}
+		name := booting.listed.Name
+		if c.machines[name] != booting {
+			return
+		}
+		if err := c.bootCompleted(booting); err != nil {
+			c.world.events.add("machine %s does not start: %v", name, err)
 		}
 	})
-	return name, nil
 }
 
-func (c *fakeCloud) bootCompleted(row *machine) error {
-	row.listed.State = cloud.Running
-	c.world.checker.MachineStarted(row.listed.Name, row.listed.Zone)
-	worker, err := newWorker(c.world, row.listed)
-	row.worker = worker
+func (c *fakeCloud) bootCompleted(booted *machine) error {
+	booted.listed.State = cloud.Running
+	var err error
+	booted.agent, err = newAgent(c.world, booted.listed)
 	return err
 }
 
@@ -101,111 +103,49 @@
 func (c *fakeCloud) crash(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if row := c.machines[name]; row != nil && row.worker != nil {
-		row.worker.remove()
-		row.worker = nil
-		c.world.after(3*time.Second, func() {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			row.listed.State = cloud.Failed
-		})
-	}
-}
-
-// workers lists the machines that are up, in order.
-func (c *fakeCloud) workers() []*fakeAgent {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	var out []*fakeAgent
-	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
-		if worker := c.machines[name].worker; worker != nil {
-			out = append(out, worker)
-		}
-	}
-	return out
-}
-
-func (c *fakeCloud) handle(ctx *fasthttp.RequestCtx) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.down {
-		ctx.SetStatusCode(503)
+	crashed := c.machines[name]
+	if crashed == nil || crashed.agent == nil {
 		return
 	}
-	switch path := string(ctx.Path()); {
-	case path == "/catalog":
-		big := cloud.MachineType{Name: machineType, CPUs: machineCPUs, MemGB: machineMemGB, CacheGB: 50, FetchGBPerSecond: 5, HourlyPrice: 1, SpotHourlyPrice: 0.4, BootSeconds: 2, Zones: zones}
-		respond(ctx, response{200, cloud.Catalog{Types: []cloud.MachineType{big}}})
-	case path == "/machines" && ctx.IsPost():
-		c.scaleOut(ctx)
-	case path == "/machines/delete":
-		var names cloud.MachineNames
-		if json.Unmarshal(ctx.PostBody(), &names) != nil {
-			ctx.SetStatusCode(400)
-			return
-		}
-		for _, name := range names.Names {
-			c.remove(name)
-		}
-	case path == "/machines":
-		c.list(ctx)
-	default:
-		ctx.SetStatusCode(404)
-	}
+	crashed.agent.remove()
+	crashed.agent = nil
+	c.world.after(crashDetectionTime, func() {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		crashed.listed.State = cloud.Failed
+	})
 }
 
-// remove deletes a machine with all that is on it.
-func (c *fakeCloud) remove(name string) {
-	row := c.machines[name]
-	if row == nil {
+// delete removes a machine with all that is on it.
+func (c *fakeCloud) delete(name string) {
+	deleted := c.machines[name]
+	if deleted == nil {
 		return
 	}
-	if row.worker != nil {
-		row.worker.remove()
+	if deleted.agent != nil {
+		deleted.agent.remove()
 	}
 	delete(c.machines, name)
 	c.available++
 	c.world.events.add("machine %s deleted", name)
 }
 
-func (c *fakeCloud) scaleOut(ctx *fasthttp.RequestCtx) {
-	var hire cloud.RentalRequest
-	if json.Unmarshal(ctx.PostBody(), &hire) != nil || hire.Count < 1 || hire.Type != machineType {
-		ctx.SetStatusCode(400)
-		return
-	}
-	if names, ok := c.scaleOuts[hire.Name]; ok {
-		respond(ctx, response{200, cloud.MachineNames{Names: names}})
-		return
-	}
-	count := min(hire.Count, c.available)
-	if count == 0 {
-		ctx.SetStatusCode(503)
-		return
-	}
-	c.available -= count
-	var names []string
-	for range count {
-		name, err := c.create(hire.Type, hire.Zone, hire.Spot, c.world.rng.between(200*time.Millisecond, 3*time.Second))
-		if err != nil {
-			ctx.SetStatusCode(503)
-			return
+// agents lists those of the machines that are up, in order.
+func (c *fakeCloud) agents() []*fakeAgent {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	var up []*fakeAgent
+	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
+		if agent := c.machines[name].agent; agent != nil {
+			up = append(up, agent)
 		}
-		names = append(names, name)
 	}
-	c.scaleOuts[hire.Name] = names
-	respond(ctx, response{200, cloud.MachineNames{Names: names}})
+	return up
 }
 
-func (c *fakeCloud) list(ctx *fasthttp.RequestCtx) {
-	since := string(ctx.QueryArgs().Peek("since"))
-	var page cloud.MachinePage
-	for _, name := range slices.Sorted(maps.Keys(c.machines)) {
-		if name > since {
-			listed := c.machines[name].listed
-			listed.AgeSeconds = time.Since(c.machines[name].createdAt).Seconds()
-			page.Machines = append(page.Machines, listed)
-		}
-	}
-	respond(ctx, response{200, page})
+// setDown begins or ends an outage of the cloud's interface; its machines run on.
+func (c *fakeCloud) setDown(down bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.down = down
 }
--- /dev/null
+++ b/internal/soak/controller_client.go
@@ -0,0 +1,60 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+const (
+	// noAnswer is the status of a request without an answer.
+	noAnswer = 0
+
+	probeInterval = 300 * time.Millisecond
+	probeTimeout  = time.Second
+
+	maxClientConns  = 4096
+	clientIdleLimit = 5 * time.Second
+)
+
+// newClient returns a client that sends each request once: what repeats is the stand-ins' affair.
+func newClient(address string) *fasthttp.HostClient {
+	return &fasthttp.HostClient{Addr: address, MaxConns: maxClientConns, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: clientIdleLimit}
+}
+
+// post sends a request; see call.
+func (p *controllerProcess) post(path string, body any, timeout time.Duration, answer any) int {
+	return p.call(http.MethodPost, path, body, timeout, answer)
+}
+
+// call sends a request, decodes the answer's body into answer unless that is nil, and returns the status.
+func (p *controllerProcess) call(method, path string, body any, timeout time.Duration, answer any) int {
+	request, reply := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(reply)
+	request.Header.SetMethod(method)
+	request.SetRequestURI("http://" + p.client.Addr + path)
+	if body != nil {
+		raw, err := json.Marshal(body)
+		if err != nil {
+			panic(fmt.Sprintf("soak: a request body has no JSON form: %v", err)) // an error of this package
+		}
+		request.SetBody(raw)
+	}
+	if p.client.DoTimeout(request, reply, timeout) != nil {
+		return noAnswer
+	}
+	if answer != nil && len(reply.Body()) > 0 {
+		// A body that is no JSON shows in what the answer lacks: the checker judges an empty stage.
+		_ = json.Unmarshal(reply.Body(), answer)
+	}
+	return reply.StatusCode()
+}
+
+// isHealthy asks for the health as a load balancer does.
+func (p *controllerProcess) isHealthy() bool {
+	return p.call(http.MethodGet, "/ready", nil, probeTimeout, nil) == http.StatusOK
+}
--- /dev/null
+++ b/internal/soak/controller_log.go
@@ -0,0 +1,53 @@
+package soak
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+)
+
+const (
+	// maxFailures is how many failures of a controller are listed.
+	maxFailures = 20
+	// maxLogLineBytes is the longest line that a controller may log.
+	maxLogLineBytes = 1 << 20
+)
+
+// fatalLogLines are what a log must not have: crashes, data races and broken invariants.
+var fatalLogLines = []string{"panic: ", "fatal error: ", "DATA RACE", "invariant violated"}
+
+// complaints lists so many of the fatal lines in the log, and why it could not be read, if so.
+func (p *controllerProcess) complaints(limit int) []string {
+	found, err := findLines(p.logFile.Name(), limit, isFatal)
+	for i, line := range found {
+		found[i] = p.name + ": " + line
+	}
+	if err != nil {
+		found = append(found, fmt.Sprintf("log of %s: %v", p.name, err))
+	}
+	return found
+}
+
+func isFatal(line string) bool {
+	return slices.ContainsFunc(fatalLogLines, func(fatal string) bool { return strings.Contains(line, fatal) })
+}
+
+// findLines returns the first lines of a file that match, up to a limit.
+func findLines(path string, limit int, matches func(line string) bool) (found []string, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	lines := bufio.NewScanner(file)
+	lines.Buffer(nil, maxLogLineBytes)
+	for len(found) < limit && lines.Scan() {
+		if matches(lines.Text()) {
+			found = append(found, lines.Text())
+		}
+	}
+	return found, lines.Err()
+}
--- /dev/null
+++ b/internal/soak/faults_store.go
@@ -0,0 +1,67 @@
+package soak
+
+import "time"
+
+// storeFaultRate is the share of transactions that a fault of the store hits.
+const storeFaultRate = 0.3
+
+// lostRequestsShare is how often a controller's requests are lost in place of refused.
+const lostRequestsShare = 0.4
+
+// slowStoreDelay is the longest delay of a slow store's answers.
+const slowStoreDelay = 600 * time.Millisecond
+
+func (w *world) outage(duration time.Duration) {
+	w.during(duration, func() { w.store.setOutage(true) }, func() { w.store.setOutage(false) })
+}
+
+// refuseRequests has the store refuse one controller, or lose its requests.
+func (w *world) refuseRequests(process *controllerProcess, duration time.Duration) {
+	lost := w.rng.chance(lostRequestsShare)
+	set := func(unavailable, lost bool) {
+		w.store.setFaults(func(faults *storeFaults) {
+			faults.unavailableTo[process.index], faults.requestsLost[process.index] = unavailable, lost
+		})
+	}
+	w.during(duration, func() { set(!lost, lost) }, func() { set(false, false) })
+}
+
+func (w *world) refuseController(duration time.Duration) {
+	w.refuseRequests(w.randomController(), duration)
+	w.cancelRecent(3)
+}
+
+func (w *world) refuseControllerThenAll(duration time.Duration) {
+	w.refuseRequests(w.randomController(), duration)
+	w.after(time.Second, func() { w.cancelRecent(5) })
+	w.after(w.rng.between(time.Second, 2*time.Second), func() { w.outage(duration + 4*time.Second) })
+}
+
+func (w *world) isolateController(duration time.Duration) {
+	process := w.randomController()
+	w.refuseRequests(process, duration)
+	w.network.cutFor(linkPeers, process.index, duration)
+	w.after(2*time.Second, func() { w.cancelRecent(4) })
+}
+
+func (w *world) commitLate(duration time.Duration) {
+	w.storeFaultDuring(duration,
+		func(faults *storeFaults) { faults.lateCommitRate = storeFaultRate },
+		func(faults *storeFaults) { faults.lateCommitRate = 0 })
+}
+
+func (w *world) loseCommitAnswers(duration time.Duration) {
+	w.storeFaultDuring(duration,
+		func(faults *storeFaults) { faults.lostAnswerRate = storeFaultRate },
+		func(faults *storeFaults) { faults.lostAnswerRate = 0 })
+}
+
+func (w *world) slowStore(duration time.Duration) {
+	w.storeFaultDuring(duration,
+		func(faults *storeFaults) { faults.maxDelay = slowStoreDelay },
+		func(faults *storeFaults) { faults.maxDelay = 0 })
+}
+
+func (w *world) storeFaultDuring(duration time.Duration, begin, end func(faults *storeFaults)) {
+	w.during(duration, func() { w.store.setFaults(begin) }, func() { w.store.setFaults(end) })
+}
--- /dev/null
+++ b/internal/soak/httpserver.go
@@ -0,0 +1,87 @@
+package soak
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/valyala/fasthttp"
+)
+
+// shutdownTimeout is how long requests may take to end when a server is closed: longer than the
+// longest delay that a fault gives them.
+const shutdownTimeout = 30 * time.Second
+
+// httpServer is the server of a stand-in.
+type httpServer struct {
+	server   *fasthttp.Server
+	listener net.Listener
+}
+
+// serve answers requests at an address until the server is closed.
+func (w *world) serve(address string, handler fasthttp.RequestHandler) (*httpServer, error) {
+	listener, err := (&net.ListenConfig{}).Listen(w.ctx, "tcp4", address)
+	if err != nil {
+		return nil, fmt.Errorf("listen for a stand-in: %w", err)
+	}
+	s := &httpServer{server: &fasthttp.Server{Handler: handler, Logger: discardLogger{}}, listener: listener}
+	w.spawn(func() {
+		if err := s.server.Serve(listener); err != nil {
+			w.events.add("stand-in at %s stops: %v", address, err)
+		}
+	})
+	return s, nil
+}
+
+// close takes no more connections and waits until the requests at work are answered.
+func (s *httpServer) close() error {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	err := s.server.ShutdownWithContext(ctx)
+	// A server that had not begun to serve does not know its listener.
+	if closeErr := s.listener.Close(); !errors.Is(closeErr, net.ErrClosed) {
+		err = errors.Join(err, closeErr)
+	}
+	if err != nil {
+		return fmt.Errorf("close the stand-in at %s: %w", s.listener.Addr(), err)
+	}
+	return nil
+}
+
+// loseRequest has a client wait in vain. The server can't but answer in the end: the time must be
+// longer than the client waits.
+func (w *world) loseRequest(ctx *fasthttp.RequestCtx, wait time.Duration) {
+	w.sleep(wait)
+	ctx.SetConnectionClose()
+	ctx.SetStatusCode(http.StatusServiceUnavailable)
+}
+
+// response is a status with a body.
+type response struct {
+	status int
+	body   any
+}
+
+func respond(ctx *fasthttp.RequestCtx, answer response) {
+	ctx.SetStatusCode(answer.status)
+	if answer.body == nil {
+		return
+	}
+	raw, err := json.Marshal(answer.body)
+	if err != nil {
+		ctx.SetStatusCode(http.StatusInternalServerError)
+		return
+	}
+	ctx.SetContentType("application/json")
+	ctx.SetBody(raw)
+}
+
+// discardLogger drops the servers' own lines, which tell of the connections that faults cut.
+type discardLogger struct{}
+
+// Printf drops a line.
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/soak/network.go
+++ b/internal/soak/network.go
@@ -1,6 +1,8 @@
 package soak
 
 import (
+	"context"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -10,39 +12,44 @@
 type linkKind int
 
 const (
-	linkHeartbeats       linkKind = iota // reports to the controller
-	linkHeartbeatAnswers                 // its answers to reports
-	linkUserAnswers                      // requests of users
-	linkPeers                            // heartbeats from the controller
+	linkHeartbeats       linkKind = iota // agents' heartbeats to the controller
+	linkHeartbeatAnswers                 // its answers to them
+	linkUserAnswers                      // its answers to users
+	linkPeers                            // heartbeats from and to other controllers
 )
 
-// network are the cuts between the hosts of a run, and what forwards heartbeats.
-type network struct {
-	mu          sync.Mutex
-	cutUntil    map[linkKind]map[int]time.Time
-	listeners   []net.Listener
-	connections map[net.Conn]bool
+// link is a direction at one controller.
+type link struct {
+	kind       linkKind
+	controller int
 }
 
-func newNetwork() *network {
-	return &network{cutUntil: map[linkKind]map[int]time.Time{}, connections: map[net.Conn]bool{}}
+const (
+	relayBufferBytes = 32 << 10
+	dialTimeout      = time.Second
+)
+
+// network is the cuts between the hosts of a run. Stand-ins ask it before they send; what one
+// controller sends another goes through a relay that asks.
+type network struct {
+	mu       sync.Mutex
+	cutUntil map[link]time.Time
 }
 
+func newNetwork() *network { return &network{cutUntil: map[link]time.Time{}} }
+
 // cutFor cuts messages of a kind for some time.
 func (n *network) cutFor(kind linkKind, controller int, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cutUntil[kind] == nil {
-		n.cutUntil[kind] = map[int]time.Time{}
-	}
-	n.cutUntil[kind][controller] = time.Now().Add(duration)
+	n.cutUntil[link{kind, controller}] = time.Now().Add(duration)
 }
 
 // isCut reports whether messages of a kind are cut now.
 func (n *network) isCut(kind linkKind, controller int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Now().Before(n.cutUntil[kind][controller])
+	return time.Now().Before(n.cutUntil[link{kind, controller}])
 }
 
 // heal ends all cuts.
@@ -52,74 +59,67 @@
 	clear(n.cutUntil)
 }
 
-// forward takes connections for one controller from another, and cuts them when either is cut.
-func (n *network) forward(w *world, from, to int, address, target string) error {
-	listener, err := net.Listen("tcp4", address)
+// peerRelay forwards what one controller sends another, and cuts it when either is cut.
+type peerRelay struct {
+	network  *network
+	from, to int
+	target   string
+}
+
+// relayPeers listens at an address for what one controller sends another, until the run is stopped.
+func (w *world) relayPeers(from, to int, address, target string) error {
+	listener, err := (&net.ListenConfig{}).Listen(w.ctx, "tcp4", address)
 	if err != nil {
-		return err
+		return fmt.Errorf("listen for %s's peer: %w", memberName(from), err)
 	}
-	n.mu.Lock()
-	n.listeners = append(n.listeners, listener)
-	n.mu.Unlock()
+	relay := &peerRelay{network: w.network, from: from, to: to, target: target}
 	w.spawn(func() {
+		defer closeWith(w.ctx, listener)()
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			w.spawn(func() { n.relay(conn, from, to, target) })
+			w.spawn(func() { relay.forward(w.ctx, conn) })
 		}
 	})
 	return nil
 }
 
-func (n *network) relay(conn net.Conn, from, to int, target string) {
-	defer conn.Close()
-	if n.isCut(linkPeers, from) || n.isCut(linkPeers, to) {
+func (r *peerRelay) isCut() bool {
+	return r.network.isCut(linkPeers, r.from) || r.network.isCut(linkPeers, r.to)
+}
+
+// forward copies a connection to the target until either side, a cut or the run ends it.
+func (r *peerRelay) forward(ctx context.Context, conn net.Conn) {
+	defer closeWith(ctx, conn)()
+	if r.isCut() {
 		return
 	}
-	out, err := net.DialTimeout("tcp4", target, time.Second)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	out, err := dialer.DialContext(ctx, "tcp4", r.target)
 	if err != nil {
 		return
 	}
-	defer out.Close()
-	n.track(conn, out)
-	defer n.untrack(conn, out)
-	buffer := make([]byte, 32<<10)
+	defer closeWith(ctx, out)()
+	buffer := make([]byte, relayBufferBytes)
 	for {
-		count, err := conn.Read(buffer)
-		if n.isCut(linkPeers, from) || n.isCut(linkPeers, to) {
+		count, readErr := conn.Read(buffer)
+		if r.isCut() {
 			return
 		}
-		if _, werr := out.Write(buffer[:count]); err != nil || werr != nil {
+		if _, writeErr := out.Write(buffer[:count]); readErr != nil || writeErr != nil {
 			return
 		}
 	}
 }
 
-func (n *network) track(conns ...net.Conn) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, conn := range conns {
-		n.connections[conn] = true
-	}
-}
-
-func (n *network) untrack(conns ...net.Conn) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, conn := range conns {
-		delete(n.connections, conn)
-	}
-}
-
-func (n *network) close() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, listener := range n.listeners {
-		_ = listener.Close()
-	}
-	for conn := range n.connections {
-		_ = conn.Close()
+// closeWith closes a socket when the context ends, or before, when the returned function is called. An
+// error of closing is dropped: nothing of the socket is used any more.
+func closeWith(ctx context.Context, socket interface{ Close() error }) (closeNow func()) {
+	stop := context.AfterFunc(ctx, func() { _ = socket.Close() })
+	return func() {
+		stop()
+		_ = socket.Close()
 	}
 }
--- /dev/null
+++ b/internal/soak/random.go
@@ -0,0 +1,53 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"frostdock.example/frostdock/internal/kv"
+)
+
+// randomStream is the second half of the generator's seed; the first is the run's.
+const randomStream = 23
+
+// lockedRand draws for many goroutines from one sequence.
+type lockedRand struct {
+	mu  sync.Mutex
+	rng *rand.Rand
+}
+
+func newRand(seed uint64) *lockedRand {
+	return &lockedRand{rng: rand.New(rand.NewPCG(seed, randomStream))}
+}
+
+// intN draws a number from 0 to n-1.
+func (r *lockedRand) intN(n int) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.IntN(n)
+}
+
+// chance draws whether something of a probability happens.
+func (r *lockedRand) chance(probability float64) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.rng.Float64() < probability
+}
+
+// between draws a time from low to high.
+func (r *lockedRand) between(low, high time.Duration) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return low + time.Duration(r.rng.Float64()*float64(high-low))
+}
+
+// shuffle puts events into an order that is drawn.
+func (r *lockedRand) shuffle(events []kv.Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
+}
+
+// pick draws one of some values.
+func pick[T any](rng *lockedRand, from ...T) T { return from[rng.intN(len(from))] }
--- /dev/null
+++ b/internal/soak/store_http.go
@@ -0,0 +1,227 @@
+package soak
+
+import (
+	"encoding/json"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"frostdock.example/frostdock/internal/kv"
+)
+
+const (
+	// lostRequestTime and lostAnswerTime are longer than a controller waits for the store.
+	lostRequestTime = 6 * time.Second
+	lostAnswerTime  = 3 * time.Second
+	// minCommitDelay and maxCommitDelay bound how late a transaction without an answer is carried out.
+	minCommitDelay, maxCommitDelay = 2 * time.Second, 8 * time.Second
+	// maxListPage keeps pages short, so that copies are read in several.
+	maxListPage = 30
+	// minLeaseTTLMs is the shortest lease.
+	minLeaseTTLMs = 100
+)
+
+// handle answers one controller.
+func (s *fakeStore) handle(ctx *fasthttp.RequestCtx, client int) {
+	s.mu.Lock()
+	lost, maxDelay := s.faults.requestsLost[client], s.faults.maxDelay
+	s.mu.Unlock()
+	if lost {
+		s.world.loseRequest(ctx, lostRequestTime)
+		return
+	}
+	if maxDelay > 0 {
+		s.world.sleep(s.world.rng.between(0, maxDelay))
+	}
+	path := string(ctx.Path())
+	if path == "/changes" {
+		s.watch(ctx, client)
+		return
+	}
+	if path == "/txn" && s.faultyCommit(ctx, client) {
+		return
+	}
+	s.answer(ctx, path, client)
+}
+
+// answer answers at once, within the limits on requests.
+func (s *fakeStore) answer(ctx *fasthttp.RequestCtx, path string, client int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isUnavailable(client) {
+		ctx.SetStatusCode(http.StatusServiceUnavailable)
+		return
+	}
+	if !s.requestBudget.take(s.limits.requestsPerSecond, 1) {
+		ctx.SetStatusCode(http.StatusTooManyRequests)
+		return
+	}
+	switch {
+	case path == "/kv":
+		respond(ctx, response{http.StatusOK, s.list(string(ctx.QueryArgs().Peek("under")), string(ctx.QueryArgs().Peek("since")))})
+	case strings.HasPrefix(path, "/kv/"):
+		respond(ctx, s.get(strings.TrimPrefix(path, "/kv/")))
+	case path == "/txn":
+		respond(ctx, s.commit(ctx.PostBody()))
+	case strings.HasPrefix(path, "/holds"):
+		parts := strings.Split(strings.Trim(path, "/"), "/")
+		respond(ctx, s.answerLease(string(ctx.Method()), parts[1:], ctx.PostBody()))
+	default:
+		ctx.SetStatusCode(http.StatusNotFound)
+	}
+}
+
+// faultyCommit carries a transaction out late or without an answer, if the faults want it.
+func (s *fakeStore) faultyCommit(ctx *fasthttp.RequestCtx, client int) bool {
+	s.mu.Lock()
+	lateRate, lostRate, unavailable := s.faults.lateCommitRate, s.faults.lostAnswerRate, s.isUnavailable(client)
+	s.mu.Unlock()
+	if unavailable {
+		return false
+	}
+	body := slices.Clone(ctx.PostBody())
+	switch {
+	case lateRate > 0 && s.world.rng.chance(lateRate):
+		s.world.after(s.world.rng.between(minCommitDelay, maxCommitDelay), func() { s.commitLate(body, client) })
+	case lostRate > 0 && s.world.rng.chance(lostRate):
+		s.mu.Lock()
+		s.commit(body)
+		s.mu.Unlock()
+	default:
+		return false
+	}
+	s.world.loseRequest(ctx, lostAnswerTime)
+	return true
+}
+
+// commitLate carries a transaction out that its author has given up, if the store takes it then.
+func (s *fakeStore) commitLate(body []byte, client int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.isUnavailable(client) {
+		s.commit(body)
+	}
+}
+
+func (s *fakeStore) get(key string) response {
+	if stored, ok := s.values[key]; ok {
+		return response{http.StatusOK, kv.KeyValue{Key: key, Value: stored.value, ModRevision: stored.revision}}
+	}
+	return response{http.StatusNotFound, revisionBody{Revision: s.revision}}
+}
+
+// listBody is a page of keys and values.
+type listBody struct {
+	Items     []kv.KeyValue `json:"items"`
+	Truncated bool          `json:"truncated"`
+	Revision  uint64        `json:"ledgerRev"`
+}
+
+// list is the next page after a key.
+func (s *fakeStore) list(prefix, since string) listBody {
+	page := listBody{Revision: s.revision, Items: []kv.KeyValue{}}
+	for _, key := range slices.Sorted(maps.Keys(s.values)) {
+		if !strings.HasPrefix(key, prefix) || key <= since {
+			continue
+		}
+		if len(page.Items) == maxListPage {
+			page.Truncated = true
+			break
+		}
+		stored := s.values[key]
+		page.Items = append(page.Items, kv.KeyValue{Key: key, Value: stored.value, ModRevision: stored.revision})
+	}
+	return page
+}
+
+// leaseBody asks for a lease, or tells the one that was given.
+type leaseBody struct {
+	ID    uint64 `json:"permit,omitempty"`
+	TTLMs int64  `json:"ttlMs,omitempty"`
+}
+
+// answerLease gives a lease, or ends or renews one; path is what follows the leases' own path.
+func (s *fakeStore) answerLease(method string, path []string, body []byte) response {
+	if len(path) == 0 {
+		if method != http.MethodPost {
+			return response{status: http.StatusBadRequest}
+		}
+		return s.grantLease(body)
+	}
+	id, err := strconv.ParseUint(path[0], 10, 64)
+	lease := s.leases[id]
+	if err != nil || lease == nil {
+		return response{status: http.StatusNotFound}
+	}
+	if method == http.MethodDelete {
+		s.endLease(id)
+	} else {
+		lease.expiresAt = time.Now().Add(lease.ttl)
+	}
+	return response{status: http.StatusOK}
+}
+
+func (s *fakeStore) grantLease(body []byte) response {
+	var request leaseBody
+	if json.Unmarshal(body, &request) != nil || request.TTLMs < minLeaseTTLMs {
+		return response{status: http.StatusBadRequest}
+	}
+	s.lastLeaseID++
+	ttl := time.Duration(request.TTLMs) * time.Millisecond
+	s.leases[s.lastLeaseID] = &storeLease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	return response{http.StatusOK, leaseBody{ID: s.lastLeaseID}}
+}
+
+// watchBody is what has changed.
+type watchBody struct {
+	Revision uint64     `json:"ledgerRev"`
+	Events   []kv.Event `json:"news"`
+}
+
+// watch answers when something has changed, or the time that the controller gives is over. What it
+// tells is the latest of each key, in an order that is drawn: the protocol promises no other.
+func (s *fakeStore) watch(ctx *fasthttp.RequestCtx, client int) {
+	query := ctx.QueryArgs()
+	prefix := string(query.Peek("under"))
+	since, err := strconv.ParseUint(string(query.Peek("since")), 10, 64)
+	if err != nil {
+		since = 0 // from the beginning
+	}
+	until := time.Now().Add(time.Duration(query.GetUintOrZero("holdMs")) * time.Millisecond)
+	for {
+		body, changed := s.eventsSince(prefix, since, client)
+		if len(body.Events) > 0 || time.Now().After(until) || s.world.isStopped() {
+			s.world.rng.shuffle(body.Events)
+			respond(ctx, response{http.StatusOK, body})
+			return
+		}
+		s.awaitChange(changed, until)
+	}
+}
+
+// eventsSince is what a controller is told now, and a channel that is closed at the next change. To a
+// controller that is refused, nothing seems to have changed.
+func (s *fakeStore) eventsSince(prefix string, since uint64, client int) (watchBody, <-chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.isUnavailable(client) || s.faults.requestsLost[client] {
+		return watchBody{Revision: since, Events: []kv.Event{}}, s.changed
+	}
+	return watchBody{Revision: s.revision, Events: s.changesSince(prefix, since)}, s.changed
+}
+
+// awaitChange waits for a change, until a moment or the end of the run.
+func (s *fakeStore) awaitChange(changed <-chan struct{}, until time.Time) {
+	timer := time.NewTimer(time.Until(until) + time.Millisecond)
+	defer timer.Stop()
+	select {
+	case <-changed:
+	case <-timer.C:
+	case <-s.world.ctx.Done():
+	}
+}
