--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -152,7 +152,8 @@
 			h.cancel("a").wait(late).answer(PollRequest, "b", http.StatusOK, StagePending)
 		}},
 		{"called pending through another", "orphaned", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b").job(JobFacts{ID: "c", Needs: []string{"b"}}).accept("c")
+			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
+			h.job(JobFacts{ID: "c", Needs: []string{"b"}}).accept("c")
 			h.cancel("a").wait(late).answer(PollRequest, "c", http.StatusOK, StageRunning)
 		}},
 		{"called pending in time", "", func(h *history) {
@@ -160,7 +161,8 @@
 			h.cancel("a").wait(early).answer(PollRequest, "b", http.StatusOK, StagePending).answer(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
 		{"cancelled with what it needs", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b").cancel("a").answer(PollRequest, "b", http.StatusOK, StageCancelled)
+			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
+			h.cancel("a").answer(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
 		{"starts before one of two that it needs", "too_early", func(h *history) {
 			h.job(JobFacts{ID: "a"}).job(JobFacts{ID: "b", Tasks: 2}).job(JobFacts{ID: "c", Needs: []string{"a", "b"}})
