--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -37,10 +37,10 @@
 	usable       bool
 	fence        bool
 	decommission bool
-	active       int             // tasks that may be active
-	endingSoon   resources       // room of array tasks that are about to end
-	images       []string        // what a foreign machine's commander says of its images
-	stops        map[taskKey]int // tasks that are to be stopped, and how
+	active       int                         // tasks that may be active
+	endingSoon   resources                   // room of array tasks that are about to end
+	images       []string                    // what a foreign machine's commander says of its images
+	stops        map[taskKey]schema.StopMode // tasks that are to be stopped, and how
 }
 
 // hasImage reports whether the image is on the machine, as far as is known.
@@ -52,9 +52,9 @@
 	return slices.Contains(d.images, image)
 }
 
-func (d *stagedMachine) requestStop(k taskKey, how int) {
+func (d *stagedMachine) requestStop(k taskKey, how schema.StopMode) {
 	if d.stops == nil {
-		d.stops = map[taskKey]int{}
+		d.stops = map[taskKey]schema.StopMode{}
 	}
 	d.stops[k] = how
 }
--- a/internal/schema/before_test.go
+++ b/internal/schema/before_test.go
@@ -6,13 +6,11 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
-	"strings"
 	"testing"
 )
 
 // The files in testdata/before were written by the version in production, which knows
-// FormatBefore. While both versions serve each reads what the other writes.
+// FormatInitial. While both versions serve each reads what the other writes.
 
 func golden[T any](t *testing.T, name string) T {
 	t.Helper()
@@ -31,7 +29,7 @@
 func TestReadsBefore(t *testing.T) {
 	jobShard := golden[JobShard](t, "shelf_large")
 	if len(jobShard.Jobs) != 30 || jobShard.ShardCount != 0 || jobShard.WriteTag != "inc-2" {
-		t.Errorf("shelf: %d jobs, %+v", len(jobShard.Jobs), jobShard.WriteTag)
+		t.Errorf("job shard: %d jobs, %+v", len(jobShard.Jobs), jobShard.WriteTag)
 	}
 	want := Job{ID: "j-000577", Class: "tiles", Team: "red", Priority: 1, Tasks: 2, CPUs: 2, GPUs: 1, MemGB: 7.4, Types: []string{"big", "small"},
 		Zone: "a", Image: "img-01", ImageGB: 1.25, EstimatedSeconds: 40.5, CheckpointIntervalSeconds: 30, CheckpointSeconds: 4, DeadlineSeconds: 900, AcceptedAt: 1e15 + 1}
@@ -44,16 +42,16 @@
 		tasks += len(m.Tasks)
 	}
 	if m := machineShard.Machines[5]; machineShard.Partition != 2 || len(machineShard.Machines) != 20 || tasks != 190 || !m.Decommissioned || m.TokenIncrements != 1 || m.Zone != "b" || m.Tasks[1].StopMode != StopGracefully || m.Tasks[1].DoneTenths != 124 {
-		t.Errorf("group: %d machines, %d tasks, %+v", len(machineShard.Machines), tasks, m)
+		t.Errorf("machine shard: %d machines, %d tasks, %+v", len(machineShard.Machines), tasks, m)
 	}
 	if g := golden[MachineShard](t, "group_small"); g.Handovers != 2 || g.Machines[0].Addr != "10.1.0.2:9000" {
-		t.Errorf("group: %+v", g)
+		t.Errorf("machine shard: %+v", g)
 	}
 	if p := golden[ProgressSegment](t, "pack"); p.Jobs["j-000577"] != (JobProgress{DoneRanges: "0-7,9", AverageSeconds: 41.5, Samples: 9}) {
 		t.Errorf("progress: %+v", p)
 	}
 	if f := golden[Outcome](t, "final_done"); f != (Outcome{State: "done", TasksDone: 16, WriteTag: "inc-6"}) {
-		t.Errorf("end: %+v", f)
+		t.Errorf("outcome: %+v", f)
 	}
 	if p := golden[Partition](t, "part"); p != (Partition{Term: 7, Member: "bay-1", Incarnation: "f00d", WriteTag: "inc-8"}) {
 		t.Errorf("partition: %+v", p)
@@ -167,60 +165,3 @@
 		t.Errorf("%s: %+v, %v", raw, now, err)
 	}
 }
-
-// TestNewFields shows that what is new is stored and read back.
-func TestNewFields(t *testing.T) {
-	in := JobShard{ShardCount: 120, Jobs: []Job{{ID: "j-000412", Needs: JobIDs{"j-000398", "j-7"}}}}
-	raw, err := json.Marshal(in)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out JobShard
-	if err := json.Unmarshal(raw, &out); err != nil || out.ShardCount != 120 || !slices.Equal(out.Jobs[0].Needs, in.Jobs[0].Needs) {
-		t.Errorf("%+v, %v", out, err)
-	}
-	if !strings.Contains(string(PlainJSON(raw)), `"000398,7"`) {
-		t.Errorf("%s is not the short form", PlainJSON(raw))
-	}
-}
-
-// TestFindShard finds every name in exactly one document, also where siblings were split
-// differently: once names of a document whose sibling was split twice were not found.
-func TestFindShard(t *testing.T) {
-	spread := map[int]int{4: 32, 20: 32, 12: 16, 1: 24, 9: 24, 17: 24} // of 8: 4 into 4 and 12, 4 then into 4 and 20; 1 into three
-	levels := []int{32, 24, 16}
-	for id := range 500 {
-		n := FindShard(fmt.Sprintf("n-%06d", id), 8, levels, func(n int) int { return spread[n] })
-		of := max(8, spread[n])
-		if id%of != n {
-			t.Fatalf("%d is not one of document %d of %d", id, n, of)
-		}
-		found := 0
-		for doc := range 32 {
-			s, split := spread[doc]
-			if doc < 8 && !split {
-				s = 8
-			}
-			if s > 0 && id%s == doc {
-				found++
-			}
-		}
-		if found != 1 {
-			t.Fatalf("%d stands in %d documents", id, found)
-		}
-	}
-}
-
-// TestUnion joins sets of tasks as a job's progress stands in two documents for a while.
-func TestUnion(t *testing.T) {
-	for _, tc := range [][3]string{{"0-3,9", "2-5,7", "0-5,7,9"}, {"", "4", "4"}, {"0-3", "4-6", "0-6"}, {"1,3,5", "2,4", "1-5"}} {
-		a, errA := ParseTaskSet(tc[0])
-		b, errB := ParseTaskSet(tc[1])
-		if got := a.Union(b).String(); got != tc[2] || b.Union(a).String() != tc[2] || errA != nil || errB != nil {
-			t.Errorf("%s and %s: %s", tc[0], tc[1], got)
-		}
-		if a.String() != tc[0] {
-			t.Error("Union changed its receiver")
-		}
-	}
-}
--- /dev/null
+++ b/internal/schema/layout_test.go
@@ -0,0 +1,58 @@
+package schema
+
+import (
+	"fmt"
+	"testing"
+)
+
+// TestShardCount shows that the machine shards hold what a thousand machines run.
+func TestShardCount(t *testing.T) {
+	for _, tc := range []struct {
+		valueKB, cpus float64
+		want          int
+	}{
+		{1, 0, 256}, {4, 0, 96}, {16, 0, 24}, {1000, 0, 8},
+		{8, 4800, 12}, {8, 5200, 12}, {8, 7200, 24}, {8, 1e6, 48}, // a fleet that the teams' quotas bound
+		{16, 1376, 12}, {16, 75000, 24}, {1000, 100, 8},
+	} {
+		if got := machineShardCount(tc.valueKB, tc.cpus); got != tc.want {
+			t.Errorf("%v KB, %v CPUs: %d shards, want %d", tc.valueKB, tc.cpus, got, tc.want)
+		}
+	}
+	machines := map[int]int{}
+	for n := range 1000 {
+		machines[MachineShardIndex(fmt.Sprintf("n-%06d", n), 96)]++
+	}
+	for shard, count := range machines {
+		if count > 11 {
+			t.Errorf("machine shard %d has %d machines", shard, count)
+		}
+	}
+}
+
+// TestFindShard finds every name in exactly one document, also where siblings were split
+// differently and one of them twice.
+func TestFindShard(t *testing.T) {
+	counts := map[int]int{4: 32, 20: 32, 12: 16, 1: 24, 9: 24, 17: 24} // of 8: 4 into 4 and 12, 4 then into 4 and 20; 1 into three
+	splitCounts := []int{32, 24, 16}
+	for id := range 500 {
+		n := FindShard(fmt.Sprintf("n-%06d", id), 8, splitCounts, func(n int) int { return counts[n] })
+		count := max(8, counts[n])
+		if id%count != n {
+			t.Fatalf("%d is not one of shard %d of %d", id, n, count)
+		}
+		found := 0
+		for shard := range 32 {
+			count, split := counts[shard]
+			if shard < 8 && !split {
+				count = 8
+			}
+			if count > 0 && id%count == shard {
+				found++
+			}
+		}
+		if found != 1 {
+			t.Fatalf("%d is in %d shards", id, found)
+		}
+	}
+}
--- a/internal/schema/tasks.go
+++ b/internal/schema/tasks.go
@@ -2,139 +2,188 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"slices"
 	"strconv"
 	"strings"
 )
 
-// Tasks is written as text, since a value holds little: for each job, the
-// numbers of its tasks with their attempts. Neighbours that are alike are one
-// range:
+// Task is one attempt of a task, bound to a machine.
+type Task struct {
+	Job        string
+	Index      int
+	Attempt    uint64
+	StopMode   StopMode
+	DoneTenths int // 0: it is not known to be done; else 1 plus the tenths of a second that it ran
+}
+
+// StopMode says whether and how a task is to be stopped. Of two modes the larger one counts.
+type StopMode int
+
+// The modes of stopping a task.
+const (
+	KeepRunning     StopMode = iota
+	StopGracefully           // given the time to save a checkpoint, if it can
+	StopImmediately          // its capacity is needed at once
+)
+
+// Tasks is the tasks on a machine, stored as text: for each job the numbers of its tasks with
+// their attempts, in base 36. Neighbours that are alike in all else are one range:
 //
 //	000412:3-7~1z141z4,9~1z141z5K;000413:0~1z141z4
 //
-// A task's flags follow its attempt: S or K when it is to be stopped, and
-// !TENTHS when it is done.
+// A task's flags follow its attempt: S or K when it is to be stopped, gracefully or immediately,
+// and !N when it is done, N being its DoneTenths.
 type Tasks []Task
 
-const jobPrefix = "j-"
+// Separators and flags of the text form.
+const (
+	jobSeparator      = ';' // between jobs
+	jobEnd            = ':' // between a job and its ranges
+	rangeSeparator    = ',' // between the ranges of a job
+	attemptSeparator  = '~' // between a range and the attempt
+	doneFlag          = '!' // before the DoneTenths
+	gracefulStopFlag  = 'S'
+	immediateStopFlag = 'K'
+	attemptBase       = 36 // digits are in lower case, so a flag is not taken for one
+)
 
-func (t *Task) flagText() string {
-	flags := ""
-	switch t.StopMode {
-	case StopGracefully:
-		flags = "S"
-	case StopImmediately:
-		flags = "K"
-	}
-	if t.DoneTenths > 0 {
-		flags += "!" + strconv.Itoa(t.DoneTenths)
+// errNoAttempt is returned for a range of tasks without an attempt.
+var errNoAttempt = errors.New("no attempt")
+
+// MarshalJSON writes the text form.
+func (ts Tasks) MarshalJSON() ([]byte, error) { return json.Marshal(ts.encode()) }
+
+// UnmarshalJSON reads the text form.
+func (ts *Tasks) UnmarshalJSON(raw []byte) error {
+	var text string
+	if err := json.Unmarshal(raw, &text); err != nil {
+		return fmt.Errorf("decode tasks: %w", err)
 	}
-	return flags
+	parsed, err := parseTasks(text)
+	*ts = parsed
+	return err
 }
 
+// encode writes the text form.
 func (ts Tasks) encode() string {
 	sorted := slices.Clone(ts)
-	slices.SortStableFunc(sorted, func(a, b Task) int {
-		if c := strings.Compare(a.Job, b.Job); c != 0 {
-			return c
-		}
-		return a.Index - b.Index
-	})
-	var b strings.Builder
+	slices.SortStableFunc(sorted, compareTasks)
+	var text []byte
 	for start := 0; start < len(sorted); {
-		first, end := sorted[start], start+1
-		for end < len(sorted) {
-			next := sorted[end]
-			if next.Job != first.Job || next.Index != first.Index+end-start || next.Attempt != first.Attempt || next.StopMode != first.StopMode || next.DoneTenths != first.DoneTenths {
-				break
-			}
+		first, end := &sorted[start], start+1
+		for end < len(sorted) && sorted[end].continues(first, end-start) {
 			end++
 		}
 		switch {
-		case start == 0 || sorted[start-1].Job != first.Job:
-			if start > 0 {
-				b.WriteByte(';')
-			}
-			b.WriteString(strings.TrimPrefix(first.Job, jobPrefix))
-			b.WriteByte(':')
+		case start == 0:
+			text = appendJob(text, first.Job)
+		case sorted[start-1].Job != first.Job:
+			text = appendJob(append(text, jobSeparator), first.Job)
 		default:
-			b.WriteByte(',')
+			text = append(text, rangeSeparator)
 		}
-		b.WriteString(strconv.Itoa(first.Index))
-		if end-start > 1 {
-			b.WriteByte('-')
-			b.WriteString(strconv.Itoa(first.Index + end - start - 1))
-		}
-		b.WriteByte('~')
-		b.WriteString(strconv.FormatUint(first.Attempt, 36))
-		b.WriteString(first.flagText())
+		text = taskRange{first.Index, first.Index + end - start - 1}.appendTo(text)
+		text = first.appendAttempt(text)
 		start = end
 	}
-	return b.String()
+	return string(text)
 }
 
-// MarshalJSON writes the text form.
-func (ts Tasks) MarshalJSON() ([]byte, error) { return json.Marshal(ts.encode()) }
+// compareTasks orders tasks by job and number.
+func compareTasks(a, b Task) int {
+	if byJob := strings.Compare(a.Job, b.Job); byJob != 0 {
+		return byJob
+	}
+	return a.Index - b.Index
+}
 
-// UnmarshalJSON reads the text form.
-func (ts *Tasks) UnmarshalJSON(raw []byte) error {
-	var text string
-	if err := json.Unmarshal(raw, &text); err != nil {
-		return fmt.Errorf("tasks: %w", err)
+// continues reports whether t is the task that many numbers after first, and like it in all else.
+func (t *Task) continues(first *Task, distance int) bool {
+	return t.Job == first.Job && t.Index == first.Index+distance && t.Attempt == first.Attempt &&
+		t.StopMode == first.StopMode && t.DoneTenths == first.DoneTenths
+}
+
+// appendJob appends the id of a job whose ranges follow.
+func appendJob(text []byte, job string) []byte {
+	text = append(text, strings.TrimPrefix(job, jobPrefix)...)
+	return append(text, jobEnd)
+}
+
+// appendAttempt appends the attempt of a task and its flags.
+func (t *Task) appendAttempt(text []byte) []byte {
+	text = append(text, attemptSeparator)
+	text = strconv.AppendUint(text, t.Attempt, attemptBase)
+	switch t.StopMode {
+	case StopGracefully:
+		text = append(text, gracefulStopFlag)
+	case StopImmediately:
+		text = append(text, immediateStopFlag)
+	case KeepRunning:
 	}
-	parsed, err := ParseTasks(text)
-	*ts = parsed
-	return err
+	if t.DoneTenths > 0 {
+		text = append(text, doneFlag)
+		text = strconv.AppendInt(text, int64(t.DoneTenths), 10)
+	}
+	return text
 }
 
-// ParseTasks reads the text form.
-func ParseTasks(text string) (Tasks, error) {
+// parseTasks reads the text form.
+func parseTasks(text string) (Tasks, error) {
 	var tasks Tasks
 	if text == "" {
 		return tasks, nil
 	}
-	for _, jobText := range strings.Split(text, ";") {
-		job, ranges, ok := strings.Cut(jobText, ":")
-		if !ok {
-			return nil, fmt.Errorf("tasks: no job in %q", jobText)
+	for _, jobText := range strings.Split(text, string(jobSeparator)) {
+		job, ranges, found := strings.Cut(jobText, string(jobEnd))
+		if !found {
+			return nil, fmt.Errorf("parse tasks: no job in %q", jobText)
 		}
-		for _, rangeText := range strings.Split(ranges, ",") {
-			indexes, attemptText, ok := strings.Cut(rangeText, "~")
-			if !ok {
-				return nil, fmt.Errorf("tasks: no attempt in %q", rangeText)
-			}
-			task := Task{Job: jobPrefix + job}
+		for _, rangeText := range strings.Split(ranges, string(rangeSeparator)) {
 			var err error
-			if remainder, tenths, ok := strings.Cut(attemptText, "!"); ok {
-				attemptText = remainder
-				if task.DoneTenths, err = strconv.Atoi(tenths); err != nil {
-					return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
-				}
-			}
-			if trimmed, ok := strings.CutSuffix(attemptText, "S"); ok {
-				attemptText, task.StopMode = trimmed, StopGracefully
-			} else if trimmed, ok := strings.CutSuffix(attemptText, "K"); ok {
-				attemptText, task.StopMode = trimmed, StopImmediately
-			}
-			if task.Attempt, err = strconv.ParseUint(attemptText, 36, 64); err != nil {
-				return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
-			}
-			firstText, lastText, isRange := strings.Cut(indexes, "-")
-			if task.Index, err = strconv.Atoi(firstText); err != nil {
-				return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
-			}
-			last := task.Index
-			if isRange {
-				if last, err = strconv.Atoi(lastText); err != nil {
-					return nil, fmt.Errorf("tasks: %q: %w", rangeText, err)
-				}
-			}
-			for ; task.Index <= last; task.Index++ {
-				tasks = append(tasks, task)
+			if tasks, err = appendParsed(tasks, jobPrefix+job, rangeText); err != nil {
+				return nil, fmt.Errorf("parse tasks: %q: %w", rangeText, err)
 			}
 		}
 	}
 	return tasks, nil
 }
+
+// appendParsed appends the tasks of one range of a job.
+func appendParsed(tasks Tasks, job, rangeText string) (Tasks, error) {
+	indexText, attemptText, found := strings.Cut(rangeText, string(attemptSeparator))
+	if !found {
+		return nil, errNoAttempt
+	}
+	task := Task{Job: job}
+	if err := task.parseAttempt(attemptText); err != nil {
+		return nil, err
+	}
+	numbers, err := parseTaskRange(indexText)
+	if err != nil {
+		return nil, err
+	}
+	for task.Index = numbers.first; task.Index <= numbers.last; task.Index++ {
+		tasks = append(tasks, task)
+	}
+	return tasks, nil
+}
+
+// parseAttempt reads what appendAttempt writes after the separator.
+func (t *Task) parseAttempt(text string) error {
+	var err error
+	text, tenthsText, isDone := strings.Cut(text, string(doneFlag))
+	if isDone {
+		if t.DoneTenths, err = strconv.Atoi(tenthsText); err != nil {
+			return err
+		}
+	}
+	if attemptText, found := strings.CutSuffix(text, string(gracefulStopFlag)); found {
+		text, t.StopMode = attemptText, StopGracefully
+	} else if attemptText, found := strings.CutSuffix(text, string(immediateStopFlag)); found {
+		text, t.StopMode = attemptText, StopImmediately
+	}
+	t.Attempt, err = strconv.ParseUint(text, attemptBase, 64)
+	return err
+}
