--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -1,79 +1,104 @@
-// Package kv is the protocol of the consensus-backed key-value store: compare-and-swap transactions, leases and
-// watches, as requests and responses. It knows nothing of what is stored.
+// Package kv is the protocol of the key-value store that all controllers share: the requests, the
+// answers, and what they promise. It holds no client and no policy: package server carries the
+// calls over HTTP, package controller decides what to do with the answers.
+//
+// Revisions. The store counts its changes; the count is its revision. Every successful transaction
+// that has operations raises it by one. The mod revision of a key is the revision at which the key
+// was last written; a key that does not exist has mod revision 0.
+//
+// Transactions. All operations of a transaction are applied at once, and only if all of its
+// conditions are true then. A condition compares the mod revision of one key, so a
+// transaction with a condition on a key that it writes is a compare-and-swap. A
+// transaction without operations only checks its conditions.
+//
+// Leases. A key may be attached to a lease; it is deleted when the lease expires. A lease expires
+// when its time to live has passed since it was granted or last renewed.
+//
+// Watches. A watch answers with all changes under a prefix after a given revision, in order,
+// or with none when it has waited for as long as it was asked to. The store forgets old changes:
+// a watch from before them is refused, and the watcher must list the keys again.
+//
+// Absent answers. A connection may fail after the store has read a request. StatusUnknown therefore
+// means that the request may have been carried out, may be carried out later, or never. Whoever
+// needs to know which must read it from the store.
+//
+// The names in the JSON tags are the store's own and are not used elsewhere.
 package kv
 
 import "encoding/json"
 
-// Condition demands that a key has the stated stamp; zero: that it does not exist.
+// Condition demands that a key has a mod revision; 0: that it does not exist.
 type Condition struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
 }
 
-// Operation sets or deletes a key.
+// Operation sets the key Set to Value, or deletes the key Delete.
 type Operation struct {
 	Set     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"v,omitempty"`
-	LeaseID uint64          `json:"permit,omitempty"`
+	LeaseID uint64          `json:"permit,omitempty"` // the lease that Set is attached to; 0: none
 	Delete  string          `json:"delete,omitempty"`
 }
 
-// Txn is one atomic change.
+// Txn is a transaction.
 type Txn struct {
 	Conditions []Condition `json:"guards"`
 	Operations []Operation `json:"apply,omitempty"`
 }
 
-// KeyValue is a key with its value.
+// KeyValue is a key as it is in the store.
 type KeyValue struct {
 	Key         string          `json:"key"`
 	Value       json.RawMessage `json:"v"`
 	ModRevision uint64          `json:"stamp"`
 }
 
-// Event is one change of a watch.
+// Event is a change that a watch tells of: the key Set was set to Value, or the key Delete deleted.
 type Event struct {
 	Set         string          `json:"set,omitempty"`
 	Delete      string          `json:"delete,omitempty"`
 	Value       json.RawMessage `json:"v,omitempty"`
-	ModRevision uint64          `json:"stamp"`
+	ModRevision uint64          `json:"stamp"` // the revision of the change
 }
 
 // RequestKind says which call a Request makes.
 type RequestKind int
 
-// The calls of the state service.
+// The calls of the store.
 const (
-	Get RequestKind = iota
-	List
-	Transact
-	GrantLease
-	RenewLease
-	Watch
+	Get        RequestKind = iota // reads Key
+	List                          // reads one page of the keys under the prefix Key, in order, after the key After
+	Transact                      // carries out Txn
+	GrantLease                    // makes a lease that lives for TTLMillis
+	RenewLease                    // gives the lease LeaseID its full time to live again
+	Watch                         // waits up to WaitMillis for changes under the prefix Key after Revision
 )
 
-// Request is one call.
+// Request is one call. Only the fields that the comment of its kind names are used.
 type Request struct {
 	Kind       RequestKind
-	Key        string // Get; List and Watch: prefix
-	After      string // List
+	Key        string // Get; the prefix of List and Watch
+	After      string // List; empty: from the first key on
 	Revision   uint64 // Watch
-	Txn        *Txn
-	TTLMillis  int64
-	WaitMillis int64
-	LeaseID    uint64
+	Txn        *Txn   // Transact
+	TTLMillis  int64  // GrantLease
+	WaitMillis int64  // Watch
+	LeaseID    uint64 // RenewLease
 }
 
 // Response is the answer to a Request.
 type Response struct {
-	Status     Status     `json:"-"`
-	Revision   uint64     `json:"ledgerRev"`
-	FailedKeys []string   `json:"failed"`
-	LeaseID    uint64     `json:"permit"`
-	Items      []KeyValue `json:"items"`
-	Truncated  bool       `json:"truncated"`
-	Events     []Event    `json:"news"`
+	Status Status `json:"-"`
+
+	Revision   uint64     `json:"ledgerRev"` // of the store when it answered; of Transact, also the mod revision of all keys it set
+	FailedKeys []string   `json:"failed"`    // Transact: the keys of the conditions that were false
+	LeaseID    uint64     `json:"permit"`    // GrantLease
+	Items      []KeyValue `json:"items"`     // List: one page
+	Truncated  bool       `json:"truncated"` // List: more keys follow the last item
+	Events     []Event    `json:"news"`      // Watch
 
+	// Get: the key that was found.
 	Key         string          `json:"key"`
 	Value       json.RawMessage `json:"v"`
 	ModRevision uint64          `json:"stamp"`
