--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"slices"
 	"strings"
 	"testing"
@@ -11,6 +12,7 @@
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"pattern":"img-07","sizeGb":6.2,"stocks":["g8"],"yard":null,
  "samePlace":true,"spread":false,"loaners":true,"sawS":240.0,"stackS":30.0,"stowS":4.0,"dueS":900.0,"later":1}`
 
+// TestParse reads a submission, and of malformed ones the id where it can be read.
 func TestParse(t *testing.T) {
 	j, id, err := Parse([]byte(validSubmission))
 	if err != nil || id != "j-000412" || j.Tasks != 16 || j.Priority != 2 || !j.OneZone || j.Zone != "" || j.DeadlineSeconds != 900 {
@@ -37,6 +39,30 @@
 	}
 }
 
+// TestMalformedError names the field that is wrong, in the text that users see.
+func TestMalformedError(t *testing.T) {
+	for _, tc := range []struct{ old, new, field, text string }{
+		{validSubmission, `null`, "", "not an object"},
+		{validSubmission, `[1]`, "", "not a JSON object: json: cannot unmarshal array into Go value of type map[string]json.RawMessage"},
+		{validSubmission, validSubmission + "x", "", "trailing data"},
+		{`"j-000412"`, `"x-1"`, "uid", "uid: missing or not of the form j-000412"},
+		{`"cpus":8.0`, `"cpus":0`, "cpus", "cpus: must be above 0"},
+		{`"cpus":8.0`, `"cpus":-1`, "cpus", "cpus: out of range"},
+		{`"sawS":240.0,`, ``, "sawS", "sawS: missing"},
+		{`"array"`, `"gang"`, "cut", "cut: unknown"},
+		{`"urgent"`, `null`, "grade", "grade: missing, empty or too long"},
+		{`"pieces":16`, `"pieces":0`, "pieces", "pieces: missing or not from 1 to 100000"},
+		{`"later":1`, `"waitsOn":["x-1"]`, "waitsOn", `waitsOn: "x-1" is not of the form j-000412`},
+		{`"crew":"vision","cut":"array"`, `"crew":"","cut":""`, "crew", "crew: missing, empty or too long"}, // of two, the first
+	} {
+		_, _, err := Parse([]byte(strings.Replace(validSubmission, tc.old, tc.new, 1)))
+		var malformed *MalformedError
+		if !errors.As(err, &malformed) || malformed.Field != tc.field || err.Error() != tc.text {
+			t.Errorf("%.60q: %v, want %q", tc.new, err, tc.text)
+		}
+	}
+}
+
 // TestNeeds reads which jobs a submission waits for: none, null and repeats are normal.
 func TestNeeds(t *testing.T) {
 	for text, want := range map[string][]string{
