--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,65 +1,38 @@
-// Package dag keeps the graph of jobs that wait for other jobs: which of them may
-// start, which are cancelled because a job that they need is, and which priority and
-// deadline each takes over from the jobs that need it. It is pure, and each change costs
-// as much as the edges that it concerns.
+// Package dag keeps the graph of jobs that need other jobs: which of them may start, which are
+// cancelled because a job that they need is cancelled, and which priority and deadline each
+// inherits from the jobs that need it.
 //
-// An end is durable and never changes, so everything that is derived from ends is
-// monotone: a job that is ready stays ready, and one that is cancelled stays cancelled.
+// A Graph holds the accepted jobs that are not over, and what those need. Its user tells it of every
+// job that is accepted (Add) or over (Remove) and of every stored outcome that it learns of
+// (RecordOutcome); the graph answers with what follows. To be told something again changes nothing.
+// It never reads or writes the store, has no clock and starts no goroutines, and must not be used by
+// two goroutines at once. Answers do not depend on the order of map iteration.
+//
+// A stored outcome never changes, so what is derived from outcomes is monotone: a job that is
+// ready stays ready, and one that is cancelled stays cancelled. A job is accepted only after
+// the jobs that it needs, so the graph has no cycles.
+//
+// Between calls these hold:
+//
+//   - a job has a node if and only if it is accepted or an accepted job needs it;
+//   - edges are known at both ends: b is among the needs of a if and only if a is among the
+//     dependents of b, and then a is accepted;
+//   - unmet counts the needs of a node that are not known to be done;
+//   - unresolved holds the nodes that are not accepted and whose outcome is not known;
+//   - an accepted job that needs a cancelled one is cancelled;
+//   - a pending node has the highest priority and the earliest deadline of its own job and its
+//     pending dependents.
+//
+// A change costs as much as the edges that it concerns, however many jobs there are.
 package dag
 
-import (
-	"cmp"
-	"maps"
-	"slices"
-
-	"frostdock.example/frostdock/internal/units"
-)
-
-// State is how a job ended, as far as is known.
-type State int
-
-// Outcomes of a job.
-const (
-	Pending   State = iota // not over, or its end is not known here
-	Done                   // all of its tasks are done, and that is stored
-	Cancelled              // cancelled itself, or because of a job that it needs
-)
-
-// Outcome is a durable end of a job.
-type Outcome struct {
-	State State
-	At    units.Micros // time of day at which it was stored; 0: not known
-}
-
-// Job is what the graph has to know of an accepted job.
-type Job struct {
-	ID       string
-	Needs    []string // jobs that must be done before it starts
-	Priority int
-	DueAt    units.Micros // time of day of its deadline; 0: it has none
-}
-
-// Node is one job of the graph. It is there while the job is accepted and not over, or
-// while another job needs it.
-type Node struct {
-	id          string
-	accepted    bool // an accepted job that is not over
-	job         Job
-	needs       []*Node
-	dependents  map[*Node]bool
-	outcome     Outcome
-	cancelledBy string       // the needed job whose cancellation cancelled this one; empty: none
-	unmet       int          // of needs, those that are not known to be done
-	readyAt     units.Micros // when the latest of the needs was done
-	priority    int          // the highest of its own and those of all that need it
-	dueAt       units.Micros // the earliest of its own and those of all that need it; 0: none
-}
+import "slices"
 
 // Graph is the graph of all accepted jobs that are not over.
 type Graph struct {
 	nodes      map[string]*Node
-	unresolved map[string]bool // needed, not accepted jobs that are not over, end not known
-	visited    int             // nodes looked at so far: the work done, counted
+	unresolved map[string]bool // needed jobs that are not accepted and whose outcome is not known
+	visited    int             // nodes looked at so far, as a measure of the work done
 }
 
 // New returns an empty graph.
@@ -68,59 +41,52 @@
 // Node is the node of a job, or nil.
 func (g *Graph) Node(id string) *Node { return g.nodes[id] }
 
-// Visited counts the nodes that have been looked at since the graph was made.
-func (g *Graph) Visited() int { return g.visited }
-
-// Ready reports whether all jobs that this one needs are done. A nil node needs none.
-func (n *Node) Ready() bool { return n == nil || n.unmet == 0 && n.outcome.State != Cancelled }
-
-// Cancelled reports whether the job is cancelled, itself or because of another.
-func (n *Node) Cancelled() bool { return n != nil && n.outcome.State == Cancelled }
-
-// CancelledBy names the needed job whose cancellation cancelled this one; empty if none did.
-func (n *Node) CancelledBy() string {
-	if n == nil {
-		return ""
+// Add enters an accepted job that is not over. lookup returns the outcome of a needed job, if it is
+// known; what it knows must have been given to RecordOutcome as well, when it was learnt, so that
+// the jobs that were in the graph by then know it too. Add returns the jobs that are now known to be
+// cancelled.
+func (g *Graph) Add(job Job, lookup func(id string) (Outcome, bool)) []string {
+	node := g.getOrCreate(job.ID)
+	if node.accepted {
+		return nil
 	}
-	return n.cancelledBy
-}
-
-// ReadyAt is the time of day at which the last needed job was done; 0: nothing was needed.
-func (n *Node) ReadyAt() units.Micros {
-	if n == nil {
-		return 0
+	node.accepted, node.job = true, job
+	delete(g.unresolved, job.ID)
+	for _, id := range job.Needs {
+		g.addNeed(node, id, lookup)
 	}
-	return n.readyAt
-}
-
-// Priority is the highest priority of the job and all that need it.
-func (n *Node) Priority() int { return n.priority }
-
-// DueAt is the earliest deadline, as a time of day, of the job and all that need it; 0: none.
-func (n *Node) DueAt() units.Micros {
-	if n == nil {
-		return 0
+	g.updateInherited(node)
+	for _, need := range node.needs {
+		if need.outcome.State == Cancelled {
+			return g.cancel(node, need.id)
+		}
 	}
-	return n.dueAt
+	return nil
 }
 
-// HasDependents reports whether another job needs this one.
-func (n *Node) HasDependents() bool { return n != nil && len(n.dependents) > 0 }
-
-// UnmetNeeds lists the needed jobs that are not known to be done.
-func (n *Node) UnmetNeeds() []string {
-	if n == nil {
-		return nil
+// addNeed adds the edge from a node to a job that it needs, unless it is there already.
+func (g *Graph) addNeed(node *Node, id string, lookup func(id string) (Outcome, bool)) {
+	need := g.getOrCreate(id)
+	if need.dependents[node] { // named twice
+		return
 	}
-	var unmet []string
-	for _, need := range n.needs {
-		if need.outcome.State != Done {
-			unmet = append(unmet, need.id)
+	node.needs = append(node.needs, need)
+	need.dependents[node] = true
+	if need.outcome.State == Pending && !need.accepted {
+		if outcome, known := lookup(id); known {
+			need.outcome = outcome
+		} else {
+			g.unresolved[id] = true
 		}
 	}
-	return unmet
+	if need.outcome.State == Done {
+		node.readyAt = max(node.readyAt, need.outcome.At)
+	} else {
+		node.unmet++
+	}
 }
 
+// getOrCreate is the node of a job, a new one if there was none.
 func (g *Graph) getOrCreate(id string) *Node {
 	node := g.nodes[id]
 	if node == nil {
@@ -130,47 +96,8 @@
 	return node
 }
 
-// Add enters an accepted job that is not over. ends tells the ends that are known of jobs
-// which are not in the graph. It returns the jobs that are now known to be cancelled.
-func (g *Graph) Add(job Job, lookup func(id string) (Outcome, bool)) []string {
-	node := g.getOrCreate(job.ID)
-	if node.accepted {
-		return nil
-	}
-	node.accepted, node.job = true, job
-	delete(g.unresolved, job.ID)
-	for _, id := range job.Needs {
-		need := g.getOrCreate(id)
-		if need.dependents[node] { // named twice
-			continue
-		}
-		node.needs = append(node.needs, need)
-		need.dependents[node] = true
-		if need.outcome.State == Pending && !need.accepted {
-			if outcome, ok := lookup(id); ok {
-				need.outcome = outcome
-			} else {
-				g.unresolved[id] = true
-			}
-		}
-		switch need.outcome.State {
-		case Done:
-			node.readyAt = max(node.readyAt, need.outcome.At)
-		default:
-			node.unmet++
-		}
-	}
-	g.updateInherited(node)
-	for _, need := range node.needs {
-		if need.outcome.State == Cancelled {
-			return g.cancel(node, need.id)
-		}
-	}
-	return nil
-}
-
-// Remove takes a job out that is no longer among the accepted ones: it is over. Its end
-// must be given to Ended, or is to be read, while another job needs it.
+// Remove takes out a job that is no longer among the accepted ones: it is over. While another job
+// needs it and its outcome is not known, it is among the Unresolved.
 func (g *Graph) Remove(id string) {
 	node := g.nodes[id]
 	if node == nil || !node.accepted {
@@ -189,7 +116,7 @@
 	g.removeIfUnreferenced(node)
 }
 
-// removeIfUnreferenced drops a node that nothing refers to any more.
+// removeIfUnreferenced drops a node that is not accepted and that no job needs any more.
 func (g *Graph) removeIfUnreferenced(node *Node) {
 	if !node.accepted && len(node.dependents) == 0 {
 		delete(g.nodes, node.id)
@@ -197,8 +124,8 @@
 	}
 }
 
-// RecordOutcome takes a durable end. It returns the accepted jobs that are now known to be
-// cancelled because of it, and those that may now start.
+// RecordOutcome takes a stored outcome. It returns the jobs that are now known to be cancelled
+// because of it, and those that may now start.
 func (g *Graph) RecordOutcome(id string, outcome Outcome) (cancelled, ready []string) {
 	node := g.nodes[id]
 	if node == nil || node.outcome.State != Pending || outcome.State == Pending {
@@ -208,6 +135,12 @@
 	if outcome.State == Cancelled {
 		return g.cancel(node, ""), nil
 	}
+	return nil, g.complete(node, outcome)
+}
+
+// complete marks a job as done. It returns the jobs that may now start.
+func (g *Graph) complete(node *Node, outcome Outcome) []string {
+	var ready []string
 	node.outcome = outcome
 	for _, dependent := range node.sortedDependents() {
 		g.visited++
@@ -217,14 +150,14 @@
 			ready = append(ready, dependent.id)
 		}
 	}
-	return nil, ready
+	return ready
 }
 
 // cancel marks a job and all that need it, directly or through others, as cancelled. It
-// returns those that are so because of another.
+// returns those that are cancelled because of another: first too, if cancelledBy is not empty.
 func (g *Graph) cancel(first *Node, cancelledBy string) []string {
 	var cancelled []string
-	first.outcome, first.cancelledBy = Outcome{State: Cancelled}, cancelledBy
+	first.markCancelled(cancelledBy)
 	if cancelledBy != "" {
 		cancelled = append(cancelled, first.id)
 	}
@@ -237,7 +170,7 @@
 			if dependent.outcome.State == Cancelled {
 				continue
 			}
-			dependent.outcome, dependent.cancelledBy = Outcome{State: Cancelled}, node.id
+			dependent.markCancelled(node.id)
 			cancelled = append(cancelled, dependent.id)
 			queue = append(queue, dependent)
 		}
@@ -248,46 +181,8 @@
 	return cancelled
 }
 
-// sortedDependents lists the jobs that need this one in the order of their ids, so that runs repeat.
-func (n *Node) sortedDependents() []*Node {
-	return slices.SortedFunc(maps.Keys(n.dependents), func(a, b *Node) int { return cmp.Compare(a.id, b.id) })
-}
-
-// withdrawInherited takes away what a job took over from a dependent that counts no more.
-func (g *Graph) withdrawInherited(node, dependent *Node) {
-	if node.outcome.State == Pending && (dependent.priority == node.priority || dependent.dueAt == node.dueAt) {
-		g.updateInherited(node)
-	}
-}
-
-// updateInherited works out which priority and deadline a job takes over, and passes changes on to
-// the jobs that it needs.
-func (g *Graph) updateInherited(first *Node) {
-	queue := []*Node{first}
-	for len(queue) > 0 {
-		node := queue[0]
-		queue = queue[1:]
-		g.visited++
-		priority, dueAt := node.job.Priority, node.job.DueAt
-		for dependent := range node.dependents {
-			if dependent.outcome.State != Pending {
-				continue
-			}
-			priority = max(priority, dependent.priority)
-			if dependent.dueAt > 0 && (dueAt == 0 || dependent.dueAt < dueAt) {
-				dueAt = dependent.dueAt
-			}
-		}
-		if priority == node.priority && dueAt == node.dueAt {
-			continue
-		}
-		node.priority, node.dueAt = priority, dueAt
-		queue = append(queue, node.needs...)
-	}
-}
-
-// Unresolved lists needed jobs that are over and whose ends are not known here, in order,
-// at most so many.
+// Unresolved lists needed jobs that are over and whose outcomes have to be looked up: the first
+// ones in the order of their ids, at most limit.
 func (g *Graph) Unresolved(limit int) []string {
 	var ids []string
 	for id := range g.unresolved {
@@ -297,8 +192,8 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// Resolved reports whether the job's state follows from ends that are known: no job that it
-// needs, directly or through others, still has to be looked up.
+// Resolved reports whether the job's state follows from known outcomes: no job that it needs,
+// directly or through others, is among the Unresolved.
 func (g *Graph) Resolved(id string) bool {
 	first := g.nodes[id]
 	if first == nil || len(g.unresolved) == 0 {
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -4,14 +4,16 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"testing"
 
 	"frostdock.example/frostdock/internal/units"
 )
 
-// noOutcome is a store of ends in which none is found.
+// noOutcome looks outcomes up where none is known.
 func noOutcome(string) (Outcome, bool) { return Outcome{}, false }
 
+// build returns a graph of jobs of which none is cancelled.
 func build(t *testing.T, jobs ...Job) *Graph {
 	t.Helper()
 	g := New()
@@ -31,7 +33,7 @@
 		t.Fatal("c is ready, or a is not")
 	}
 	g.RecordOutcome("a", Outcome{Done, 5})
-	g.RecordOutcome("a", Outcome{Done, 99}) // an end never changes
+	g.RecordOutcome("a", Outcome{Done, 99}) // an outcome never changes
 	g.Remove("a")
 	if n := g.Node("c"); n.Ready() || !slices.Equal(n.UnmetNeeds(), []string{"b"}) {
 		t.Fatalf("c is ready, or waits for %v", n.UnmetNeeds())
@@ -47,8 +49,8 @@
 	}
 }
 
-// TestOutcomeBeforeAdd has ends arrive before the jobs that need them, as they do when a copy
-// of the store is loaded.
+// TestOutcomeBeforeAdd has outcomes arrive before the jobs that need them, as they do when a
+// replica is loaded.
 func TestOutcomeBeforeAdd(t *testing.T) {
 	g := New()
 	g.Add(Job{ID: "c", Needs: []string{"a", "b"}}, func(id string) (Outcome, bool) { return Outcome{Done, 7}, id == "a" })
@@ -66,7 +68,7 @@
 	if len(g.Unresolved(9)) > 0 {
 		t.Error("something is still to be read")
 	}
-	// One that is entered after all is not to be read, and one that left is, while it is needed.
+	// A job that is added after all has no outcome to read; one that was removed has, while it is needed.
 	g.Add(Job{ID: "f", Needs: []string{"e"}}, noOutcome)
 	g.Add(Job{ID: "e"}, noOutcome)
 	if len(g.Unresolved(9)) > 0 {
@@ -74,12 +76,12 @@
 	}
 	g.Remove("e")
 	if !slices.Equal(g.Unresolved(9), []string{"e"}) {
-		t.Error("e has left, and its end is not asked for")
+		t.Error("e has left, and its outcome is not asked for")
 	}
 }
 
 // TestCancelled carries a cancellation to all that need the job, several parents with
-// different ends and jobs entered afterwards included.
+// different outcomes and jobs added afterwards included.
 func TestCancelled(t *testing.T) {
 	g := build(t, Job{ID: "a"}, Job{ID: "b"}, Job{ID: "c", Needs: []string{"a", "b"}}, Job{ID: "d", Needs: []string{"c"}}, Job{ID: "e", Needs: []string{"b"}})
 	g.RecordOutcome("b", Outcome{Done, 1})
@@ -105,7 +107,7 @@
 	want := func(id string, priority int, due units.Micros) {
 		t.Helper()
 		if n := g.Node(id); n.Priority() != priority || n.DueAt() != due {
-			t.Errorf("%s: grade %d, due %d; want %d, %d", id, n.Priority(), n.DueAt(), priority, due)
+			t.Errorf("%s: priority %d, due %d; want %d, %d", id, n.Priority(), n.DueAt(), priority, due)
 		}
 	}
 	want("a", 3, 50)
@@ -123,7 +125,7 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	var ids []string
 	for i := range 300 {
-		j := Job{ID: fmt.Sprint(i)}
+		j := Job{ID: strconv.Itoa(i)}
 		for range rng.IntN(4) {
 			if i > 0 {
 				j.Needs = append(j.Needs, ids[rng.IntN(i)])
@@ -157,14 +159,14 @@
 	}
 	work := func(limit int, what string, do func()) {
 		t.Helper()
-		before := g.Visited()
+		before := g.visited
 		do()
-		if got := g.Visited() - before; got > limit {
+		if got := g.visited - before; got > limit {
 			t.Errorf("%s looks at %d nodes", what, got)
 		}
 	}
 	work(2*n, "wide fan-in", func() { g.Add(Job{ID: "in", Needs: all}, noOutcome) })
-	work(5, "one end of many", func() { g.RecordOutcome("other-7", Outcome{Done, 1}) })
+	work(5, "one outcome of many", func() { g.RecordOutcome("other-7", Outcome{Done, 1}) })
 	work(2*n, "wide fan-out", func() { g.RecordOutcome("hub", Outcome{State: Cancelled}) })
 	work(4, "a new last link", func() { g.Add(Job{ID: "last", Needs: []string{fmt.Sprintf("line-%d", n-1)}}, noOutcome) })
 	work(4*n, "a long chain", func() { g.RecordOutcome("line-0", Outcome{State: Cancelled}) })
