--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -1,4 +1,15 @@
-// Package cloud holds the messages between controllers and the cloud.
+// Package cloud holds the messages between controllers and the cloud that rents machines out, and
+// nothing else: package server carries them over HTTP, package controller decides what to rent
+// and what to give back.
+//
+// The cloud offers a Catalog of machine types. A RentalRequest scales out; it has a name, and is
+// idempotent under that name, so it can be repeated when its answer was lost. Deletions are
+// idempotent by the names of the machines. The list of machines may be out of date.
+//
+// The cloud has names of its own. They stand in the JSON tags and mean:
+//
+//	stock  machine type    bench  machine           cards    GPUs        rate         price by the hour
+//	yard   zone            hire   rental request    loaners  spot        marketPrice  spot price by the hour
 package cloud
 
 // MachineType is a machine type of the catalog.
@@ -7,12 +18,12 @@
 	CPUs             float64  `json:"cpus"`
 	GPUs             float64  `json:"cards"`
 	MemGB            float64  `json:"memoryGb"`
-	CacheGB          float64  `json:"localGb"`
-	FetchGBPerSecond float64  `json:"fetchGbPerS"`
+	CacheGB          float64  `json:"localGb"`     // for images
+	FetchGBPerSecond float64  `json:"fetchGbPerS"` // at which images are pulled
 	HourlyPrice      float64  `json:"rate"`
 	SpotHourlyPrice  float64  `json:"marketPrice"`
-	BootSeconds      float64  `json:"bootS"`
-	Zones            []string `json:"yards"`
+	BootSeconds      float64  `json:"bootS"` // that a new machine usually takes until it is running
+	Zones            []string `json:"yards"` // in which the type is offered
 }
 
 // HourlyRate is the price of a machine of the type, by the hour.
@@ -28,7 +39,7 @@
 	Types []MachineType `json:"stocks"`
 }
 
-// RentalRequest is a rental request. Its name is never used for another.
+// RentalRequest rents up to Count machines. Its name is never used for another request.
 type RentalRequest struct {
 	Name  string `json:"hire"`
 	Type  string `json:"stock"`
@@ -37,31 +48,34 @@
 	Count int    `json:"howMany"`
 }
 
-// MachineNames lists machines: the answer to a Hire and the body of a deletion.
+// MachineNames lists machines: the answer to a RentalRequest and the body of a deletion.
 type MachineNames struct {
 	Names []string `json:"benches"`
 }
 
+// MachineState is the state of a machine as the cloud sees it.
+type MachineState string
+
+// The states of a machine.
+const (
+	Starting MachineState = "starting"
+	Running  MachineState = "running"
+	Failed   MachineState = "failed"
+)
+
 // ListedMachine is a machine in the cloud's list.
 type ListedMachine struct {
-	Name       string  `json:"uid"`
-	Addr       string  `json:"endpoint"`
-	Type       string  `json:"stock"`
-	Zone       string  `json:"yard"`
-	Spot       bool    `json:"loaners"`
-	State      string  `json:"stage"`
-	AgeSeconds float64 `json:"ageS"`
+	Name       string       `json:"uid"`
+	Addr       string       `json:"endpoint"`
+	Type       string       `json:"stock"`
+	Zone       string       `json:"yard"`
+	Spot       bool         `json:"loaners"`
+	State      MachineState `json:"stage"`
+	AgeSeconds float64      `json:"ageS"` // since it was rented
 }
 
 // MachinePage is one page of the list.
 type MachinePage struct {
 	Machines  []ListedMachine `json:"benches"`
-	Truncated bool            `json:"truncated"`
+	Truncated bool            `json:"truncated"` // more machines follow the last one
 }
-
-// States of a listed machine.
-const (
-	Starting = "starting"
-	Running  = "running"
-	Failed   = "failed"
-)
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -126,6 +126,7 @@
 				reason = facts.mustStop()
 			}
 			c.audit.stops[reason]++
+		case agent.Remove: // ends nothing: the task has ended already
 		}
 		out = append(out, o)
 	}
@@ -142,7 +143,7 @@
 func (c *Controller) logCommands(m *machine, orders []agent.Command) {
 	attrs := append(c.proofAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
 	for _, o := range orders {
-		attrs = append(attrs, slog.Group(o.Action+" "+o.Task, "attempt", o.Attempt))
+		attrs = append(attrs, slog.Group(string(o.Action)+" "+o.Task, "attempt", o.Attempt))
 	}
 	c.log.Debug("commands", attrs...)
 }
--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -41,8 +41,8 @@
 	jobID        string
 	num          int
 	attempt      uint64
-	state        string
-	cause        string
+	state        agent.TaskState
+	cause        agent.Cause
 	checkpointed bool
 	imageReadyAt units.Micros // when its image is there
 	endsAt       units.Micros // when it completes
@@ -89,7 +89,7 @@
 	delete(a.tasks, t.id())
 }
 
-func (a *fakeAgent) endTask(t *task, cause string) {
+func (a *fakeAgent) endTask(t *task, cause agent.Cause) {
 	if t.state == agent.Running || t.state == agent.Checkpointing {
 		a.world.Checker.TaskStopped(a.name, t.jobID, t.num)
 	}
--- a/internal/soak/agent_tasks.go
+++ b/internal/soak/agent_tasks.go
@@ -14,8 +14,8 @@
 	jobID   string
 	num     int
 	attempt uint64
-	state   string
-	cause   string
+	state   agent.TaskState
+	cause   agent.Cause
 	dueAt   time.Time // when its image is there, or it completes
 }
 
@@ -52,6 +52,7 @@
 		}
 	case agent.Checkpointing:
 		a.endTask(task, agent.CauseStopped)
+	case agent.Ended: // returned above
 	}
 }
 
@@ -67,7 +68,7 @@
 	}
 }
 
-func (a *fakeAgent) endTask(task *agentTask, cause string) {
+func (a *fakeAgent) endTask(task *agentTask, cause agent.Cause) {
 	a.noteStopped(task)
 	task.state, task.cause, a.changed = agent.Ended, cause, true
 }
@@ -128,7 +129,7 @@
 }
 
 // refusalCause is why a task can't start here; empty: it can.
-func (a *fakeAgent) refusalCause(jobID string, num int) string {
+func (a *fakeAgent) refusalCause(jobID string, num int) agent.Cause {
 	job := a.world.users.job(jobID)
 	switch {
 	case job == nil || num >= job.facts.Tasks:
