--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -1,39 +1,76 @@
-// Package fairshare is hSRTF-Pr: the order and the shares of the jobs that
-// compete for a partition's room. It is pure: all it knows is handed to it.
+// Package fairshare is hSRTF-Pr, the fair form of shortest remaining time first: it orders the jobs
+// that compete for the capacity of a partition, and divides the capacity among them.
+//
+// Jobs with less time remaining come first and have larger shares (equations 1, 3 and 4 of the
+// paper). A job's share is raised by how much it starves (equation 5), so that no flood of short
+// jobs keeps a long one waiting for ever.
+//
+// The package is pure: all it knows is handed to it, and the same jobs in the same order have the
+// same shares, bit for bit. It places no tasks and enforces no shares; package controller does.
 package fairshare
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Job is what the shares depend on.
+// Job is what the order and the share of a job depend on.
 type Job struct {
 	ID              string
-	TotalTasks      int          // tasks in all
-	UnfinishedTasks int          // tasks not done
-	MaxParallel     int          // its tasks that the slice holds at once if alone
-	AverageTaskTime units.Micros // average task time
-	Age             units.Micros // time since launch
-	TaskSize        float64      // room one task takes
-	Share           float64      // room it was given at the last refresh; 0 for a new job
-	Weight          float64      // operator's weight; 0 counts as 1
+	TotalTasks      int
+	UnfinishedTasks int
+	MaxParallel     int          // tasks that run at once when the job is alone; below 1 counts as 1
+	AverageTaskTime units.Micros // how long one task runs
+	Age             units.Micros // for how long the job has waited or run
+	TaskSize        float64      // capacity that one task takes
+	Share           float64      // capacity that the last allocation gave the job; 0 for a new job
+	Weight          float64      // the operator's weight; 0 counts as 1
 }
 
-// RemainingTime is equation 1 with one term: ceil(unfinished / capacity) x average.
-func RemainingTime(unfinished, parallel int, average units.Micros) units.Micros {
+// Allocation is what a job is given.
+type Allocation struct {
+	ID            string
+	RemainingTime units.Micros
+	Share         float64 // of the capacity
+}
+
+// Allocate divides the capacity among the jobs. It returns them in the order in which they are
+// served: by remaining time, and by id where that is equal.
+func Allocate(jobs []Job, capacity float64) []Allocation {
+	allocations := make([]Allocation, len(jobs))
+	weights := make([]float64, len(jobs))
+	demands := make([]float64, len(jobs))
+	for i := range jobs {
+		job := &jobs[i]
+		remaining := remainingTime(job.UnfinishedTasks, job.MaxParallel, job.AverageTaskTime)
+		allocations[i] = Allocation{ID: job.ID, RemainingTime: remaining}
+		weights[i] = shareWeight(job, remaining)
+		demands[i] = float64(job.UnfinishedTasks) * job.TaskSize
+	}
+	for i, share := range divide(capacity, weights, demands) {
+		allocations[i].Share = share
+	}
+	slices.SortStableFunc(allocations, func(a, b Allocation) int {
+		return cmp.Or(cmp.Compare(a.RemainingTime, b.RemainingTime), cmp.Compare(a.ID, b.ID))
+	})
+	return allocations
+}
+
+// remainingTime is equation 1 with one term: ceil(unfinished / parallel) x average.
+func remainingTime(unfinished, parallel int, average units.Micros) units.Micros {
 	if parallel < 1 {
 		parallel = 1
 	}
-	return units.Micros((unfinished+parallel-1)/parallel) * average
+	waves := (unfinished + parallel - 1) / parallel
+	return units.Micros(waves) * average
 }
 
-// StarvationRatio is equation 5: how many times longer the job takes on its share
-// than alone.
-func StarvationRatio(job *Job) float64 {
-	isolatedTime := RemainingTime(job.TotalTasks, job.MaxParallel, job.AverageTaskTime)
+// starvationRatio is equation 5: how many times longer the job takes on its share than alone.
+func starvationRatio(job *Job) float64 {
+	isolatedTime := remainingTime(job.TotalTasks, job.MaxParallel, job.AverageTaskTime)
 	if isolatedTime <= 0 {
 		return 1
 	}
@@ -41,69 +78,64 @@
 	if job.Share > 0 && job.TaskSize > 0 {
 		parallel = int(job.Share / job.TaskSize)
 	}
-	return float64(job.Age+RemainingTime(job.UnfinishedTasks, parallel, job.AverageTaskTime)) / float64(isolatedTime)
+	sharedTime := job.Age + remainingTime(job.UnfinishedTasks, parallel, job.AverageTaskTime)
+	return float64(sharedTime) / float64(isolatedTime)
 }
 
-// Allocation is a job's place in the order and its share of the room.
-type Allocation struct {
-	ID            string
-	RemainingTime units.Micros
-	Share         float64
+// shareWeight is the part that a job has in the division: the inverse of its remaining time
+// (equations 3 and 4), times its starvation ratio and the operator's weight.
+func shareWeight(job *Job, remaining units.Micros) float64 {
+	weight := job.Weight
+	if weight <= 0 {
+		weight = 1
+	}
+	return weight * starvationRatio(job) / math.Max(float64(remaining), 1)
 }
 
-// Allocate orders jobs by remaining time and divides the room among them: shares
-// inverse to the remaining time (equations 3 and 4), times the starvation
-// ratio, rescaled to the room. What a job cannot use goes to the others.
-func Allocate(jobs []Job, capacity float64) []Allocation {
-	allocations := make([]Allocation, len(jobs))
-	weights := make([]float64, len(jobs))
-	demands := make([]float64, len(jobs))
-	for i := range jobs {
-		job := &jobs[i]
-		remaining := RemainingTime(job.UnfinishedTasks, job.MaxParallel, job.AverageTaskTime)
-		allocations[i] = Allocation{ID: job.ID, RemainingTime: remaining}
-		weight := job.Weight
-		if weight <= 0 {
-			weight = 1
-		}
-		weights[i] = weight * StarvationRatio(job) / math.Max(float64(remaining), 1)
-		demands[i] = float64(job.UnfinishedTasks) * job.TaskSize
-	}
-	// Water filling: whoever needs less than its share is given its need, and
-	// the rest is divided anew.
-	unsatisfied := make([]int, len(jobs))
+// negligibleCapacity is what rounding may leave over: it is not divided any further.
+const negligibleCapacity = 1e-9
+
+// divide gives each job its proportion of the capacity by weight, but no more than its demand:
+// what a job cannot use is divided anew among the others (water filling).
+func divide(capacity float64, weights, demands []float64) []float64 {
+	shares := make([]float64, len(weights))
+	unsatisfied := make([]int, len(weights)) // indexes of the jobs that have no share yet
 	for i := range unsatisfied {
 		unsatisfied[i] = i
 	}
-	for len(unsatisfied) > 0 && capacity > 1e-9 {
-		totalWeight := 0.0
-		for _, i := range unsatisfied {
-			totalWeight += weights[i]
-		}
-		var stillUnsatisfied []int
+	for len(unsatisfied) > 0 && capacity > negligibleCapacity {
+		proportions := proportionsOf(unsatisfied, capacity, weights)
+		var remaining []int
 		allocated := 0.0
-		for _, i := range unsatisfied {
-			if share := capacity * weights[i] / totalWeight; share >= demands[i] {
-				allocations[i].Share = demands[i]
+		for k, i := range unsatisfied {
+			if proportions[k] >= demands[i] {
+				shares[i] = demands[i]
 				allocated += demands[i]
 			} else {
-				stillUnsatisfied = append(stillUnsatisfied, i)
+				remaining = append(remaining, i)
 			}
 		}
-		if len(stillUnsatisfied) == len(unsatisfied) {
-			for _, i := range unsatisfied {
-				allocations[i].Share = capacity * weights[i] / totalWeight
+		if len(remaining) == len(unsatisfied) { // all can use their proportions in full
+			for k, i := range unsatisfied {
+				shares[i] = proportions[k]
 			}
 			break
 		}
 		capacity -= allocated
-		unsatisfied = stillUnsatisfied
+		unsatisfied = remaining
 	}
-	sort.SliceStable(allocations, func(a, b int) bool {
-		if allocations[a].RemainingTime != allocations[b].RemainingTime {
-			return allocations[a].RemainingTime < allocations[b].RemainingTime
-		}
-		return allocations[a].ID < allocations[b].ID
-	})
-	return allocations
+	return shares
+}
+
+// proportionsOf divides the capacity among some jobs by their weights.
+func proportionsOf(jobs []int, capacity float64, weights []float64) []float64 {
+	totalWeight := 0.0
+	for _, i := range jobs {
+		totalWeight += weights[i]
+	}
+	proportions := make([]float64, len(jobs))
+	for k, i := range jobs {
+		proportions[k] = capacity * weights[i] / totalWeight
+	}
+	return proportions
 }
--- a/internal/fairshare/allocation_test.go
+++ b/internal/fairshare/allocation_test.go
@@ -9,38 +9,41 @@
 
 const second = units.Second
 
-// Worked by hand from the paper's equations 1, 3, 4 and 5.
+// Results in these tests are worked out by hand from the paper's equations 1, 3, 4 and 5.
+
 func TestRemainingTime(t *testing.T) {
 	for _, tc := range []struct {
-		unfinished, capacity int
+		unfinished, parallel int
 		avg, want            units.Micros
 	}{
 		{10, 4, 20 * second, 60 * second}, // three waves
 		{8, 4, 20 * second, 40 * second},
 		{1, 4, 20 * second, 20 * second},
 		{0, 4, 20 * second, 0},
-		{3, 0, 20 * second, 60 * second}, // no room at all: one at a time
+		{3, 0, 20 * second, 60 * second}, // no capacity at all: one at a time
 	} {
-		if got := RemainingTime(tc.unfinished, tc.capacity, tc.avg); got != tc.want {
-			t.Errorf("Remaining(%d, %d, %v) = %v, want %v", tc.unfinished, tc.capacity, tc.avg, got, tc.want)
+		if got := remainingTime(tc.unfinished, tc.parallel, tc.avg); got != tc.want {
+			t.Errorf("remainingTime(%d, %d, %v) = %v, want %v", tc.unfinished, tc.parallel, tc.avg, got, tc.want)
 		}
 	}
 }
 
 func TestStarvationRatio(t *testing.T) {
-	// Alone: ceil(12/6) x 10 s = 20 s. It has waited 30 s, holds room for two
-	// tasks and has eight to do: ceil(8/2) x 10 s = 40 s. (30 + 40) / 20 = 3.5.
+	// Alone: ceil(12/6) x 10 s = 20 s. It has waited 30 s, has a share for
+	// two tasks and eight to do: ceil(8/2) x 10 s = 40 s. (30 + 40) / 20 = 3.5.
 	job := &Job{TotalTasks: 12, UnfinishedTasks: 8, MaxParallel: 6, AverageTaskTime: 10 * second, Age: 30 * second, TaskSize: 2, Share: 4}
-	if got := StarvationRatio(job); math.Abs(got-3.5) > 1e-9 {
+	if got := starvationRatio(job); math.Abs(got-3.5) > 1e-9 {
 		t.Errorf("got %v, want 3.5", got)
 	}
 	// A new job on the whole slice is not starved.
 	job = &Job{TotalTasks: 12, UnfinishedTasks: 12, MaxParallel: 6, AverageTaskTime: 10 * second, TaskSize: 2}
-	if got := StarvationRatio(job); got != 1 {
+	if got := starvationRatio(job); got != 1 {
 		t.Errorf("got %v, want 1", got)
 	}
 }
 
+// TestAllocate divides by the inverse of remaining time, leaves no usable capacity over, and helps
+// jobs that starve.
 func TestAllocate(t *testing.T) {
 	job := func(id string, unfinished int) Job {
 		return Job{ID: id, TotalTasks: unfinished, UnfinishedTasks: unfinished, MaxParallel: 10, AverageTaskTime: 10 * second, TaskSize: 1}
@@ -53,7 +56,7 @@
 	// The short job can use 10 of its 15: the other has the rest.
 	got = Allocate([]Job{job("long", 30), job("short", 10)}, 20)
 	if got[0].Share != 10 || got[1].Share != 10 {
-		t.Errorf("unusable room: %+v", got)
+		t.Errorf("unusable capacity: %+v", got)
 	}
 	// The long job has waited three times its own length: its ratio of 4
 	// outweighs three times the remaining time.
