--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -268,7 +268,7 @@
 			own++
 		}
 	}
-	return units.FromSeconds(float64(own) / b.c.writeRate())
+	return units.FromSeconds(float64(own) / b.c.budget.rate())
 }
 
 // minRevisitToQueue is the revisit period above which tasks queue behind others that are
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -41,7 +41,7 @@
 	if a.starts+len(a.stops)+len(a.releases)+len(a.forgets)+len(a.answers) == 0 {
 		return
 	}
-	attrs := append(c.proofAttrs(), "terms", c.termsAttr(), "starts", a.starts)
+	attrs := append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "starts", a.starts)
 	attrs = append(attrs, countsAttr("stops", a.stops), countsAttr("releases", a.releases), countsAttr("forgets", a.forgets), countsAttr("answers", a.answers))
 	c.log.Info("decisions", attrs...)
 	violations := a.violations
@@ -58,29 +58,11 @@
 	return slog.Group(name, attrs...)
 }
 
-// proofAttrs is which revision the copy has reached and how long ago it was known to be complete.
-func (c *Controller) proofAttrs() []any {
-	age := -1.0
-	if c.freshness.provenAt > 0 {
-		age = (c.now - c.freshness.provenAt).Seconds()
-	}
-	return []any{"revision", c.replica.watchRevision, "proof_age_s", age}
-}
-
-// termsAttr are the partitions that this controller owns, each with its epoch.
-func (c *Controller) termsAttr() map[int]uint64 {
-	out := make(map[int]uint64, len(c.partitions.led))
-	for n, o := range c.partitions.led {
-		out[n] = o.term
-	}
-	return out
-}
-
 // reportViolation refuses something that an invariant forbids: it is logged with the facts and counted.
 // Nothing should ever come here.
 func (c *Controller) reportViolation(invariant string, facts ...any) {
 	c.audit.violations[invariant]++
-	c.log.Error("invariant violated, refused", append([]any{"invariant", invariant}, append(facts, c.proofAttrs()...)...)...)
+	c.log.Error("invariant violated, refused", append([]any{"invariant", invariant}, append(facts, c.freshness.logAttrs()...)...)...)
 }
 
 // Invariants, as the log calls them.
@@ -141,7 +123,7 @@
 
 // logCommands writes the ids of what a machine is told, and the proof that it rests on.
 func (c *Controller) logCommands(m *machine, orders []agent.Command) {
-	attrs := append(c.proofAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
+	attrs := append(c.freshness.logAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
 	for _, o := range orders {
 		attrs = append(attrs, slog.Group(string(o.Action)+" "+o.Task, "attempt", o.Attempt))
 	}
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -153,7 +153,7 @@
 	c, o, step := foreignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	c.freshness.provenAt = 0 // the proof is lost, and found again
-	c.membership.mayActSince = c.now
+	c.authority.since = c.now
 	for range 80 {
 		step()
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -14,13 +14,18 @@
 type Controller struct {
 	*environment
 
-	store        *storeClient
-	replica      *replica
-	freshness    freshness
-	membership   membership
-	partitions   partitionTable
-	budget       writeBudget
-	commits      committer
+	store       *storeClient
+	replica     *replica
+	replicator  *replicator
+	freshness   *freshness
+	membership  *membership
+	authority   *authority
+	partitions  *partitionTable
+	leaderships *leadershipManager
+	budget      *writeBudget
+	commits     *committer
+	gate        *formatGate
+
 	requests     userRequests
 	outcomeReads outcomeReads
 	accepts      acceptQueue
@@ -44,11 +49,6 @@
 	env := &environment{cfg: cfg, policy: pol, log: log.With("node", cfg.Member)}
 	c := &Controller{
 		environment: env,
-		store:       newStoreClient(env),
-		membership:  newMembership(incarnation),
-		partitions:  newPartitionTable(env),
-		budget:      newWriteBudget(),
-		commits:     newCommitter(),
 		requests:    newUserRequests(),
 		peers:       newPeerTable(),
 		agents:      newAgentGateway(),
@@ -59,19 +59,52 @@
 		audit:       newAudit(),
 	}
 	c.outcomeReads = newOutcomeReads()
-	c.replica = newReplica(env, c, c.newLayout(), c.partitions.ofMachineShard)
+	c.wireReplication()
+	c.wireLeadership(incarnation)
 	c.duties = c.periodicDuties()
 	return c
 }
 
+// wireReplication connects what keeps the replica.
+func (c *Controller) wireReplication() {
+	env := c.environment
+	withTeams := newTeamPartitions(env)
+	c.store = newStoreClient(env)
+	c.replica = newReplica(env, c, newLayout(&env.cfg.Settings), withTeams.ofMachineShard)
+	c.partitions = newPartitionTable(c.replica, withTeams)
+	c.freshness = &freshness{env: env, store: c.store, replica: c.replica}
+	c.replicator = &replicator{env: env, store: c.store, replica: c.replica, freshness: c.freshness}
+}
+
+// wireLeadership connects what decides whether this process may act and write.
+func (c *Controller) wireLeadership(incarnation string) {
+	env := c.environment
+	c.membership = newMembership(env, c.store, c.replica, c.partitions, incarnation)
+	c.authority = &authority{env: env, replica: c.replica, membership: c.membership, freshness: c.freshness, partitions: c.partitions}
+	c.budget = &writeBudget{
+		env: env, store: c.store, replica: c.replica, partitions: c.partitions, heartbeats: c,
+		changesByKind: map[string]int{},
+	}
+	c.commits = &committer{
+		env: env, store: c.store, replica: c.replica, budget: c.budget, membership: c.membership,
+		keysInFlight: map[string]bool{},
+	}
+	c.leaderships = &leadershipManager{
+		env: env, store: c.store, replica: c.replica, membership: c.membership, freshness: c.freshness, authority: c.authority,
+		partitions: c.partitions, budget: c.budget, commits: c.commits, machines: c,
+		orphanedSince: map[int]units.Micros{},
+	}
+	c.gate = &formatGate{env: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
+}
+
 // Step takes what happened since the last step and returns what to do.
 func (c *Controller) Step(now, timeOfDay units.Micros, messages []Message) []Effect {
 	first := c.now == 0
 	c.now, c.timeOfDay, c.effects = now, timeOfDay, nil
 	if first {
-		c.budget.refilledAt = now
-		c.register()
-		c.load()
+		c.budget.start()
+		c.membership.register()
+		c.replicator.load()
 	}
 	for _, m := range messages {
 		c.handle(m)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -110,7 +110,7 @@
 		return
 	}
 	for _, id := range r.dependencies.Unresolved(2 * maxOutcomeReads) {
-		if !c.outcomeReads.inFlight[id] && c.outcomeReads.period.due(c.now, c.requestInterval(0.2)) {
+		if !c.outcomeReads.inFlight[id] && c.outcomeReads.period.due(c.now, c.store.requestInterval(0.2)) {
 			c.readOutcome(id)
 		}
 	}
@@ -264,13 +264,13 @@
 
 // acceptCancelled accepts a job that needs a cancelled one: all that is stored of it is its end.
 func (c *Controller) acceptCancelled(q UserRequest, because string) {
-	mark := c.newWriteTag()
+	mark := c.commits.newWriteTag()
 	f := schema.Outcome{State: StageCancelled, RecordedAt: int64(c.timeOfDay), CancelledBy: because, WriteTag: mark}
 	txn := &kv.Txn{
 		Conditions: []kv.Condition{{Key: schema.OutcomePrefix + q.JobID}},
 		Operations: []kv.Operation{{Set: schema.OutcomePrefix + q.JobID, Value: encode(f)}},
 	}
-	c.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
+	c.commits.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
 		switch res {
 		case commitApplied:
 			c.answerUser(q.RequestID, http.StatusCreated, outcomeStatus(q.JobID, f))
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -37,10 +37,10 @@
 // periodicDuties lists the duties in the order in which a step runs them.
 func (c *Controller) periodicDuties() []duty {
 	return []duty{
-		{name: "write budget", every: budgetPeriod, run: c.refillWriteCredit},
-		{name: "proof of freshness", run: c.keepProofRecent},
-		{name: "authority", run: c.noteAuthority},
-		{name: "revision reads", run: c.readRevision},
+		{name: "write budget", every: budgetPeriod, run: c.budget.refill},
+		{name: "proof of freshness", run: c.freshness.keepProofRecent},
+		{name: "authority", run: c.authority.noteChanges},
+		{name: "revision reads", run: c.freshness.readRevision},
 		{name: "accepts", run: c.storeAccepts},
 		{name: "request expiry", every: expiryPeriod, run: c.expireRequests},
 		{name: "leadership", every: leadershipPeriod, run: c.superviseLeadership},
@@ -67,9 +67,9 @@
 // superviseLeadership looks after what leadership rests on: the watch, the partitions, the store's
 // format and the machines.
 func (c *Controller) superviseLeadership() {
-	c.checkWatch()
-	c.balanceLeadership()
-	c.raiseFormat()
+	c.replicator.checkLag()
+	c.leaderships.balance()
+	c.gate.raise()
 	c.checkFleet()
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	c.planNeeded = false
-	for _, p := range c.ledPartitions() {
+	for _, p := range c.partitions.ledPartitions() {
 		c.planPartition(p)
 	}
 }
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -13,57 +13,73 @@
 // knownFormat is the latest format of documents that this version knows.
 const knownFormat = schema.FormatDependencies
 
-// chainsEnabled is the feature gate: whether all members know jobs that need others and
-// documents that are split. Once raised it is never lowered. Until then nothing may be
-// written that a process of the version before would lose when it writes the document anew.
-func (c *Controller) chainsEnabled() bool { return c.replica.format >= schema.FormatDependencies }
+// formatPeriod is the time between two tries to raise the format.
+const formatPeriod = units.Second
 
-// raiseFormat raises the gate once every configured member is registered with a format that
-// allows it and no process with an earlier one is. The transaction guards every registration
-// that it rests on, so that it fails if one of them has ended or been replaced meanwhile. A
-// process of the version before may still have writes under way when it was killed: each
-// guards the documents that it writes, and fails if a later one was first.
-func (c *Controller) raiseFormat() {
-	if c.chainsEnabled() || !c.mayAct() || c.store.failing || !c.hasWriteCredit() || c.commits.keysInFlight[schema.LayoutKey] {
+// chainsEnabled reports whether the feature gate is raised: whether all members know jobs that depend
+// on others and documents that are split. Until then nothing may be written that a process of the
+// version before would lose when it writes the document anew.
+func (r *replica) chainsEnabled() bool { return r.format >= schema.FormatDependencies }
+
+// formatGate raises the format of the store's documents once all controllers know it. It is never
+// lowered.
+type formatGate struct {
+	env       *environment
+	store     *storeClient
+	replica   *replica
+	authority *authority
+	budget    *writeBudget
+	commits   *committer
+
+	period period
+}
+
+// raise raises the gate once every configured member is registered with a format that allows it and no
+// process with an earlier one is. Every registration that this rests on is a condition of the
+// transaction, which fails if one of them has expired or been replaced meanwhile. A process of the
+// version before may still have writes under way when it is killed: each has the documents that it
+// writes as conditions, and fails if a later one was first.
+func (g *formatGate) raise() {
+	if g.replica.chainsEnabled() || !g.authority.mayAct() || g.store.failing || !g.budget.hasCredit() || g.commits.keysInFlight[schema.LayoutKey] {
 		return
 	}
-	guards, ok := c.memberRegistrations()
-	if !ok || !c.scheduling.formatPeriod.due(c.now, units.Second) {
+	conditions, ok := g.memberRegistrations()
+	if !ok || !g.period.due(g.env.now, formatPeriod) {
 		return
 	}
-	layout := c.replica.layout
+	layout := g.replica.layout
 	layout.Format = knownFormat
 	txn := &kv.Txn{
-		Conditions: append(guards, kv.Condition{Key: schema.LayoutKey, ModRevision: c.replica.revisions[schema.LayoutKey]}),
+		Conditions: append(conditions, kv.Condition{Key: schema.LayoutKey, ModRevision: g.replica.revisions[schema.LayoutKey]}),
 		Operations: []kv.Operation{{Set: schema.LayoutKey, Value: encode(layout)}},
 	}
-	c.log.Info("raising format version", "format", knownFormat)
-	c.setKeysInFlight(txn, true)
-	c.commit(txn, "", func(res commitOutcome, _ uint64, failed []string) {
-		c.setKeysInFlight(txn, false)
-		if res != commitApplied {
-			c.log.Info("raising format version failed", "failed", failed)
+	g.env.log.Info("raising format version", "format", knownFormat)
+	g.commits.markInFlight(txn)
+	g.commits.commit(txn, "", func(outcome commitOutcome, _ uint64, failed []string) {
+		g.commits.clearInFlight(txn)
+		if outcome != commitApplied {
+			g.env.log.Info("raising format version failed", "failed", failed)
 		}
 	})
 }
 
-// memberRegistrations guards the registrations of all members, and reports whether each member
-// has one and all of them know the format.
-func (c *Controller) memberRegistrations() ([]kv.Condition, bool) {
+// memberRegistrations returns the conditions that the registrations of all members are unchanged, and
+// reports whether each member has one and all of them know the format.
+func (g *formatGate) memberRegistrations() ([]kv.Condition, bool) {
 	members := map[string]bool{}
-	var guards []kv.Condition
-	for key, format := range c.replica.registeredFormats {
+	var conditions []kv.Condition
+	for key, format := range g.replica.registeredFormats {
 		if format < knownFormat {
 			return nil, false
 		}
-		member, _, _ := strings.Cut(strings.TrimPrefix(key, schema.RegistrationPrefix), "/")
-		members[member] = true
-		guards = append(guards, kv.Condition{Key: key, ModRevision: c.replica.revisions[key]})
+		process := processID(strings.TrimPrefix(key, schema.RegistrationPrefix))
+		members[process.member()] = true
+		conditions = append(conditions, kv.Condition{Key: key, ModRevision: g.replica.revisions[key]})
 	}
-	missing := slices.ContainsFunc(c.cfg.Peers, func(p config.Peer) bool { return !members[p.Member] })
-	if missing || !members[c.cfg.Member] || len(members) < c.cfg.Settings.Size {
+	missing := slices.ContainsFunc(g.env.cfg.Peers, func(p config.Peer) bool { return !members[p.Member] })
+	if missing || !members[g.env.cfg.Member] || len(members) < g.env.cfg.Settings.Size {
 		return nil, false
 	}
-	slices.SortFunc(guards, func(a, b kv.Condition) int { return strings.Compare(a.Key, b.Key) })
-	return guards, true
+	slices.SortFunc(conditions, func(a, b kv.Condition) int { return strings.Compare(a.Key, b.Key) })
+	return conditions, true
 }
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -31,7 +31,7 @@
 			stamp++
 			c.replica.apply(schema.RegistrationPrefix+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
 		}
-		guards, ok := c.memberRegistrations()
+		guards, ok := c.gate.memberRegistrations()
 		if ok != tc.want || ok && len(guards) != len(tc.formats) {
 			t.Errorf("%s: %v, %v", name, ok, guards)
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -214,7 +214,7 @@
 				}
 			}
 			if !c.leads(0) || len(c.replica.machines) != tc.machines {
-				t.Fatalf("owns %v, knows %d machines", c.ledPartitions(), len(c.replica.machines))
+				t.Fatalf("owns %v, knows %d machines", c.partitions.ledPartitions(), len(c.replica.machines))
 			}
 			if most := bytes/pageBytes + 1; o.asked[kv.List] > most {
 				t.Errorf("%d pages of %d KB", o.asked[kv.List], bytes>>10)
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -157,7 +157,7 @@
 // has come for longer than a lease. Direct commands renew no lease, so all that it
 // is given ends with its session, again and again.
 func (c *Controller) unreachableInbound(m *machine) bool {
-	heard := max(m.agent.answeredAt, m.agent.heardSince, c.membership.mayActSince)
+	heard := max(m.agent.answeredAt, m.agent.heardSince, c.authority.since)
 	return c.now-heard > c.cfg.Settings.Lease()+2*c.cfg.Settings.HeartbeatPeriod()
 }
 
--- /dev/null
+++ b/internal/controller/membership.go
@@ -0,0 +1,140 @@
+package controller
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+const (
+	registrationTTL        = 5 * units.Second
+	registrationRenewal    = registrationTTL / 5
+	registrationRetryDelay = 300 * units.Millisecond
+)
+
+// processID names a controller process as its registration does: "member/incarnation".
+type processID string
+
+func newProcessID(member, incarnation string) processID {
+	return processID(member + "/" + incarnation)
+}
+
+func (id processID) member() string {
+	member, _, _ := strings.Cut(string(id), "/")
+	return member
+}
+
+func (id processID) incarnation() string {
+	_, incarnation, _ := strings.Cut(string(id), "/")
+	return incarnation
+}
+
+// registrationKey is the key under which the process is registered.
+func (id processID) registrationKey() string { return schema.RegistrationPrefix + string(id) }
+
+// registeredProcesses lists the processes that are registered, by name.
+func (r *replica) registeredProcesses() []processID {
+	var processes []processID
+	for key := range r.registeredSince {
+		processes = append(processes, processID(strings.TrimPrefix(key, schema.RegistrationPrefix)))
+	}
+	slices.Sort(processes)
+	return processes
+}
+
+// leaderRegistered reports whether the process that leads a partition is registered.
+func (r *replica) leaderRegistered(p *partitionDoc) bool {
+	_, ok := r.registeredSince[schema.RegistrationKey(p.doc.Member, p.doc.Incarnation)]
+	return ok
+}
+
+// membership is this process's registration among the controllers that live: a key under a lease, which
+// is renewed.
+//
+// When the lease has expired, or when it is not clear whether the registration was stored, others may
+// lead what this process led. All leadership is then given up, and the process registers as a new
+// incarnation. An incarnation that was abandoned is never used again: nothing that was written or is
+// still under way in its name counts for the next.
+type membership struct {
+	env        *environment
+	store      *storeClient
+	replica    *replica
+	partitions *partitionTable
+
+	processID     string // the first incarnation
+	registrations int    // that were abandoned
+	incarnation   string
+	leaseID       uint64
+	registered    bool // and as far as known still so
+}
+
+func newMembership(env *environment, store *storeClient, replica *replica, partitions *partitionTable, incarnation string) *membership {
+	return &membership{env: env, store: store, replica: replica, partitions: partitions, processID: incarnation, incarnation: incarnation}
+}
+
+// process names this process as it is registered, or is about to be.
+func (m *membership) process() processID {
+	return newProcessID(m.env.cfg.Member, m.incarnation)
+}
+
+// register obtains a lease from the store and registers this process under it.
+func (m *membership) register() {
+	m.registered = false
+	m.store.call(kv.Request{Kind: kv.GrantLease, TTLMillis: registrationTTL.Milliseconds()}, func(r kv.Response) {
+		if r.Status != kv.StatusOK || r.LeaseID == 0 {
+			m.env.after(registrationRetryDelay, m.register)
+			return
+		}
+		m.leaseID = r.LeaseID
+		m.writeRegistration()
+	})
+}
+
+func (m *membership) writeRegistration() {
+	key := m.process().registrationKey()
+	value := encode(schema.Registration{Incarnation: m.incarnation, Format: knownFormat})
+	txn := &kv.Txn{
+		Conditions: []kv.Condition{{Key: key}},
+		Operations: []kv.Operation{{Set: key, Value: value, LeaseID: m.leaseID}},
+	}
+	m.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
+		if r.Status != kv.StatusOK {
+			// Perhaps registered, perhaps not: a new incarnation is always safe.
+			m.abandonIncarnation()
+			m.env.after(registrationRetryDelay, m.register)
+			return
+		}
+		m.replica.apply(key, value, r.Revision, false)
+		m.registered = true
+		m.env.log.Info("registered", "inc", m.incarnation)
+		m.renew()
+	})
+}
+
+// renew renews the lease, now and for as long as it has not expired.
+func (m *membership) renew() {
+	m.store.call(kv.Request{Kind: kv.RenewLease, LeaseID: m.leaseID}, func(r kv.Response) {
+		switch r.Status {
+		case kv.StatusOK:
+			m.env.after(registrationRenewal, m.renew)
+		case kv.StatusNotFound:
+			m.env.log.Warn("registration lease expired, giving up leadership", "partitions", m.partitions.ledPartitions())
+			m.abandonIncarnation()
+			m.register()
+		default:
+			m.env.after(registrationRetryDelay, m.renew)
+		}
+	})
+}
+
+// abandonIncarnation gives up all leadership and takes a new incarnation, which is not registered yet.
+func (m *membership) abandonIncarnation() {
+	m.registrations++
+	m.incarnation = m.processID + "." + strconv.Itoa(m.registrations)
+	m.registered = false
+	m.partitions.resignAll()
+}
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -41,10 +41,9 @@
 		}
 		b.Heard[m] = int64(c.now - at)
 	}
-	c.budget.averageRate += (float64(c.budget.changesSinceHeartbeat) - c.budget.averageRate) * changeRateWeight
-	c.budget.changesSinceHeartbeat = 0
+	writeRate := c.budget.updateAverageRate()
 	if c.chainsEnabled() {
-		b.Ended, b.Writes = c.completionsForPeers(), c.budget.averageRate
+		b.Ended, b.Writes = c.completionsForPeers(), writeRate
 	}
 	c.emit(BroadcastHeartbeat{b})
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -77,7 +77,7 @@
 	}
 	o.nextPlanAt = c.now + planCostPerObject*units.Micros(len(c.replica.machines)+len(c.replica.jobs))
 	b := &plan{
-		c: c, leadership: o, writeTag: c.newWriteTag(), usage: c.teamUsage(), bytesLeft: maxTransactionBytes,
+		c: c, leadership: o, writeTag: c.commits.newWriteTag(), usage: c.teamUsage(), bytesLeft: maxTransactionBytes,
 		partitionsWaiting: map[int]bool{}, cleared: map[*jobShard]map[string]bool{}, unplaceable: map[taskShape]bool{},
 	}
 	b.progress = newProgressWriter(b)
@@ -201,10 +201,10 @@
 	all = slices.DeleteFunc(all, func(t *planTransaction) bool { return len(t.txn.Operations) == 0 })
 	o.commitsInFlight = len(all)
 	for _, t := range all {
-		c.setKeysInFlight(t.txn, true)
+		c.commits.markInFlight(t.txn)
 	}
 	for _, t := range all {
-		c.commit(t.txn, b.writeTag, func(res commitOutcome, rev uint64, failed []string) { b.finishCommit(t, res, rev, failed) })
+		c.commits.commit(t.txn, b.writeTag, func(res commitOutcome, rev uint64, failed []string) { b.finishCommit(t, res, rev, failed) })
 	}
 }
 
@@ -257,7 +257,7 @@
 // finishCommit takes the outcome of one of the batch's transactions.
 func (b *plan) finishCommit(t *planTransaction, res commitOutcome, rev uint64, failed []string) {
 	c, o := b.c, b.leadership
-	c.setKeysInFlight(t.txn, false)
+	c.commits.clearInFlight(t.txn)
 	for _, gd := range t.shards {
 		gd.noteEntriesLeaving(false)
 	}
@@ -292,7 +292,6 @@
 	movePeriods        map[int]*period // of moves of services, by partition
 	oversizedLogPeriod period
 	weightLogPeriod    period
-	formatPeriod       period
 }
 
 func newScheduling() scheduling {
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -233,15 +233,14 @@
 // and while it kept the partition the machines' leases would run out.
 func (c *Controller) transferUnheardPartitions() {
 	report := c.cfg.Settings.HeartbeatPeriod()
-	for _, p := range c.ledPartitions() {
+	for _, p := range c.partitions.ledPartitions() {
 		o := c.partitions.led[p]
-		if o.commitsInFlight > 0 || c.now-o.since < 3*report || !c.hasWriteCredit() || c.store.failing {
+		if o.commitsInFlight > 0 || c.now-o.since < 3*report || !c.budget.hasCredit() || c.store.failing {
 			continue
 		}
-		for _, l := range c.registeredProcesses() {
-			member, incarnation, _ := strings.Cut(l, "/")
-			heartbeat, ok := c.heartbeatOf(member, incarnation)
-			if !ok || member == c.cfg.Member {
+		for _, l := range c.replica.registeredProcesses() {
+			heartbeat, ok := c.heartbeatOf(l.member(), l.incarnation())
+			if !ok || l.member() == c.cfg.Member {
 				continue
 			}
 			mine, there := 0, 0
@@ -255,8 +254,8 @@
 				}
 			}
 			if mine > 0 && there*2 > mine {
-				c.log.Warn("transferring leadership, no machine heard", "partition", p, "to", member)
-				c.acquireLeadership(p, l)
+				c.log.Warn("transferring leadership, no machine heard", "partition", p, "to", l.member())
+				c.leaderships.acquire(p, l)
 				return
 			}
 		}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -101,7 +101,7 @@
 
 // leaderOf names the member that owns a partition, if it lives and is another.
 func (c *Controller) leaderOf(part int) string {
-	if p := c.replica.partitions[part]; p != nil && c.leaderRegistered(p) && p.doc.Member != c.cfg.Member {
+	if p := c.replica.partitions[part]; p != nil && c.replica.leaderRegistered(p) && p.doc.Member != c.cfg.Member {
 		return p.doc.Member
 	}
 	return ""
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -31,8 +31,6 @@
 	// stand in neither before.
 	completeRevision uint64
 	synced           bool
-	watchID          int // the watch that counts; answers to earlier ones are ignored
-	behindSince      units.Micros
 
 	registeredSince   map[string]units.Micros // by key: when it was first seen here
 	registeredFormats map[string]int          // by key: the format that the process knows
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -7,7 +7,7 @@
 
 // The controller observes its replica: what follows from a change for this process's own duties.
 
-func (c *Controller) partitionChanged(partition int) { c.applyLeadership(partition) }
+func (c *Controller) partitionChanged(partition int) { c.leaderships.follow(partition) }
 
 func (c *Controller) formatRaised() int {
 	c.store.limits.adoptTighter()
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -155,7 +155,7 @@
 // currentStatus finds a job's state as of now: never older than any answer that any
 // node gave before this request came in.
 func (c *Controller) currentStatus(id string, then func(st *JobStatus, ok bool)) {
-	c.whenCurrent(func(ok bool) {
+	c.freshness.whenCurrent(func(ok bool) {
 		if !ok {
 			then(nil, false)
 			return
@@ -242,7 +242,7 @@
 
 // storeAccepts stores waiting submissions, as many as one transaction takes.
 func (c *Controller) storeAccepts() {
-	if len(c.accepts.pending) == 0 || c.accepts.inFlight || c.replica.watchRevision < c.accepts.afterRevision || !c.hasWriteCredit() || c.now < c.accepts.notBefore {
+	if len(c.accepts.pending) == 0 || c.accepts.inFlight || c.replica.watchRevision < c.accepts.afterRevision || !c.budget.hasCredit() || c.now < c.accepts.notBefore {
 		return
 	}
 	byShelf := map[*jobShard][]pendingAccept{}
@@ -253,7 +253,7 @@
 		}
 	}
 	c.accepts.pending = nil
-	mark := c.newWriteTag()
+	mark := c.commits.newWriteTag()
 	txn := &kv.Txn{}
 	size := 0
 	var in []pendingAccept
@@ -280,10 +280,10 @@
 		return
 	}
 	c.accepts.inFlight = true
-	c.setKeysInFlight(txn, true)
-	c.commit(txn, mark, func(res commitOutcome, rev uint64, failed []string) {
+	c.commits.markInFlight(txn)
+	c.commits.commit(txn, mark, func(res commitOutcome, rev uint64, failed []string) {
 		c.accepts.inFlight = false
-		c.setKeysInFlight(txn, false)
+		c.commits.clearInFlight(txn)
 		if res == commitThrottled {
 			c.accepts.notBefore = c.now + 150*units.Millisecond
 		}
@@ -329,7 +329,7 @@
 			c.currentStatus(a.job.ID, func(st *JobStatus, ok bool) { c.answerKnownJob(a.requestID, st, ok) })
 		case cost > c.maxValueBytes()-documentOverheadBytes:
 			c.answerUser(a.requestID, http.StatusUnprocessableEntity, map[string]string{"error": "too large to be stored"})
-		case twice || guards+len(put)+2 > c.maxConditions():
+		case twice || guards+len(put)+2 > c.store.limits.maxConditions():
 			c.accepts.pending = append(c.accepts.pending, a)
 		case cost > room:
 			c.answerUser(a.requestID, http.StatusServiceUnavailable, nil) // the job shard is full: others must end first
@@ -385,24 +385,13 @@
 	return n
 }
 
-// setKeysInFlight notes which keys a transaction under way writes.
-func (c *Controller) setKeysInFlight(txn *kv.Txn, under bool) {
-	for _, op := range txn.Operations {
-		if under {
-			c.commits.keysInFlight[op.Set+op.Delete] = true
-		} else {
-			delete(c.commits.keysInFlight, op.Set+op.Delete)
-		}
-	}
-}
-
 // cancelJob writes the job's end; the owner sees it and stops the tasks.
 func (c *Controller) cancelJob(q UserRequest) {
 	if j := c.replica.jobs[q.JobID]; j == nil || !j.accepted {
 		c.answerUser(q.RequestID, http.StatusServiceUnavailable, nil)
 		return
 	}
-	mark := c.newWriteTag()
+	mark := c.commits.newWriteTag()
 	f := schema.Outcome{State: StageCancelled, RecordedAt: int64(c.timeOfDay), WriteTag: mark}
 	txn := &kv.Txn{
 		Conditions: []kv.Condition{{Key: schema.OutcomePrefix + q.JobID}},
@@ -411,7 +400,7 @@
 			{Set: schema.CancellationPrefix + q.JobID, Value: encode(map[string]string{"w": mark})},
 		},
 	}
-	c.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
+	c.commits.commit(txn, mark, func(res commitOutcome, _ uint64, _ []string) {
 		switch res {
 		case commitApplied:
 			c.answerUser(q.RequestID, http.StatusOK, outcomeStatus(q.JobID, f))
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -102,7 +102,7 @@
 
 // creditPeriod is how long so many changes take when they may use that part of this controller's.
 func (c *Controller) creditPeriod(changes int, part float64) units.Micros {
-	return units.FromSeconds(float64(changes) / (c.writeRate() * part))
+	return units.FromSeconds(float64(changes) / (c.budget.rate() * part))
 }
 
 // split gives the machine shard's document in so many pieces.
@@ -140,7 +140,7 @@
 	if long == nil {
 		return
 	}
-	mark := c.newWriteTag()
+	mark := c.commits.newWriteTag()
 	pieces := c.splitToFit(c.splitCountFor(long.size), c.store.limits.TxnOps, func(n int) []splitDocument { return c.splitJobShard(long, n, mark) })
 	if len(pieces) < 2 {
 		return
@@ -152,10 +152,10 @@
 	c.log.Info("splitting job shard", "shard", long.key, "bytes", long.size, "pieces", len(pieces), "longest", longestDocument(pieces))
 	c.jobShardSplits.inFlight = true
 	c.jobShardSplits.notBefore = c.now + c.creditPeriod(len(pieces), 0.25)
-	c.setKeysInFlight(txn, true)
-	c.commit(txn, mark, func(commitOutcome, uint64, []string) {
+	c.commits.markInFlight(txn)
+	c.commits.commit(txn, mark, func(commitOutcome, uint64, []string) {
 		c.jobShardSplits.inFlight = false
-		c.setKeysInFlight(txn, false)
+		c.commits.clearInFlight(txn)
 	})
 }
 
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -301,9 +301,9 @@
 	if c.replica.firstRented != nil || len(names) == 0 {
 		return
 	}
-	doc := schema.FirstMachine{Name: slices.Min(names), WriteTag: c.newWriteTag()}
+	doc := schema.FirstMachine{Name: slices.Min(names), WriteTag: c.commits.newWriteTag()}
 	txn := &kv.Txn{Conditions: []kv.Condition{{Key: schema.FirstMachineKey}}, Operations: []kv.Operation{{Set: schema.FirstMachineKey, Value: encode(doc)}}}
-	c.commit(txn, doc.WriteTag, func(commitOutcome, uint64, []string) {})
+	c.commits.commit(txn, doc.WriteTag, func(commitOutcome, uint64, []string) {})
 }
 
 // rented reports whether the machine was rented by this service.
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -56,13 +56,34 @@
 	return !s.failing && s.env.now-s.answeredAt < storeSilence
 }
 
+// failingFor reports whether the store fails and has given no answer for longer than a time.
+func (s *storeClient) failingFor(long units.Micros) bool {
+	return s.failing && s.env.now-s.answeredAt > long
+}
+
+// requestInterval is the time between requests of one kind that may take such a share of this
+// controller's part of the permitted requests.
+func (s *storeClient) requestInterval(share float64) units.Micros {
+	return units.FromSeconds(float64(s.env.cfg.Settings.Size) / (s.limits.RPS * share))
+}
+
+// noteThrottled notes that the store refused a request for its rate.
+func (s *storeClient) noteThrottled() {
+	if s.limits.noteThrottled() {
+		s.env.log.Warn("store throttles, adopting announced limits", "write_rps", s.limits.WriteRPS, "rps", s.limits.RPS)
+	}
+}
+
+// handleStoreResult passes the answer of a request to who sent it.
 func (c *Controller) handleStoreResult(result StoreResult) {
 	done := c.store.take(result)
 	if done == nil {
 		return
 	}
-	if result.Response.Status == kv.StatusThrottled {
-		c.noteThrottled()
+	// Before the gate is raised, processes of the version before may be at work. Their writes count
+	// as well, so that a 429 says nothing of the limits.
+	if result.Response.Status == kv.StatusThrottled && c.replica.chainsEnabled() {
+		c.store.noteThrottled()
 	}
 	done(result.Response)
 }
--- a/internal/controller/storelimits.go
+++ b/internal/controller/storelimits.go
@@ -2,7 +2,13 @@
 
 import "frostdock.example/frostdock/internal/config"
 
-// storeLimits are the limits of the state service that this controller keeps to.
+const (
+	valueMarginBytes    = 100 // that a stored value stays below the store's limit
+	conditionsPerChange = 4   // that the store permits
+)
+
+// storeLimits are the limits of the key-value store that this controller keeps to. They only ever
+// become tighter.
 type storeLimits struct {
 	config.KVLimits
 	next    config.KVLimits // that will hold from some moment on
@@ -14,7 +20,7 @@
 }
 
 // adoptTighter keeps sizes to the tighter of the present and the next limits, since the change
-// comes without notice. The rates stay until the service shows otherwise.
+// comes without notice. The rates stay until the store shows otherwise.
 func (l *storeLimits) adoptTighter() {
 	tighter := l.Min(l.next)
 	l.ValueKB, l.TxnOps = tighter.ValueKB, tighter.TxnOps
@@ -34,21 +40,13 @@
 	return true
 }
 
-// noteThrottled notes that the state service refused a request for its rate. While processes of the
-// version before are at work their writes count as well, so it says nothing before the gate.
-func (c *Controller) noteThrottled() {
-	if c.chainsEnabled() && c.store.limits.noteThrottled() {
-		c.log.Warn("store throttles, adopting announced limits", "write_rps", c.store.limits.WriteRPS, "rps", c.store.limits.RPS)
-	}
-}
-
-// maxValueBytes is how long a stored value may be: as the store allows, and so that
+// maxValueBytes is how long a stored value may be: as the store permits, and so that
 // one transaction takes at least two.
-func (c *Controller) maxValueBytes() int { return maxValueBytes(c.store.limits.ValueKB) }
+func (l *storeLimits) maxValueBytes() int { return maxValueBytes(l.ValueKB) }
 
 func maxValueBytes(valueKB float64) int {
-	return min(int(valueKB*1024)-100, maxTransactionBytes/2-documentOverheadBytes)
+	return min(int(valueKB*1024)-valueMarginBytes, maxTransactionBytes/2-documentOverheadBytes)
 }
 
 // maxConditions is how many conditions a transaction may have.
-func (c *Controller) maxConditions() int { return 4 * c.store.limits.TxnOps }
+func (l *storeLimits) maxConditions() int { return conditionsPerChange * l.TxnOps }
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -23,8 +23,7 @@
 			mine++
 		}
 	}
-	c.log.Info("summary", append(c.proofAttrs(), "terms", c.termsAttr(), "may_act", c.mayAct(), "invariants_violated", c.audit.violations, "store_ok", c.store.healthy(),
+	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.mayAct(), "invariants_violated", c.audit.violations, "store_ok", c.store.healthy(),
 		"jobs", jobs, "services", services, "tasks_waiting", waiting, "tasks_bound", bound,
-		"machines", len(c.replica.machines), "machines_led", mine, "requests_open", len(c.requests.deadlines), "changes", c.budget.changesByKind)...)
-	c.budget.changesByKind = map[string]int{}
+		"machines", len(c.replica.machines), "machines_led", mine, "requests_open", len(c.requests.deadlines), "changes", c.budget.takeChangesByKind())...)
 }
