--- /dev/null
+++ b/internal/controller/commit_test.go
@@ -0,0 +1,127 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// scriptedStore answers the requests of a controller that is not stepped, one after the other.
+type scriptedStore struct {
+	t        *testing.T
+	c        *Controller
+	requests []kv.Request
+}
+
+// answer answers the one request that is under way.
+func (s *scriptedStore) answer(response kv.Response) {
+	s.t.Helper()
+	if len(s.c.effects) != 1 {
+		s.t.Fatalf("%d effects, want one request", len(s.c.effects))
+	}
+	call, ok := s.c.effects[0].(StoreCall)
+	if !ok {
+		s.t.Fatalf("%T, want a request", s.c.effects[0])
+	}
+	s.c.effects = nil
+	s.requests = append(s.requests, call.Request)
+	s.c.handleStoreResult(StoreResult{CallID: call.CallID, Response: response})
+	s.c.now += units.Second
+	s.c.runTimers()
+}
+
+// TestCommit drives one transaction through every kind of answer: its fate is told once, and true, and
+// until it is clear the very same transaction is sent again.
+func TestCommit(t *testing.T) {
+	const tag = "a.1-1"
+	key := schema.PartitionKey(0)
+	written := encode(schema.Partition{Term: 2, Member: "a", Incarnation: "a.1", WriteTag: tag})
+	foreign := encode(schema.Partition{Term: 2, Member: "b", Incarnation: "b.1", WriteTag: "b.1-7"})
+	var (
+		applied     = kv.Response{Status: kv.StatusOK, Revision: 21}
+		conflict    = kv.Response{Status: kv.StatusConflict, Revision: 30, FailedKeys: []string{key}}
+		unknown     = kv.Response{Status: kv.StatusUnknown}
+		unavailable = kv.Response{Status: kv.StatusUnavailable}
+		throttled   = kv.Response{Status: kv.StatusThrottled}
+		malformed   = kv.Response{Status: kv.StatusMalformed}
+		found       = kv.Response{Status: kv.StatusOK, Revision: 31, ModRevision: 21, Value: written}
+		other       = kv.Response{Status: kv.StatusOK, Revision: 31, ModRevision: 25, Value: foreign}
+		absent      = kv.Response{Status: kv.StatusNotFound, Revision: 31}
+	)
+	for name, tc := range map[string]struct {
+		answers  []kv.Response
+		outcome  commitOutcome
+		revision uint64
+		failed   []string
+	}{
+		"applied":                                   {[]kv.Response{applied}, commitApplied, 21, nil},
+		"conflict":                                  {[]kv.Response{conflict}, commitConflict, 30, []string{key}},
+		"throttled":                                 {[]kv.Response{throttled}, commitThrottled, 0, nil},
+		"unavailable":                               {[]kv.Response{unavailable}, commitRefused, 0, nil},
+		"malformed":                                 {[]kv.Response{malformed}, commitRefused, 0, nil},
+		"unclear, then applied":                     {[]kv.Response{unknown, unknown, applied}, commitApplied, 21, nil},
+		"unclear, refused, then applied":            {[]kv.Response{unknown, throttled, unavailable, applied}, commitApplied, 21, nil},
+		"unclear, the first copy was applied":       {[]kv.Response{unknown, conflict, found}, commitApplied, 21, nil},
+		"unclear, another was first":                {[]kv.Response{unknown, conflict, other}, commitConflict, 30, []string{key}},
+		"unclear, nothing is there":                 {[]kv.Response{unknown, conflict, absent}, commitConflict, 30, []string{key}},
+		"unclear, and so is the lookup":             {[]kv.Response{unknown, conflict, unknown, throttled, found}, commitApplied, 21, nil},
+		"unclear, limits fell, was applied":         {[]kv.Response{unknown, malformed, found}, commitApplied, 21, nil},
+		"unclear, limits fell, was not applied":     {[]kv.Response{unknown, malformed, absent}, commitConflict, 31, nil},
+		"unclear, limits fell, another was first":   {[]kv.Response{unknown, malformed, other}, commitConflict, 31, nil},
+		"unclear, unavailable, conflict, not there": {[]kv.Response{unknown, unavailable, conflict, absent}, commitConflict, 30, []string{key}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			cfg := &config.Config{Member: "a"}
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+			store := &scriptedStore{t: t, c: quietController(cfg)}
+			txn := &kv.Txn{
+				Conditions: []kv.Condition{{Key: key, ModRevision: 20}},
+				Operations: []kv.Operation{{Set: key, Value: written}},
+			}
+			calls := 0
+			store.c.commits.commit(txn, tag, func(outcome commitOutcome, revision uint64, failed []string) {
+				calls++
+				if outcome != tc.outcome || revision != tc.revision || !slices.Equal(failed, tc.failed) {
+					t.Errorf("outcome %d, revision %d, failed %v", outcome, revision, failed)
+				}
+			})
+			for i, answer := range tc.answers {
+				if calls != 0 {
+					t.Fatalf("fate told before answer %d", i)
+				}
+				store.answer(answer)
+			}
+			if calls != 1 || len(store.c.effects) != 0 {
+				t.Errorf("fate told %d times, %d effects after it", calls, len(store.c.effects))
+			}
+			for _, request := range store.requests {
+				if request.Kind == kv.Transact && request.Txn != txn {
+					t.Error("another transaction was sent")
+				}
+			}
+			if shown := store.c.replica.revisions[key]; (shown != 0) != (tc.outcome == commitApplied) {
+				t.Errorf("the replica shows revision %d", shown)
+			}
+		})
+	}
+}
+
+// TestCommitOfDeletions has nothing to look up: a repeat that fails counts as a conflict.
+func TestCommitOfDeletions(t *testing.T) {
+	cfg := &config.Config{Member: "a"}
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+	store := &scriptedStore{t: t, c: quietController(cfg)}
+	key := schema.RegistrationKey("a", "a.0")
+	var outcomes []commitOutcome
+	txn := &kv.Txn{Conditions: []kv.Condition{{Key: key, ModRevision: 3}}, Operations: []kv.Operation{{Delete: key}}}
+	store.c.commits.commit(txn, "", func(outcome commitOutcome, _ uint64, _ []string) { outcomes = append(outcomes, outcome) })
+	store.answer(kv.Response{Status: kv.StatusUnknown})
+	store.answer(kv.Response{Status: kv.StatusConflict, Revision: 9})
+	if !slices.Equal(outcomes, []commitOutcome{commitConflict}) || len(store.c.effects) != 0 {
+		t.Errorf("outcomes %v, %d effects", outcomes, len(store.c.effects))
+	}
+}
--- /dev/null
+++ b/internal/controller/leadership_test.go
@@ -0,0 +1,73 @@
+package controller
+
+import (
+	"testing"
+
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// TestFailover takes over an orphaned partition at once if this process has the least to do, else
+// when the one that has has let it lie.
+func TestFailover(t *testing.T) {
+	for name, tc := range map[string]struct {
+		ownLoad, otherLoad int
+		waited             units.Micros
+		want               bool
+	}{
+		"least to do":                {1, 100, 0, true},
+		"as much to do, first named": {100, 100, 0, true},
+		"more to do":                 {100, 1, 0, false},
+		"more to do, not long":       {100, 1, failoverPriority, false},
+		"more to do, let lie":        {100, 1, failoverPriority + 1, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			c := leaderOfOne()
+			own, other := c.membership.process(), newProcessID("b", "b.1")
+			load := map[processID]int{own: tc.ownLoad, other: tc.otherLoad}
+			successor := leastLoaded([]processID{own, other}, load)
+			c.leaderships.mayTakeOver(1, successor)
+			c.now += tc.waited
+			if got := c.leaderships.mayTakeOver(1, successor); got != tc.want {
+				t.Errorf("takes over: %v", got)
+			}
+		})
+	}
+}
+
+// TestAcquireConditions rests a change of leaders on the registrations of those concerned: of this
+// process and of the new leader, that they are unchanged; of the former one, that it is gone.
+func TestAcquireConditions(t *testing.T) {
+	c := leaderOfOne()
+	own, other := c.membership.process(), newProcessID("b", "b.1")
+	c.replica.revisions[own.registrationKey()] = 4
+	c.replica.revisions[other.registrationKey()] = 5
+	c.replica.partitions[1] = &partitionDoc{revision: 7, doc: schema.Partition{Member: "b", Incarnation: "b.0"}}
+	self := kv.Condition{Key: own.registrationKey(), ModRevision: 4}
+	for name, tc := range map[string]struct {
+		partition int
+		leader    processID
+		want      []kv.Condition
+	}{
+		"a partition without a document": {2, own, []kv.Condition{self, {Key: schema.PartitionKey(2)}}},
+		"an orphan": {1, own, []kv.Condition{
+			self, {Key: schema.PartitionKey(1), ModRevision: 7}, {Key: schema.RegistrationKey("b", "b.0")},
+		}},
+		"given away": {0, other, []kv.Condition{
+			self, {Key: schema.PartitionKey(0), ModRevision: 8}, {Key: other.registrationKey(), ModRevision: 5},
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			got := c.leaderships.acquireConditions(tc.partition, tc.leader)
+			if len(got) != len(tc.want) {
+				t.Fatalf("%+v, want %+v", got, tc.want)
+			}
+			for i := range got {
+				if got[i] != tc.want[i] {
+					t.Errorf("%+v, want %+v", got[i], tc.want[i])
+				}
+			}
+		})
+	}
+}
