--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -129,7 +129,7 @@
 	}
 	fired(invariantForget, true)
 
-	c.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
+	c.dependencies.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
 	if st := c.auditAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); st.Stage != StageCancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
--- /dev/null
+++ b/internal/controller/cancellation.go
@@ -0,0 +1,129 @@
+package controller
+
+import (
+	"net/http"
+
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+)
+
+// cancellations writes the outcome "cancelled" of jobs when users ask for it. It promises that a job has
+// one outcome, written once: each transaction fails if there is an outcome already, and then the
+// stored one is what users are told. It never stops tasks: the leader of the job's partition sees
+// the outcome and does.
+type cancellations struct {
+	*environment
+	replica  *replica
+	users    *userRequests
+	statuses *statusReader
+	commits  transactor
+}
+
+// cancel cancels an accepted job. onConflict handles the request anew when the job has got an outcome
+// meanwhile.
+func (n *cancellations) cancel(request UserRequest, onConflict func(UserRequest)) {
+	cancellation := &pendingCancellation{cancellations: n, request: request, onConflict: onConflict}
+	cancellation.send()
+}
+
+// pendingCancellation is a user's cancellation that is not stored yet.
+type pendingCancellation struct {
+	*cancellations
+	request    UserRequest
+	outcome    schema.Outcome
+	onConflict func(UserRequest)
+}
+
+// send writes the outcome, and beside it the news of the cancellation, which the watch shows to all.
+func (p *pendingCancellation) send() {
+	id := p.request.JobID
+	if j := p.replica.jobs[id]; j == nil || !j.accepted {
+		p.users.askToRetry(p.request.RequestID)
+		return
+	}
+	writeTag := p.commits.newWriteTag()
+	p.outcome = schema.Outcome{State: StageCancelled, RecordedAt: int64(p.timeOfDay), WriteTag: writeTag}
+	txn := outcomeTransaction(id, p.outcome)
+	txn.Operations = append(txn.Operations, kv.Operation{
+		Set: schema.CancellationPrefix + id, Value: encode(cancellationDocument{WriteTag: writeTag}),
+	})
+	p.commits.commit(txn, writeTag, p.settle)
+}
+
+// settle takes the outcome of the transaction.
+func (p *pendingCancellation) settle(outcome commitOutcome, _ uint64, _ []string) {
+	switch outcome {
+	case commitApplied:
+		p.users.answerStatus(p.request.RequestID, http.StatusOK, outcomeStatus(p.request.JobID, p.outcome))
+	case commitConflict: // it ended, or another controller cancelled it, at the same time
+		if p.users.isOpen(p.request.RequestID) {
+			p.onConflict(p.request)
+		}
+	case commitThrottled:
+		p.after(throttledRetry, p.retry)
+	case commitRefused:
+		p.users.askToRetry(p.request.RequestID)
+	}
+}
+
+// retry sends the cancellation again if its user still waits.
+func (p *pendingCancellation) retry() {
+	if p.users.isOpen(p.request.RequestID) {
+		p.send()
+	}
+}
+
+// acceptCancelled accepts a job that needs a cancelled one: all that is stored of it is its outcome.
+func (n *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
+	writeTag := n.commits.newWriteTag()
+	accept := &cancelledAccept{cancellations: n, request: request, outcome: schema.Outcome{
+		State: StageCancelled, RecordedAt: int64(n.timeOfDay), CancelledBy: cancelledBy, WriteTag: writeTag,
+	}}
+	n.commits.commit(outcomeTransaction(request.JobID, accept.outcome), writeTag, accept.settle)
+}
+
+// cancelledAccept is the submission of a job that is cancelled already, while its outcome is stored.
+type cancelledAccept struct {
+	*cancellations
+	request UserRequest
+	outcome schema.Outcome
+}
+
+// settle takes the outcome of the transaction.
+func (a *cancelledAccept) settle(outcome commitOutcome, _ uint64, _ []string) {
+	switch outcome {
+	case commitApplied:
+		a.users.answerStatus(a.request.RequestID, http.StatusCreated, outcomeStatus(a.request.JobID, a.outcome))
+	case commitConflict: // it is over already
+		a.statuses.current(a.request.JobID, func(result statusResult) { a.users.answerExisting(a.request.RequestID, result) })
+	case commitRefused, commitThrottled:
+		a.users.askToRetry(a.request.RequestID)
+	}
+}
+
+// outcomeTransaction writes a job's outcome if it has none.
+func outcomeTransaction(id string, outcome schema.Outcome) *kv.Txn {
+	key := schema.OutcomePrefix + id
+	return &kv.Txn{
+		Conditions: []kv.Condition{{Key: key}},
+		Operations: []kv.Operation{{Set: key, Value: encode(outcome)}},
+	}
+}
+
+// cancellationDocument tells all controllers that a job is cancelled, until its tasks have stopped.
+type cancellationDocument struct {
+	WriteTag string `json:"w"`
+}
+
+// storeDerivedCancellation stores the outcome of a job that is cancelled because of another, when there is
+// time for it, and removes the job. It never had a task.
+func (b *plan) storeDerivedCancellation(j *job) {
+	b.removeJob(j)
+	if _, stored := b.c.replica.outcomes.get(j.id); stored {
+		return // accepted as cancelled by another controller, beside this entry
+	}
+	outcome := schema.Outcome{
+		State: StageCancelled, RecordedAt: int64(b.c.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: b.writeTag,
+	}
+	b.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
+}
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -65,6 +65,9 @@
 	}
 }
 
+// isInFlight reports whether a transaction whose fate is not clear yet changes a key.
+func (c *committer) isInFlight(key string) bool { return c.keysInFlight[key] }
+
 // changedKey is the key that an operation sets or deletes.
 func changedKey(op kv.Operation) string { return op.Set + op.Delete }
 
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -8,63 +8,83 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Ends of tasks on others' machines. The owner of a job stores its progress, and the commander
-// of the machine sees its tasks complete. That is told in heartbeats, since writing it into the
-// machine's machine shard, for the owner to read, took a third of all changes of a large fleet. A
-// completed task stays completed, so a heartbeat that is lost, late or repeated does no harm;
-// what the owner has not stored in time is written into the machine shard all the same.
+// completionExchange tells other controllers of completed tasks in heartbeats, and takes what they tell.
+// The leader of a job's partition stores the job's progress, but the leader of the machine's partition
+// sees its tasks complete. Written into the machine's shard, for the job's leader to read, completions
+// would take a third of all changes of a large fleet. A completed task stays completed, so a heartbeat
+// that is lost, late or repeated does no harm. The exchange owns nothing and promises nothing more: it
+// never stores a completion, and what the job's leader has not stored in time is written into the
+// machine shard all the same.
+type completionExchange struct {
+	*environment
+	replica    *replica
+	partitions *partitionTable
+	peers      peerHeartbeats
+}
 
-// runTimeUnit is the unit in which a machine shard tells how long a task ran.
-const runTimeUnit = 100 * units.Millisecond
+// peerHeartbeats knows the latest heartbeat of each process, if it is recent.
+type peerHeartbeats interface {
+	heartbeatOf(member, incarnation string) (peer.Heartbeat, bool)
+}
 
-// maxCompletionsSent bounds what one heartbeat tells.
-const maxCompletionsSent = 2000
+const (
+	// runTimeUnit is the unit in which a machine shard tells how long a task ran.
+	runTimeUnit = 100 * units.Millisecond
+	// maxCompletionsSent bounds what one heartbeat tells.
+	maxCompletionsSent = 2000
+	// leaderStoresWithin is how long the leader of a job is given to store the completion of a task that
+	// it has been told of.
+	leaderStoresWithin = progressFlushPeriod + 10*units.Second
+)
 
-// completionsForPeers lists completed tasks on this controller's machines that the owners of their
-// jobs have not stored yet.
-func (c *Controller) completionsForPeers() []peer.EndedTask {
-	var out []peer.EndedTask
-	for _, m := range c.replica.sortedMachines() {
+// forPeers lists completed tasks on this controller's machines that the leaders of their jobs have not
+// stored yet.
+func (e *completionExchange) forPeers() []peer.EndedTask {
+	var completed []peer.EndedTask
+	for _, m := range e.replica.sortedMachines() {
 		if m.agent == nil {
 			continue
 		}
-		for k, e := range m.agent.completions {
-			if j := c.replica.jobs[k.job]; j != nil && j.accepted && c.partitions.led[j.partition] == nil && !j.done.Contains(k.num) {
-				out = append(out, peer.EndedTask{Job: k.job, Num: k.num, Ran: int64(e.tenths-1) * int64(runTimeUnit)})
+		for task, completion := range m.agent.completions {
+			j := e.replica.jobs[task.job]
+			if j != nil && j.accepted && !e.leadsJob(j) && !j.done.Contains(task.num) {
+				ran := units.Micros(completion.tenths-1) * runTimeUnit
+				completed = append(completed, peer.EndedTask{Job: task.job, Num: task.num, Ran: int64(ran)})
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b peer.EndedTask) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Num, b.Num)) })
-	return out[:min(len(out), maxCompletionsSent)]
+	slices.SortFunc(completed, func(a, b peer.EndedTask) int {
+		return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Num, b.Num))
+	})
+	return completed[:min(len(completed), maxCompletionsSent)]
 }
 
-// applyPeerCompletions notes what another controller has seen to complete.
-func (c *Controller) applyPeerCompletions(ended []peer.EndedTask) {
-	for _, e := range ended {
-		j := c.replica.jobs[e.Job]
-		if j == nil || !j.accepted || c.partitions.led[j.partition] == nil || e.Num < 0 || e.Num >= j.spec.Tasks || j.isDone(e.Num) {
+// apply notes what another controller has seen to complete.
+func (e *completionExchange) apply(completed []peer.EndedTask) {
+	for _, task := range completed {
+		j := e.replica.jobs[task.Job]
+		if j == nil || !j.accepted || !e.leadsJob(j) || task.Num < 0 || task.Num >= j.spec.Tasks || j.isDone(task.Num) {
 			continue
 		}
 		j.failures, j.succeeded = 0, true
-		j.noteCompletion(e.Num, units.Micros(e.Ran))
-		c.planNeeded = true
+		j.noteCompletion(task.Num, units.Micros(task.Ran))
+		e.planNeeded = true
 	}
 }
 
-// leaderStoresWithin is how long the owner of a job is given to store the end of a task that it
-// has been told of.
-const leaderStoresWithin = progressFlushPeriod + 10*units.Second
+// leadsJob reports whether this controller leads the partition of a job.
+func (e *completionExchange) leadsJob(j *job) bool { return e.partitions.led[j.partition] != nil }
 
-// leaderStoresCompletion reports whether the end of a task that was seen at some moment can be left to the
-// owner of its job, which is told of it.
-func (c *Controller) leaderStoresCompletion(j *job, seen units.Micros) bool {
-	if !c.chainsEnabled() || c.now-seen > leaderStoresWithin {
+// leaderStores reports whether the completion of a task that was seen at some moment can be left to the
+// leader of its job, which is told of it.
+func (e *completionExchange) leaderStores(j *job, seenAt units.Micros) bool {
+	if !e.replica.chainsEnabled() || e.now-seenAt > leaderStoresWithin {
 		return false
 	}
-	p := c.replica.partitions[j.partition]
-	if p == nil {
+	partition := e.replica.partitions[j.partition]
+	if partition == nil {
 		return false
 	}
-	_, ok := c.heartbeatOf(p.doc.Member, p.doc.Incarnation)
+	_, ok := e.peers.heartbeatOf(partition.doc.Member, partition.doc.Incarnation)
 	return ok
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,9 +26,13 @@
 	commits     *committer
 	gate        *formatGate
 
-	requests     userRequests
-	outcomeReads outcomeReads
-	accepts      acceptQueue
+	dependencies *dependencyGraph
+	outcomeReads *outcomeReads
+	users        *userRequests
+	accepts      *acceptQueue
+	requests     *requestHandler
+	readiness    *readiness
+	completions  *completionExchange
 
 	jobShardSplits jobShardSplits
 
@@ -49,7 +53,6 @@
 	env := &environment{cfg: cfg, policy: pol, log: log.With("node", cfg.Member)}
 	c := &Controller{
 		environment: env,
-		requests:    newUserRequests(),
 		peers:       newPeerTable(),
 		agents:      newAgentGateway(),
 		fleet:       newFleetMonitor(),
@@ -58,9 +61,9 @@
 		cloud:       newCloudView(),
 		audit:       newAudit(),
 	}
-	c.outcomeReads = newOutcomeReads()
 	c.wireReplication()
 	c.wireLeadership(incarnation)
+	c.wireRequests()
 	c.duties = c.periodicDuties()
 	return c
 }
@@ -97,6 +100,28 @@
 	c.gate = &formatGate{env: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
 }
 
+// wireRequests connects what answers users.
+func (c *Controller) wireRequests() {
+	env := c.environment
+	c.dependencies = &dependencyGraph{environment: env, replica: c.replica}
+	c.outcomeReads = newOutcomeReads(env, c.store, c.replica, c.dependencies)
+	c.users = newUserRequests(env, c)
+	statuses := &statusReader{environment: env, replica: c.replica, freshness: c.freshness, outcomes: c.outcomeReads}
+	c.accepts = &acceptQueue{
+		environment: env, store: c.store, replica: c.replica, users: c.users, statuses: statuses,
+		budget: c.budget, commits: c.commits,
+	}
+	c.requests = &requestHandler{
+		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud,
+		users: c.users, statuses: statuses, outcomes: c.outcomeReads, accepts: c.accepts,
+		cancellations: &cancellations{environment: env, replica: c.replica, users: c.users, statuses: statuses, commits: c.commits},
+	}
+	c.readiness = &readiness{
+		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud, membership: c.membership, peers: &c.peers,
+	}
+	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c}
+}
+
 // Step takes what happened since the last step and returns what to do.
 func (c *Controller) Step(now, timeOfDay units.Micros, messages []Message) []Effect {
 	first := c.now == 0
@@ -121,9 +146,9 @@
 func (c *Controller) handle(message Message) {
 	switch m := message.(type) {
 	case UserRequest:
-		c.handleUserRequest(m)
+		c.requests.handle(m)
 	case ReadyRequest:
-		c.handleReady(m)
+		c.readiness.handle(m)
 	case HeartbeatRequest:
 		c.agents.heartbeats = append(c.agents.heartbeats, m) // answered when all else has been read
 	case StoreResult:
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -22,7 +22,7 @@
 
 func (c *Controller) handlePeerHeartbeat(m PeerHeartbeat) {
 	c.peers.latest[m.Heartbeat.Member] = peerState{receivedAt: c.now, heartbeat: m.Heartbeat}
-	c.applyPeerCompletions(m.Heartbeat.Ended)
+	c.completions.apply(m.Heartbeat.Ended)
 }
 
 // sendHeartbeat tells the others which machines this node hears, as evidence that a
@@ -43,7 +43,7 @@
 	}
 	writeRate := c.budget.updateAverageRate()
 	if c.chainsEnabled() {
-		b.Ended, b.Writes = c.completionsForPeers(), writeRate
+		b.Ended, b.Writes = c.completions.forPeers(), writeRate
 	}
 	c.emit(BroadcastHeartbeat{b})
 }
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -228,7 +228,7 @@
 	t.txn.Operations = b.jointOps
 	for _, s := range c.replica.jobShards {
 		if less := b.cleared[s]; less != nil {
-			doc := c.jobShardDoc(s, less)
+			doc := c.replica.jobShardDocument(s, less)
 			doc.WriteTag = b.writeTag
 			c.addSet(t.txn, s.key, encode(doc))
 		}
@@ -272,7 +272,7 @@
 		if res == commitConflict {
 			o.requiredRevision = max(o.requiredRevision, rev) // the replica must first show what failed it
 			c.log.Info("plan commit conflict", "partition", o.partition, "failed", failed)
-			c.learnConflictingOutcomes(failed)
+			c.outcomeReads.learnConflicting(failed)
 		}
 		return
 	}
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -1,9 +1,6 @@
 package controller
 
-import (
-	"frostdock.example/frostdock/internal/dag"
-	"frostdock.example/frostdock/internal/schema"
-)
+import "frostdock.example/frostdock/internal/schema"
 
 // The controller observes its replica: what follows from a change for this process's own duties.
 
@@ -14,15 +11,15 @@
 	return progressGapsFor(c.maxValueBytes())
 }
 
-func (c *Controller) jobAccepted(j *job) { c.addToGraph(j) }
+func (c *Controller) jobAccepted(j *job) { c.dependencies.add(j) }
 
-func (c *Controller) jobRemoved(j *job) { c.removeFromGraph(j) }
+func (c *Controller) jobRemoved(j *job) { c.dependencies.remove(j) }
 
-func (c *Controller) jobCancelled(id string) {
-	c.propagateOutcome(id, dag.Outcome{State: dag.Cancelled})
-}
+func (c *Controller) jobCancelled(id string) { c.dependencies.noteCancellation(id) }
 
-func (c *Controller) outcomeShown(id string, outcome schema.Outcome) { c.learnOutcome(id, outcome) }
+func (c *Controller) outcomeShown(id string, outcome schema.Outcome) {
+	c.dependencies.learnOutcome(id, outcome)
+}
 
 // machineChanged begins or ends to command a machine, or tells its agent what its entry says now.
 func (c *Controller) machineChanged(m *machine, change machineChange) {
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -166,7 +166,7 @@
 	for i := range docs {
 		docs[i] = schema.JobShard{ShardCount: of * pieces, WriteTag: mark}
 	}
-	for _, job := range c.jobShardDoc(s, nil).Jobs {
+	for _, job := range c.replica.jobShardDocument(s, nil).Jobs {
 		doc := &docs[(schema.JobShardIndex(job.ID, of*pieces)-s.number)/of]
 		doc.Jobs = append(doc.Jobs, job)
 	}
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -116,7 +116,7 @@
 	if j.waiting() > 0 && c.quotaRoom(j, using) == 0 {
 		return true
 	}
-	return c.partitions.led[j.partition] == nil && !c.leaderStoresCompletion(j, m.agent.completions[keyOf(*t)].seenAt)
+	return c.partitions.led[j.partition] == nil && !c.completions.leaderStores(j, m.agent.completions[keyOf(*t)].seenAt)
 }
 
 func (gd *stagedShard) addsTasks() bool {
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -25,5 +25,5 @@
 	}
 	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.mayAct(), "invariants_violated", c.audit.violations, "store_ok", c.store.healthy(),
 		"jobs", jobs, "services", services, "tasks_waiting", waiting, "tasks_bound", bound,
-		"machines", len(c.replica.machines), "machines_led", mine, "requests_open", len(c.requests.deadlines), "changes", c.budget.takeChangesByKind())...)
+		"machines", len(c.replica.machines), "machines_led", mine, "requests_open", c.users.openCount(), "changes", c.budget.takeChangesByKind())...)
 }
