--- /dev/null
+++ b/internal/controller/accepts_test.go
@@ -0,0 +1,160 @@
+package controller
+
+import (
+	"net/http"
+	"slices"
+	"testing"
+
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// fakeShardWriter keeps the last transaction, whose outcome the test tells, and stores nothing.
+type fakeShardWriter struct {
+	inFlight map[string]bool
+	commits  int
+	txn      *kv.Txn
+	settle   func(commitOutcome, uint64, []string)
+}
+
+func (w *fakeShardWriter) newWriteTag() string        { return "tag" }
+func (w *fakeShardWriter) isInFlight(key string) bool { return w.inFlight[key] }
+
+func (w *fakeShardWriter) markInFlight(txn *kv.Txn) {
+	for _, op := range txn.Operations {
+		w.inFlight[op.Set] = true
+	}
+}
+
+func (w *fakeShardWriter) clearInFlight(txn *kv.Txn) {
+	for _, op := range txn.Operations {
+		delete(w.inFlight, op.Set)
+	}
+}
+
+func (w *fakeShardWriter) commit(txn *kv.Txn, _ string, done func(commitOutcome, uint64, []string)) {
+	w.commits++
+	w.txn, w.settle = txn, done
+}
+
+// newTestAccepts is a controller whose accept queue writes to a fake.
+func newTestAccepts() (*Controller, *fakeShardWriter) {
+	cfg := &config.Config{Member: "a"}
+	cfg.Settings.Size, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
+	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
+	c := quietController(cfg)
+	c.now = units.Second
+	writer := &fakeShardWriter{inFlight: map[string]bool{}}
+	c.accepts.commits = writer
+	return c, writer
+}
+
+// submit queues the submission of a job.
+func submit(c *Controller, requestID uint64, id string) {
+	request := UserRequest{RequestID: requestID, Kind: SubmitJob, JobID: id, Job: &schema.Job{ID: id, Team: "red", Tasks: 1, CPUs: 1}}
+	c.users.open(request)
+	c.accepts.enqueue(request)
+}
+
+// TestAcceptIsDurableFirst answers a submission when its transaction has come to an end, and not before.
+func TestAcceptIsDurableFirst(t *testing.T) {
+	outcomeKey := schema.OutcomePrefix + "j-000001"
+	for _, tc := range []struct {
+		name       string
+		outcome    commitOutcome
+		failedKeys []string
+		status     int // of the answer; 0: none yet
+		pending    int
+	}{
+		{name: "applied", outcome: commitApplied, status: http.StatusCreated},
+		{name: "refused", outcome: commitRefused, status: http.StatusServiceUnavailable},
+		{name: "throttled", outcome: commitThrottled, pending: 1},
+		{name: "shard changed", outcome: commitConflict, failedKeys: []string{"shard"}, pending: 1},
+		{name: "over already", outcome: commitConflict, failedKeys: []string{outcomeKey}, status: http.StatusServiceUnavailable},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c, writer := newTestAccepts()
+			submit(c, 1, "j-000001")
+			if writer.commits != 1 || len(c.effects) != 0 {
+				t.Fatalf("%d transactions, %d answers before one has come to an end", writer.commits, len(c.effects))
+			}
+			shardKey := c.replica.jobShardOf("j-000001").key
+			conditions := []kv.Condition{{Key: shardKey}, {Key: outcomeKey}}
+			if !slices.Equal(writer.txn.Conditions, conditions) || !writer.inFlight[shardKey] {
+				t.Errorf("conditions %v, in flight %v", writer.txn.Conditions, writer.inFlight)
+			}
+			writer.settle(tc.outcome, 9, tc.failedKeys)
+			reply, _ := replyTo(1, c.effects)
+			if reply.Status != tc.status || len(c.accepts.pending) != tc.pending || writer.inFlight[shardKey] {
+				t.Errorf("answered %d, %d pending, in flight %v", reply.Status, len(c.accepts.pending), writer.inFlight)
+			}
+		})
+	}
+}
+
+// TestAcceptWaits does not store the next submissions while a transaction is under way, before the replica
+// shows what failed the last one, or too soon after a throttled one.
+func TestAcceptWaits(t *testing.T) {
+	c, writer := newTestAccepts()
+	submit(c, 1, "j-000001")
+	submit(c, 2, "j-000002")
+	if writer.commits != 1 {
+		t.Fatalf("%d transactions at once", writer.commits)
+	}
+	writer.settle(commitConflict, 9, nil)
+	c.accepts.storePending()
+	if writer.commits != 1 {
+		t.Error("stored before the replica has caught up")
+	}
+	c.replica.watchRevision = 9
+	c.accepts.storePending()
+	if writer.commits != 2 {
+		t.Fatal("not stored after the replica has caught up")
+	}
+	writer.settle(commitThrottled, 0, nil)
+	c.accepts.storePending()
+	if writer.commits != 2 {
+		t.Error("stored at once after the store has throttled")
+	}
+	c.now += throttledRetry
+	c.accepts.storePending()
+	if writer.commits != 3 {
+		t.Error("not stored later")
+	}
+}
+
+// TestAcceptSameJobTwice enters a job once though it was submitted twice: the second waits.
+func TestAcceptSameJobTwice(t *testing.T) {
+	c, writer := newTestAccepts()
+	c.accepts.inFlight = true
+	submit(c, 1, "j-000001")
+	submit(c, 2, "j-000001")
+	c.accepts.inFlight = false
+	c.accepts.storePending()
+	writer.settle(commitApplied, 9, nil)
+	if first, _ := replyTo(1, c.effects); first.Status != http.StatusCreated {
+		t.Errorf("the first is answered %d", first.Status)
+	}
+	if second, ok := replyTo(2, c.effects); ok || len(c.accepts.pending) != 1 {
+		t.Errorf("the second is answered %d, %d pending", second.Status, len(c.accepts.pending))
+	}
+}
+
+// TestShardsByUrgency orders job shards by how many submissions wait for them, and for how long.
+func TestShardsByUrgency(t *testing.T) {
+	c, _ := newTestAccepts()
+	c.now = 10 * units.Second
+	shards := c.replica.jobShards
+	pending := map[*jobShard][]pendingAccept{
+		shards[0]: {{requestedAt: 10 * units.Second}},
+		shards[1]: {{requestedAt: 8 * units.Second}},
+		shards[2]: {{requestedAt: 10 * units.Second}, {requestedAt: 10 * units.Second}},
+		shards[3]: {{requestedAt: 10 * units.Second}},
+	}
+	want := []*jobShard{shards[1], shards[2], shards[0], shards[3]}
+	if got := c.accepts.shardsByUrgency(pending); !slices.Equal(got, want) {
+		t.Errorf("order %v", got)
+	}
+}
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"strings"
 	"testing"
 
 	"frostdock.example/frostdock/internal/config"
@@ -10,96 +9,107 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// chainStore is a store in which j-000002 needs j-000001, whose end is as given, and j-000003
-// needs j-000002.
-func chainStore(end schema.Outcome) (*Controller, *fakeStore) {
+// storeWithDependencies is a store in which j-000002 needs j-000001, whose outcome is as given, and
+// j-000003 needs j-000002; with a controller that has loaded nothing yet.
+func storeWithDependencies(outcome schema.Outcome) (*Controller, *fakeStore) {
 	cfg := &config.Config{Member: "a"}
-	s := &cfg.Settings
-	s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
-	s.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
-	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
+	settings := &cfg.Settings
+	settings.Size, settings.Teams = 1, []config.Team{{Name: "red"}}
+	settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
+	settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
 	c := quietController(cfg)
-	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+	store := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 	layout := c.replica.layout
 	layout.Format = schema.FormatDependencies
-	o.put(schema.LayoutKey, layout)
-	o.put(schema.OutcomePrefix+"j-000001", end)
+	store.put(schema.LayoutKey, layout)
+	store.put(schema.OutcomePrefix+"j-000001", outcome)
 	second := schema.Job{ID: "j-000002", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-000001"}}
 	third := schema.Job{ID: "j-000003", Team: "red", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-000002"}}
-	o.put(schema.JobShardKey(schema.JobShardIndex(second.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{second}})
-	o.put(schema.JobShardKey(schema.JobShardIndex(third.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{third}})
-	return c, o
+	store.put(schema.JobShardKey(schema.JobShardIndex(second.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{second}})
+	store.put(schema.JobShardKey(schema.JobShardIndex(third.ID, layout.JobShards)), schema.JobShard{Jobs: []schema.Job{third}})
+	return c, store
 }
 
-// TestReadEnds has a controller that has just loaded read the ends of needed jobs by itself: a
-// copy does not have them, and a job that waits for one would wait for good.
-func TestReadEnds(t *testing.T) {
-	c, o := chainStore(schema.Outcome{State: StageDone, TasksDone: 1, RecordedAt: 77})
-	step := o.stepper(c)
+// TestNeededOutcomeIsRead has a controller that has just loaded read the outcomes of needed jobs by
+// itself: its replica does not have them, and a job that waits for one would wait for good.
+func TestNeededOutcomeIsRead(t *testing.T) {
+	c, store := storeWithDependencies(schema.Outcome{State: StageDone, TasksDone: 1, RecordedAt: 77})
+	step := store.stepper(c)
 	for range 100 {
 		step()
 	}
-	j := c.replica.jobs["j-000002"]
-	if !j.dependency.Ready() || j.eligibleSince() != 77 || j.waiting() != 1 {
-		t.Errorf("ready %v, since %d", j.dependency.Ready(), j.eligibleSince())
+	second := c.replica.jobs["j-000002"]
+	if !second.dependency.Ready() || second.eligibleSince() != 77 || second.waiting() != 1 {
+		t.Errorf("ready %v, since %d", second.dependency.Ready(), second.eligibleSince())
 	}
 	if third := c.replica.jobs["j-000003"]; third.dependency.Ready() || third.waiting() != 0 {
 		t.Error("j-000003 does not wait for j-000002")
 	}
 }
 
-// TestAnswerOnlyWhatIsKnown asks about a job before the end of one that it needs, through
+// slowOutcomeStore answers reads of one outcome later than all else.
+type slowOutcomeStore struct {
+	*fakeStore
+	slowKey string
+	delayed []Message // the answers to reads of that key
+}
+
+// answer gives the messages that an effect brings back at once.
+func (s *slowOutcomeStore) answer(effect Effect) []Message {
+	messages := s.fakeStore.answer(effect)
+	if call, ok := effect.(StoreCall); ok && call.Request.Key == s.slowKey {
+		s.delayed = append(s.delayed, messages...)
+		return nil
+	}
+	return messages
+}
+
+// release gives the answers that were kept back.
+func (s *slowOutcomeStore) release() []Message {
+	messages := s.delayed
+	s.delayed = nil
+	return messages
+}
+
+// replyTo is the reply to a request among effects; false if there is none.
+func replyTo(requestID uint64, effects []Effect) (Reply, bool) {
+	for _, effect := range effects {
+		if reply, ok := effect.(Reply); ok && reply.RequestID == requestID {
+			return reply, true
+		}
+	}
+	return Reply{}, false
+}
+
+// TestStatusWaitsForNeededOutcome asks about a job before the outcome of one that it needs, through
 // another, has been read: it must not be called pending, since it is cancelled.
-func TestAnswerOnlyWhatIsKnown(t *testing.T) {
-	c, o := chainStore(schema.Outcome{State: StageCancelled})
+func TestStatusWaitsForNeededOutcome(t *testing.T) {
+	c, fake := storeWithDependencies(schema.Outcome{State: StageCancelled})
+	store := &slowOutcomeStore{fakeStore: fake, slowKey: schema.OutcomePrefix + "j-000001"}
+	query := UserRequest{RequestID: 7, Kind: QueryJob, JobID: "j-000003"}
 	now := units.Second
-	var msgs []Message
 	asked := false
-	var slow []Message // the answer about the end, which takes longer than others
-	for n := range 400 {
+	var messages []Message
+	for step := range 400 {
 		now += 5 * units.Millisecond
-		var next []Message
-		if n == 100 {
-			next, slow = slow, nil
-		}
 		if c.replica.synced && !asked {
 			asked = true
-			msgs = append(msgs, UserRequest{RequestID: 7, Kind: QueryJob, JobID: "j-000003"})
+			messages = append(messages, query)
 		}
-		for _, e := range c.Step(now, now+units.Micros(1e15), msgs) {
-			if r, ok := e.(Reply); ok && r.RequestID == 7 {
-				if st, ok := r.Body.(*JobStatus); !ok || st.Stage != StageCancelled || st.CancelledBy == "" {
-					t.Errorf("answered %d, %+v", r.Status, r.Body)
-				}
-				return
-			}
-			if call, ok := e.(StoreCall); ok && call.Request.Key == schema.OutcomePrefix+"j-000001" {
-				slow = append(slow, o.answer(e)...)
-				continue
+		effects := c.Step(now, now+units.Micros(1e15), messages)
+		if reply, ok := replyTo(query.RequestID, effects); ok {
+			if status, ok := reply.Body.(*JobStatus); !ok || status.Stage != StageCancelled || status.CancelledBy == "" {
+				t.Errorf("answered %d, %+v", reply.Status, reply.Body)
 			}
-			next = append(next, o.answer(e)...)
+			return
 		}
-		msgs = next
-	}
-	t.Error("not answered")
-}
-
-// TestEndStoredBesideEntry loads a store in which a job is among the accepted ones and has its
-// end as well: two controllers took it at the moment at which what it needs was cancelled. The
-// owner, whose copy does not have that end, tried to write it for ever, and since that failed
-// nothing that was in the same transaction was ever stored.
-func TestEndStoredBesideEntry(t *testing.T) {
-	c, o := chainStore(schema.Outcome{State: StageCancelled, RecordedAt: 77})
-	o.put(schema.OutcomePrefix+"j-000002", schema.Outcome{State: StageCancelled, RecordedAt: 78, CancelledBy: "j-000001"})
-	o.guarded = true
-	step := o.stepper(c)
-	for range 600 {
-		step()
-	}
-	for key, item := range o.keys {
-		var shard schema.JobShard
-		if strings.HasPrefix(key, schema.JobShardPrefix) && c.decode(key, item.Value, &shard) && len(shard.Jobs) > 0 {
-			t.Errorf("%s still has %s", key, shard.Jobs[0].ID)
+		messages = nil
+		if step == 100 {
+			messages = store.release()
+		}
+		for _, effect := range effects {
+			messages = append(messages, store.answer(effect)...)
 		}
 	}
+	t.Error("not answered")
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -8,7 +8,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// Message is something that happened outside. The types of this file are all that there are.
+// Message is something that happened outside the controller: a request, the answer to a call, or a
+// heartbeat. The set is closed: the types of this file are all that there are.
 //
 //sumtype:decl
 type Message interface{ isMessage() }
@@ -21,41 +22,41 @@
 func (AgentResult) isMessage()      {}
 func (PeerHeartbeat) isMessage()    {}
 
-// UserRequestKind tells what a user asks.
+// UserRequestKind tells what a user asks for.
 type UserRequestKind int
 
-// What users ask.
+// What users ask for.
 const (
-	SubmitJob UserRequestKind = iota
-	QueryJob
-	CancelJob
+	SubmitJob UserRequestKind = iota // accept a job; of a job that exists already, its status
+	QueryJob                         // a job's status
+	CancelJob                        // cancel a job; of a job that is over already, its status
 )
 
-// UserRequest is a user's request. To names the request in the Reply.
+// UserRequest is a user's request. It is answered by exactly one Reply, unless the process ends.
 type UserRequest struct {
 	RequestID uint64
 	Kind      UserRequestKind
-	JobID     string      // empty when a submission is too broken to have one
-	Job       *schema.Job // nil when the submission is malformed
+	JobID     string      // empty when a submission is too malformed to have one
+	Job       *schema.Job // of a submission; nil when it is malformed
 	Malformed error       // what is malformed
 }
 
-// ReadyRequest is a health probe.
+// ReadyRequest is a health probe of a load balancer. It is answered in the same step.
 type ReadyRequest struct{ RequestID uint64 }
 
-// HeartbeatRequest is a worker's report.
+// HeartbeatRequest is a worker agent's heartbeat. Its answer has the agent's commands.
 type HeartbeatRequest struct {
 	RequestID uint64
 	Heartbeat agent.Heartbeat
 }
 
-// StoreResult answers a StoreCall.
+// StoreResult answers the StoreCall of the same id. Results may come in any order, or never.
 type StoreResult struct {
 	CallID   uint64
 	Response kv.Response
 }
 
-// CloudResult answers a CloudCall.
+// CloudResult answers the CloudCall of the same id. What the operation does not return is zero.
 type CloudResult struct {
 	CallID   uint64
 	Status   cloud.Status
@@ -64,17 +65,18 @@
 	Page     cloud.MachinePage
 }
 
-// AgentResult answers an AgentCall. Heartbeat is nil if there was no answer: the commands may yet be
-// carried out.
+// AgentResult answers the AgentCall of the same id. Heartbeat is nil if there was no answer: the
+// commands may yet be carried out.
 type AgentResult struct {
 	CallID    uint64
 	Heartbeat *agent.Heartbeat
 }
 
-// PeerHeartbeat is another controller's heartbeat.
+// PeerHeartbeat is another controller's heartbeat. It may be late, repeated or lost.
 type PeerHeartbeat struct{ Heartbeat peer.Heartbeat }
 
-// Effect is something to do outside. The types of this file are all that there are.
+// Effect is something to do outside the controller. Effects are begun in their order. The set is
+// closed: the types of this file are all that there are.
 //
 //sumtype:decl
 type Effect interface{ isEffect() }
@@ -85,46 +87,46 @@
 func (AgentCall) isEffect()          {}
 func (BroadcastHeartbeat) isEffect() {}
 
-// Reply answers a request.
+// Reply answers the request of the same id.
 type Reply struct {
 	RequestID         uint64
-	Status            int
+	Status            int // of HTTP
 	Body              any // encoded as JSON; nil: no body
-	RetryAfterSeconds int
+	RetryAfterSeconds int // when the request may be tried again; 0: not said
 }
 
-// StoreCall calls the state service.
+// StoreCall calls the key-value store.
 type StoreCall struct {
 	CallID  uint64
 	Request kv.Request
 }
 
-// CloudOp names a call of the cloud.
+// CloudOp is an operation of the cloud.
 type CloudOp int
 
-// Calls of the cloud.
+// Operations of the cloud.
 const (
-	CloudCatalog CloudOp = iota
-	CloudRent
-	CloudDelete
-	CloudList
+	CloudCatalog CloudOp = iota // list the machine types
+	CloudRent                   // scale out
+	CloudDelete                 // scale in
+	CloudList                   // list the machines, page by page
 )
 
 // CloudCall calls the cloud.
 type CloudCall struct {
 	CallID   uint64
 	Op       CloudOp
-	Rental   cloud.RentalRequest
-	Machines cloud.MachineNames
-	After    string
+	Rental   cloud.RentalRequest // of CloudRent
+	Machines cloud.MachineNames  // of CloudDelete
+	After    string              // of CloudList: the last machine of the page before
 }
 
-// AgentCall sends a direct command, or asks for a report when Cmd is nil.
+// AgentCall pushes commands to a worker agent, or asks for its heartbeat when Commands is nil.
 type AgentCall struct {
 	CallID   uint64
 	Address  string
 	Commands *agent.CommandRequest
 }
 
-// BroadcastHeartbeat goes to every other controller.
+// BroadcastHeartbeat sends this controller's heartbeat to every other controller.
 type BroadcastHeartbeat struct{ Heartbeat peer.Heartbeat }
