--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -280,14 +280,3 @@
 func (f *shardFill) conditionsLeft() bool {
 	return f.conditions+1+len(f.accepts)+1 <= f.queue.store.limits.maxConditions()
 }
-
-// jobShardDocument is a job shard as it stands, without the jobs that are over.
-func (r *replica) jobShardDocument(shard *jobShard, without map[string]bool) *schema.JobShard {
-	document := &schema.JobShard{ShardCount: shard.spread}
-	for _, id := range shard.jobIDs {
-		if !without[id] {
-			document.Jobs = append(document.Jobs, r.jobs[id].spec)
-		}
-	}
-	return document
-}
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -21,8 +21,8 @@
 
 // cancel cancels an accepted job. onConflict handles the request anew when the job has got an outcome
 // meanwhile.
-func (n *cancellations) cancel(request UserRequest, onConflict func(UserRequest)) {
-	cancellation := &pendingCancellation{cancellations: n, request: request, onConflict: onConflict}
+func (c *cancellations) cancel(request UserRequest, onConflict func(UserRequest)) {
+	cancellation := &pendingCancellation{cancellations: c, request: request, onConflict: onConflict}
 	cancellation.send()
 }
 
@@ -74,12 +74,12 @@
 }
 
 // acceptCancelled accepts a job that needs a cancelled one: all that is stored of it is its outcome.
-func (n *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
-	writeTag := n.commits.newWriteTag()
-	accept := &cancelledAccept{cancellations: n, request: request, outcome: schema.Outcome{
-		State: StageCancelled, RecordedAt: int64(n.timeOfDay), CancelledBy: cancelledBy, WriteTag: writeTag,
+func (c *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
+	writeTag := c.commits.newWriteTag()
+	accept := &cancelledAccept{cancellations: c, request: request, outcome: schema.Outcome{
+		State: StageCancelled, RecordedAt: int64(c.timeOfDay), CancelledBy: cancelledBy, WriteTag: writeTag,
 	}}
-	n.commits.commit(outcomeTransaction(request.JobID, accept.outcome), writeTag, accept.settle)
+	c.commits.commit(outcomeTransaction(request.JobID, accept.outcome), writeTag, accept.settle)
 }
 
 // cancelledAccept is the submission of a job that is cancelled already, while its outcome is stored.
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -1,9 +1,11 @@
 package controller
 
 import (
+	"net/http"
 	"strings"
 	"testing"
 
+	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/schema"
 )
 
@@ -26,3 +28,45 @@
 		}
 	}
 }
+
+// TestCancellationMeetsOutcome cancels a job that is over in the store, while the replica does not show it
+// yet: the stored outcome is what the user is told, and stays.
+func TestCancellationMeetsOutcome(t *testing.T) {
+	w := newRequestWorld(t, schema.Outcome{State: StageDone, TasksDone: 1})
+	key := schema.OutcomePrefix + "j-000003"
+	done := schema.Outcome{State: StageDone, TasksDone: 1}
+	w.answer = func(request kv.Request) (kv.Response, bool) {
+		if request.Kind != kv.Transact {
+			return kv.Response{}, false
+		}
+		w.store.keys[key] = kv.KeyValue{Key: key, Value: encode(done), ModRevision: w.store.rev}
+		w.controller.dependencies.learnOutcome("j-000003", done)
+		w.answer = nil
+		return kv.Response{Status: kv.StatusConflict, Revision: w.store.rev, FailedKeys: []string{key}}, true
+	}
+	reply := w.ask(t, UserRequest{Kind: CancelJob, JobID: "j-000003"})
+	const want = `{"uid":"j-000003","stage":"done","done":1,"running":0}`
+	if body := bodyText(t, reply); reply.Status != http.StatusOK || body != want {
+		t.Errorf("answered %d %s, want %s", reply.Status, body, want)
+	}
+	if string(w.store.keys[key].Value) != string(encode(done)) {
+		t.Errorf("the outcome is now %s", w.store.keys[key].Value)
+	}
+}
+
+// TestCancellationIsRetried cancels a job though the store throttles twice.
+func TestCancellationIsRetried(t *testing.T) {
+	w := newRequestWorld(t, schema.Outcome{State: StageDone, TasksDone: 1})
+	throttled := 0
+	w.answer = func(request kv.Request) (kv.Response, bool) {
+		if request.Kind != kv.Transact || throttled == 2 {
+			return kv.Response{}, false
+		}
+		throttled++
+		return kv.Response{Status: kv.StatusThrottled}, true
+	}
+	reply := w.ask(t, UserRequest{Kind: CancelJob, JobID: "j-000003"})
+	if status, ok := reply.Body.(*JobStatus); throttled != 2 || !ok || status.Stage != StageCancelled {
+		t.Errorf("after %d throttled answers: %+v", throttled, reply)
+	}
+}
--- a/internal/controller/replica_shards.go
+++ b/internal/controller/replica_shards.go
@@ -96,3 +96,14 @@
 	slices.SortFunc(counts, func(a, b int) int { return cmp.Compare(b, a) })
 	return counts
 }
+
+// jobShardDocument is a job shard as it stands, without the given jobs.
+func (r *replica) jobShardDocument(shard *jobShard, without map[string]bool) *schema.JobShard {
+	document := &schema.JobShard{ShardCount: shard.spread}
+	for _, id := range shard.jobIDs {
+		if !without[id] {
+			document.Jobs = append(document.Jobs, r.jobs[id].spec)
+		}
+	}
+	return document
+}
