--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -36,6 +36,7 @@
 		"the replica":        {func(c *Controller) { c.replica.beginLoad() }, false, false, false},
 		"a complete replica": {func(c *Controller) { c.replica.notePage(11) }, false, false, false},
 		"any proof":          {func(c *Controller) { c.freshness.provenAt = 0 }, false, false, false},
+		"any proof, at once": {func(c *Controller) { c.freshness.provenAt, c.now = 0, units.Second }, false, false, false},
 		"a proof for starts": {func(c *Controller) { c.freshness.provenAt = c.now - maxStartProofAge }, true, false, true},
 		"a recent proof": {func(c *Controller) { c.freshness.provenAt = c.now - c.cfg.Settings.StalenessBound() }, false,
 			false, false},
