--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -3,7 +3,19 @@
 // numbers, so that every run can be replayed exactly; nothing walks a map in an order that a run
 // could change.
 //
-// Each duty keeps its own state in a type of its own (environment, storeClient, replica, freshness,
-// membership, partitionTable, writeBudget, committer, userRequests, acceptQueue, agentGateway,
-// fleetMonitor, scheduling, cloudView, audit); Controller runs them in a fixed order.
+// Each duty keeps its own state in a component, a type of its own; Controller wires them and runs them
+// in a fixed order. What rests on what, from the store upwards:
+//
+//   - environment: configuration, the clocks of the present step, its effects, timers
+//   - storeClient, storeLimits: requests to the key-value store, and the limits that it keeps to
+//   - replica, replicator: the copy of the store, and what loads it and keeps it up to date
+//   - freshness: up to which moment the copy is proven to be complete
+//   - membership: this process's registration, under a lease
+//   - partitionTable, leadershipManager: which partitions this process leads, and how it comes to
+//   - authority: whether it may act, start tasks, lead a partition at this moment
+//   - writeBudget, committer: its part of the permitted changes, and transactions whose fate is told once
+//   - formatGate: when documents that the version before does not know may be written
+//
+// On these rest the duties proper: users' requests, agents, plans, the cloud, the fleet. None acts by
+// a path that passes authority by.
 package controller
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -65,15 +65,15 @@
 	replica    *replica
 	partitions *partitionTable
 
-	processID     string // the first incarnation
-	registrations int    // that were abandoned
-	incarnation   string
-	leaseID       uint64
-	registered    bool // and as far as known still so
+	firstIncarnation string
+	abandoned        int // incarnations
+	incarnation      string
+	leaseID          uint64
+	registered       bool // and as far as known still so
 }
 
 func newMembership(env *environment, store *storeClient, replica *replica, partitions *partitionTable, incarnation string) *membership {
-	return &membership{env: env, store: store, replica: replica, partitions: partitions, processID: incarnation, incarnation: incarnation}
+	return &membership{env: env, store: store, replica: replica, partitions: partitions, firstIncarnation: incarnation, incarnation: incarnation}
 }
 
 // process names this process as it is registered, or is about to be.
@@ -133,8 +133,8 @@
 
 // abandonIncarnation gives up all leadership and takes a new incarnation, which is not registered yet.
 func (m *membership) abandonIncarnation() {
-	m.registrations++
-	m.incarnation = m.processID + "." + strconv.Itoa(m.registrations)
+	m.abandoned++
+	m.incarnation = m.firstIncarnation + "." + strconv.Itoa(m.abandoned)
 	m.registered = false
 	m.partitions.resignAll()
 }
