--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -16,6 +16,6 @@
 //   - writeBudget, committer: its part of the permitted changes, and transactions whose fate is told once
 //   - formatGate: when documents that the version before does not know may be written
 //
-// On these rest the duties proper: users' requests, agents, plans, the cloud, the fleet. None acts by
-// a path that passes authority by.
+// On these rest the duties proper: users' requests, agents, plans, the cloud, the fleet. What plans,
+// commands agents or starts tasks asks authority first.
 package controller
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -23,23 +23,25 @@
 		"one is registered twice":       {map[string]int{"a/1": now, "a/2": now, "b/1": now}, false},
 		"a stranger is old":             {map[string]int{"a/1": now, "b/1": now, "c/1": now, "d/1": before}, false},
 	} {
-		cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}, {Member: "c"}}}
-		cfg.Settings.Size, cfg.Settings.KVStore.ValueKB, cfg.Settings.KVStore.TxnOps = 3, 4, 12
-		c := quietController(cfg)
-		stamp := uint64(10)
-		for key, format := range tc.formats {
-			stamp++
-			c.replica.apply(schema.RegistrationPrefix+key, encode(schema.Registration{Incarnation: "x", Format: format}), stamp, false)
-		}
-		guards, ok := c.gate.memberRegistrations()
-		if ok != tc.want || ok && len(guards) != len(tc.formats) {
-			t.Errorf("%s: %v, %v", name, ok, guards)
-		}
-		for _, g := range guards {
-			if g.ModRevision == 0 {
-				t.Errorf("%s: %s is guarded as absent", name, g.Key)
+		t.Run(name, func(t *testing.T) {
+			cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}, {Member: "c"}}}
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB, cfg.Settings.KVStore.TxnOps = 3, 4, 12
+			c := quietController(cfg)
+			revision := uint64(10)
+			for process, format := range tc.formats {
+				revision++
+				c.replica.apply(schema.RegistrationPrefix+process, encode(schema.Registration{Incarnation: "x", Format: format}), revision, false)
 			}
-		}
+			conditions, ok := c.gate.memberRegistrations()
+			if ok != tc.want || ok && len(conditions) != len(tc.formats) {
+				t.Errorf("%v, %v", ok, conditions)
+			}
+			for _, condition := range conditions {
+				if condition.ModRevision == 0 {
+					t.Errorf("the condition on %s is that it is absent", condition.Key)
+				}
+			}
+		})
 	}
 }
 
