--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -15,7 +15,8 @@
 // registration was renewed proves nothing: after an outage every lease has its full time again, and
 // a leader that went by its renewals alone would start tasks whose cancellation it has not seen.
 type authority struct {
-	env        *environment
+	*environment
+
 	replica    *replica
 	membership *membership
 	freshness  *freshness
@@ -26,7 +27,7 @@
 
 // mayAct reports whether this process may answer an agent, command one, and plan.
 func (a *authority) mayAct() bool {
-	return a.membership.registered && a.replica.complete() && a.proofYoungerThan(a.env.cfg.Settings.StalenessBound())
+	return a.membership.registered && a.replica.complete() && a.proofYoungerThan(a.cfg.Settings.StalenessBound())
 }
 
 // mayStartTasks reports whether the replica is recent enough for starts as well.
@@ -35,7 +36,7 @@
 }
 
 func (a *authority) proofYoungerThan(age units.Micros) bool {
-	return a.freshness.provenAt > 0 && a.env.now-a.freshness.provenAt < age
+	return a.freshness.provenAt > 0 && a.now-a.freshness.provenAt < age
 }
 
 // leads reports whether this process leads a partition, may act, and has a replica that shows all that
@@ -49,10 +50,10 @@
 func (a *authority) noteChanges() {
 	switch may := a.mayAct(); {
 	case may && a.since == 0:
-		a.since = a.env.now
-		a.env.log.Info("authority gained", append(a.freshness.logAttrs(), "complete_revision", a.replica.completeRevision, "incarnation", a.membership.incarnation)...)
+		a.since = a.now
+		a.log.Info("authority gained", append(a.freshness.logAttrs(), "complete_revision", a.replica.completeRevision, "incarnation", a.membership.incarnation)...)
 	case !may && a.since > 0:
-		a.env.log.Info("authority lost", append(a.freshness.logAttrs(), "for_s", (a.env.now-a.since).Seconds(), "registered", a.membership.registered, "synced", a.replica.synced)...)
+		a.log.Info("authority lost", append(a.freshness.logAttrs(), "for_s", (a.now-a.since).Seconds(), "registered", a.membership.registered, "synced", a.replica.synced)...)
 		a.since = 0
 	}
 }
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -34,7 +34,8 @@
 // transaction until the answer is clear. It never decides to write: it neither builds transactions nor
 // repeats one whose fate is clear.
 type committer struct {
-	env        *environment
+	*environment
+
 	store      *storeClient
 	replica    *replica
 	budget     *writeBudget
@@ -106,7 +107,7 @@
 		p.applied(r.Revision)
 	case r.Status == kv.StatusUnknown:
 		p.unclear = true
-		p.committer.env.after(unclearRetryDelay, p.send)
+		p.committer.after(unclearRetryDelay, p.send)
 	case p.unclear:
 		p.handleRefusedRepeat(r)
 	default:
@@ -123,7 +124,7 @@
 		p.committer.budget.noteThrottled()
 		p.done(commitThrottled, 0, nil)
 	case kv.StatusMalformed:
-		p.committer.env.log.Error("store rejected transaction as malformed", "conditions", len(p.txn.Conditions), "ops", len(p.txn.Operations))
+		p.committer.log.Error("store rejected transaction as malformed", "conditions", len(p.txn.Conditions), "ops", len(p.txn.Operations))
 		p.done(commitRefused, 0, nil)
 	default:
 		p.done(commitRefused, 0, nil)
@@ -141,7 +142,7 @@
 		// never plan again.
 		p.lookUp(func() { p.done(commitConflict, p.committer.store.seenRevision, nil) })
 	default:
-		p.committer.env.after(refusedRetryDelay, p.send)
+		p.committer.after(refusedRetryDelay, p.send)
 	}
 }
 
@@ -160,7 +161,7 @@
 		case r.Status == kv.StatusOK, r.Status == kv.StatusNotFound:
 			notApplied()
 		default:
-			p.committer.env.after(unclearRetryDelay, func() { p.lookUp(notApplied) })
+			p.committer.after(unclearRetryDelay, func() { p.lookUp(notApplied) })
 		}
 	})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -75,29 +75,29 @@
 	c.store = newStoreClient(env)
 	c.replica = newReplica(env, c, newLayout(&env.cfg.Settings), withTeams.ofMachineShard)
 	c.partitions = newPartitionTable(c.replica, withTeams)
-	c.freshness = &freshness{env: env, store: c.store, replica: c.replica}
-	c.replicator = &replicator{env: env, store: c.store, replica: c.replica, freshness: c.freshness}
+	c.freshness = &freshness{environment: env, store: c.store, replica: c.replica}
+	c.replicator = &replicator{environment: env, store: c.store, replica: c.replica, freshness: c.freshness}
 }
 
 // wireLeadership connects what decides whether this process may act and write.
 func (c *Controller) wireLeadership(incarnation string) {
 	env := c.environment
 	c.membership = newMembership(env, c.store, c.replica, c.partitions, incarnation)
-	c.authority = &authority{env: env, replica: c.replica, membership: c.membership, freshness: c.freshness, partitions: c.partitions}
+	c.authority = &authority{environment: env, replica: c.replica, membership: c.membership, freshness: c.freshness, partitions: c.partitions}
 	c.budget = &writeBudget{
-		env: env, store: c.store, replica: c.replica, partitions: c.partitions, heartbeats: c,
+		environment: env, store: c.store, replica: c.replica, partitions: c.partitions, heartbeats: c,
 		changesByKind: map[string]int{},
 	}
 	c.commits = &committer{
-		env: env, store: c.store, replica: c.replica, budget: c.budget, membership: c.membership,
+		environment: env, store: c.store, replica: c.replica, budget: c.budget, membership: c.membership,
 		keysInFlight: map[string]bool{},
 	}
 	c.leaderships = &leadershipManager{
-		env: env, store: c.store, replica: c.replica, membership: c.membership, freshness: c.freshness, authority: c.authority,
+		environment: env, store: c.store, replica: c.replica, membership: c.membership, freshness: c.freshness, authority: c.authority,
 		partitions: c.partitions, budget: c.budget, commits: c.commits, machines: c,
 		orphanedSince: map[int]units.Micros{},
 	}
-	c.gate = &formatGate{env: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
+	c.gate = &formatGate{environment: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
 }
 
 // wireRequests connects what answers users.
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -24,7 +24,8 @@
 // formatGate raises the format of the store's documents once all controllers know it. It is never
 // lowered.
 type formatGate struct {
-	env       *environment
+	*environment
+
 	store     *storeClient
 	replica   *replica
 	authority *authority
@@ -44,7 +45,7 @@
 		return
 	}
 	conditions, ok := g.memberRegistrations()
-	if !ok || !g.period.due(g.env.now, formatPeriod) {
+	if !ok || !g.period.due(g.now, formatPeriod) {
 		return
 	}
 	layout := g.replica.layout
@@ -53,12 +54,12 @@
 		Conditions: append(conditions, kv.Condition{Key: schema.LayoutKey, ModRevision: g.replica.revisions[schema.LayoutKey]}),
 		Operations: []kv.Operation{{Set: schema.LayoutKey, Value: encode(layout)}},
 	}
-	g.env.log.Info("raising format version", "format", knownFormat)
+	g.log.Info("raising format version", "format", knownFormat)
 	g.commits.markInFlight(txn)
 	g.commits.commit(txn, "", func(outcome commitOutcome, _ uint64, failed []string) {
 		g.commits.clearInFlight(txn)
 		if outcome != commitApplied {
-			g.env.log.Info("raising format version failed", "failed", failed)
+			g.log.Info("raising format version failed", "failed", failed)
 		}
 	})
 }
@@ -76,8 +77,8 @@
 		members[process.member()] = true
 		conditions = append(conditions, kv.Condition{Key: key, ModRevision: g.replica.revisions[key]})
 	}
-	missing := slices.ContainsFunc(g.env.cfg.Peers, func(p config.Peer) bool { return !members[p.Member] })
-	if missing || !members[g.env.cfg.Member] || len(members) < g.env.cfg.Settings.Size {
+	missing := slices.ContainsFunc(g.cfg.Peers, func(p config.Peer) bool { return !members[p.Member] })
+	if missing || !members[g.cfg.Member] || len(members) < g.cfg.Settings.Size {
 		return nil, false
 	}
 	slices.SortFunc(conditions, func(a, b kv.Condition) int { return strings.Compare(a.Key, b.Key) })
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -24,7 +24,8 @@
 // then complete when the read was sent. Neither the time of the answer nor a renewed lease proves
 // anything: an answer may be late, and after an outage every lease has its full time again.
 type freshness struct {
-	env     *environment
+	*environment
+
 	store   *storeClient
 	replica *replica
 
@@ -50,7 +51,7 @@
 	if f.store.failing {
 		again = proofRetryPeriod
 	}
-	if f.replica.synced && len(f.awaitingRead) == 0 && f.env.now-f.readAt > again {
+	if f.replica.synced && len(f.awaitingRead) == 0 && f.now-f.readAt > again {
 		f.awaitingRead = append(f.awaitingRead, func(bool) {})
 	}
 }
@@ -69,13 +70,13 @@
 
 // readRevision asks for the store's revision for all that wait, if the request rate permits it now.
 func (f *freshness) readRevision() {
-	tooSoon := f.env.now-f.readAt < max(minRevisionReadGap, f.store.requestInterval(revisionReadRequests))
+	tooSoon := f.now-f.readAt < max(minRevisionReadGap, f.store.requestInterval(revisionReadRequests))
 	if len(f.awaitingRead) == 0 || f.readsInFlight >= maxRevisionReads || tooSoon {
 		return
 	}
-	read := &revisionRead{freshness: f, waiters: f.awaitingRead, sentAt: f.env.now}
+	read := &revisionRead{freshness: f, waiters: f.awaitingRead, sentAt: f.now}
 	f.awaitingRead = nil
-	f.readAt = f.env.now
+	f.readAt = f.now
 	f.readsInFlight++
 	// No such key exists: the answer is short, and has the store's revision all the same.
 	f.store.call(kv.Request{Kind: kv.Get, Key: schema.RootPrefix + "none"}, read.handleAnswer)
@@ -128,7 +129,7 @@
 func (f *freshness) logAttrs() []any {
 	age := -1.0
 	if f.provenAt > 0 {
-		age = (f.env.now - f.provenAt).Seconds()
+		age = (f.now - f.provenAt).Seconds()
 	}
 	return []any{"revision", f.replica.watchRevision, "proof_age_s", age}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -30,7 +30,8 @@
 // a condition, fails once another leads. A process leads when its replica shows the document, never
 // because it has asked to.
 type leadershipManager struct {
-	env        *environment
+	*environment
+
 	store      *storeClient
 	replica    *replica
 	membership *membership
@@ -54,15 +55,15 @@
 		l.begin(partition, p)
 	case !mine && own != nil:
 		l.partitions.resign(partition)
-		l.env.log.Info("leadership lost", append(l.freshness.logAttrs(), "partition", partition, "to", p.doc.Member, "term", p.doc.Term, "own_term", own.term, "held_s", (l.env.now-own.since).Seconds())...)
+		l.log.Info("leadership lost", append(l.freshness.logAttrs(), "partition", partition, "to", p.doc.Member, "term", p.doc.Term, "own_term", own.term, "held_s", (l.now-own.since).Seconds())...)
 	}
 }
 
 // begin begins to lead a partition, anew if it was led by an earlier revision of its document.
 func (l *leadershipManager) begin(partition int, p *partitionDoc) {
-	own := &leadership{partition: partition, revision: p.revision, term: p.doc.Term, since: l.env.now, reservations: map[string]reservation{}}
+	own := &leadership{partition: partition, revision: p.revision, term: p.doc.Term, since: l.now, reservations: map[string]reservation{}}
 	l.partitions.lead(own)
-	l.env.log.Info("leadership acquired", append(l.freshness.logAttrs(), "partition", partition, "term", own.term, "leadership_revision", own.revision)...)
+	l.log.Info("leadership acquired", append(l.freshness.logAttrs(), "partition", partition, "term", own.term, "leadership_revision", own.revision)...)
 	for _, m := range l.replica.sortedMachines() {
 		if m.part() == partition {
 			l.machines.beginCommand(m, own)
@@ -97,7 +98,7 @@
 	for _, process := range processes {
 		load[process] = 0
 	}
-	for n := range l.env.cfg.Settings.Size {
+	for n := range l.cfg.Settings.Size {
 		if p := l.replica.partitions[n]; p != nil && l.replica.leaderRegistered(p) {
 			load[newProcessID(p.doc.Member, p.doc.Incarnation)] += l.partitions.withTeams.load(n)
 		} else {
@@ -123,17 +124,17 @@
 func (l *leadershipManager) mayTakeOver(partition int, successor processID) bool {
 	since, known := l.orphanedSince[partition]
 	if !known {
-		since = l.env.now
+		since = l.now
 		l.orphanedSince[partition] = since
 	}
-	return successor == l.membership.process() || l.env.now-since > failoverPriority
+	return successor == l.membership.process() || l.now-since > failoverPriority
 }
 
 // removeOwnStaleRegistrations removes a registration of an earlier process of this member: it is
 // surely dead, so its partitions need not wait for its lease to expire.
 func (l *leadershipManager) removeOwnStaleRegistrations() {
 	for _, process := range l.replica.registeredProcesses() {
-		if process.member() != l.env.cfg.Member || process == l.membership.process() {
+		if process.member() != l.cfg.Member || process == l.membership.process() {
 			continue
 		}
 		key := process.registrationKey()
@@ -148,12 +149,12 @@
 func (l *leadershipManager) transferSurplus(processes []processID, load map[processID]int) {
 	ownLoad := load[l.membership.process()]
 	for _, process := range processes {
-		if l.env.now-l.replica.registeredSince[process.registrationKey()] < minProcessAge {
+		if l.now-l.replica.registeredSince[process.registrationKey()] < minProcessAge {
 			continue
 		}
 		for _, partition := range l.partitions.ledPartitions() {
 			own := l.partitions.led[partition]
-			quiet := own.commitsInFlight == 0 && l.env.now-own.since > minLeadershipTime
+			quiet := own.commitsInFlight == 0 && l.now-own.since > minLeadershipTime
 			if quiet && load[process]+l.partitions.withTeams.load(partition) < ownLoad {
 				l.acquire(partition, process)
 				return
@@ -178,10 +179,10 @@
 	if own != nil {
 		own.commitsInFlight++ // no plan meanwhile
 	}
-	l.env.log.Info("acquiring leadership", "partition", partition, "for", doc.Member, "term", doc.Term)
+	l.log.Info("acquiring leadership", "partition", partition, "for", doc.Member, "term", doc.Term)
 	l.commits.commit(txn, writeTag, func(outcome commitOutcome, _ uint64, failed []string) {
 		if outcome != commitApplied {
-			l.env.log.Info("acquiring leadership failed", "partition", partition, "failed", failed)
+			l.log.Info("acquiring leadership failed", "partition", partition, "failed", failed)
 		}
 		// Only the count that was raised above is lowered: the watch may have shown the document before
 		// this answer, so that a plan of the new leadership is under way. A second plan beside it could
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -60,7 +60,8 @@
 // incarnation. An incarnation that was abandoned is never used again: nothing that was written or is
 // still under way in its name counts for the next.
 type membership struct {
-	env        *environment
+	*environment
+
 	store      *storeClient
 	replica    *replica
 	partitions *partitionTable
@@ -73,12 +74,12 @@
 }
 
 func newMembership(env *environment, store *storeClient, replica *replica, partitions *partitionTable, incarnation string) *membership {
-	return &membership{env: env, store: store, replica: replica, partitions: partitions, firstIncarnation: incarnation, incarnation: incarnation}
+	return &membership{environment: env, store: store, replica: replica, partitions: partitions, firstIncarnation: incarnation, incarnation: incarnation}
 }
 
 // process names this process as it is registered, or is about to be.
 func (m *membership) process() processID {
-	return newProcessID(m.env.cfg.Member, m.incarnation)
+	return newProcessID(m.cfg.Member, m.incarnation)
 }
 
 // register obtains a lease from the store and registers this process under it.
@@ -86,7 +87,7 @@
 	m.registered = false
 	m.store.call(kv.Request{Kind: kv.GrantLease, TTLMillis: registrationTTL.Milliseconds()}, func(r kv.Response) {
 		if r.Status != kv.StatusOK || r.LeaseID == 0 {
-			m.env.after(registrationRetryDelay, m.register)
+			m.after(registrationRetryDelay, m.register)
 			return
 		}
 		m.leaseID = r.LeaseID
@@ -105,12 +106,12 @@
 		if r.Status != kv.StatusOK {
 			// Perhaps registered, perhaps not: a new incarnation is always safe.
 			m.abandonIncarnation()
-			m.env.after(registrationRetryDelay, m.register)
+			m.after(registrationRetryDelay, m.register)
 			return
 		}
 		m.replica.apply(key, value, r.Revision, false)
 		m.registered = true
-		m.env.log.Info("registered", "inc", m.incarnation)
+		m.log.Info("registered", "inc", m.incarnation)
 		m.renew()
 	})
 }
@@ -120,13 +121,13 @@
 	m.store.call(kv.Request{Kind: kv.RenewLease, LeaseID: m.leaseID}, func(r kv.Response) {
 		switch r.Status {
 		case kv.StatusOK:
-			m.env.after(registrationRenewal, m.renew)
+			m.after(registrationRenewal, m.renew)
 		case kv.StatusNotFound:
-			m.env.log.Warn("registration lease expired, giving up leadership", "partitions", m.partitions.ledPartitions())
+			m.log.Warn("registration lease expired, giving up leadership", "partitions", m.partitions.ledPartitions())
 			m.abandonIncarnation()
 			m.register()
 		default:
-			m.env.after(registrationRetryDelay, m.renew)
+			m.after(registrationRetryDelay, m.renew)
 		}
 	})
 }
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -63,7 +63,8 @@
 // reaches it. What the store no longer has it loads anew from the start. It decides nothing on what it
 // shows, and does not say whether the replica is recent: that is freshness.
 type replicator struct {
-	env       *environment
+	*environment
+
 	store     *storeClient
 	replica   *replica
 	freshness *freshness
@@ -92,7 +93,7 @@
 func (l *replicaLoad) readPage(after string) {
 	l.store.call(kv.Request{Kind: kv.List, Key: schema.ActivePrefix, After: after}, func(page kv.Response) {
 		if page.Status != kv.StatusOK {
-			l.env.after(loadRetryDelay, func() { l.readPage(after) })
+			l.after(loadRetryDelay, func() { l.readPage(after) })
 			return
 		}
 		l.takePage(page)
@@ -137,7 +138,7 @@
 // beginWatch begins to follow the store from the revision as of which the replica was loaded.
 func (r *replicator) beginWatch(revision uint64) {
 	r.replica.beginSync(revision)
-	r.env.log.Info("replica loaded", "revision", revision, "complete_revision", r.replica.completeRevision, "jobs", len(r.replica.jobs), "machines", len(r.replica.machines))
+	r.log.Info("replica loaded", "revision", revision, "complete_revision", r.replica.completeRevision, "jobs", len(r.replica.jobs), "machines", len(r.replica.machines))
 	r.watch()
 }
 
@@ -150,13 +151,13 @@
 // writeLayout stores the layout of a store that has none. If another controller was first, or the
 // replica was loaded by another layout, all is loaded anew.
 func (r *replicator) writeLayout(loadedRevision uint64) {
-	layout := newLayout(&r.env.cfg.Settings)
+	layout := newLayout(&r.cfg.Settings)
 	for key := range r.replica.revisions {
 		if strings.HasPrefix(key, schema.MachineShardPrefix) { // of a version without layouts
-			layout = schema.InitialLayout(r.env.cfg.Settings.KVStore.ValueKB)
+			layout = schema.InitialLayout(r.cfg.Settings.KVStore.ValueKB)
 		}
 	}
-	r.env.log.Info("creating store layout", "machine_shards", layout.MachineShards, "job_shards", layout.JobShards)
+	r.log.Info("creating store layout", "machine_shards", layout.MachineShards, "job_shards", layout.JobShards)
 	value := encode(layout)
 	txn := &kv.Txn{
 		Conditions: []kv.Condition{{Key: schema.LayoutKey}},
@@ -165,7 +166,7 @@
 	asLoaded := layout == r.replica.layout
 	r.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(response kv.Response) {
 		if response.Status != kv.StatusOK || !asLoaded {
-			r.env.after(layoutRetryDelay, r.load)
+			r.after(layoutRetryDelay, r.load)
 			return
 		}
 		r.replica.apply(schema.LayoutKey, value, response.Revision, false)
@@ -181,11 +182,11 @@
 		return
 	}
 	if r.behindSince == 0 {
-		r.behindSince = r.env.now
+		r.behindSince = r.now
 	}
-	if r.env.now-r.behindSince > maxWatchLag {
-		r.behindSince = r.env.now + maxWatchLag // give the new one time before the next
-		r.env.log.Info("watch lagging, reopening", "revision", r.replica.watchRevision, "seen", r.store.seenRevision)
+	if r.now-r.behindSince > maxWatchLag {
+		r.behindSince = r.now + maxWatchLag // give the new one time before the next
+		r.log.Info("watch lagging, reopening", "revision", r.replica.watchRevision, "seen", r.store.seenRevision)
 		r.watch()
 	}
 }
@@ -193,7 +194,7 @@
 // watch asks for the changes after those that the replica shows; it takes the place of any other watch.
 func (r *replicator) watch() {
 	r.watchID++
-	w := &watchCall{replicator: r, id: r.watchID, openedAt: r.env.now}
+	w := &watchCall{replicator: r, id: r.watchID, openedAt: r.now}
 	r.store.call(kv.Request{
 		Kind:       kv.Watch,
 		Key:        schema.RootPrefix,
@@ -217,12 +218,12 @@
 	switch answer.Status {
 	case kv.StatusOK:
 		w.takeChanges(answer)
-		w.env.after(w.delay(answer), w.continueWatch)
+		w.after(w.delay(answer), w.continueWatch)
 	case kv.StatusCompacted:
-		w.env.log.Warn("watch revision compacted, reloading replica")
+		w.log.Warn("watch revision compacted, reloading replica")
 		w.load()
 	default:
-		w.env.after(watchRetryDelay, w.continueWatch)
+		w.after(watchRetryDelay, w.continueWatch)
 	}
 }
 
@@ -244,7 +245,7 @@
 		return watchRefusalDelay // the watch was refused: the answer tells nothing
 	}
 	// While much changes, one answer should tell several changes.
-	return max(0, w.openedAt+w.store.requestInterval(watchRequestsShare)-w.env.now)
+	return max(0, w.openedAt+w.store.requestInterval(watchRequestsShare)-w.now)
 }
 
 // continueWatch asks for further changes unless another watch has been opened.
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -9,7 +9,8 @@
 // whether it answers, which revision it has reached, and the limits that it keeps to. It repeats
 // nothing: whether a request may be sent again is decided by who sent it.
 type storeClient struct {
-	env   *environment
+	*environment
+
 	calls map[uint64]func(kv.Response) // continuations of requests that are not answered yet
 
 	answeredAt   units.Micros // when it last answered
@@ -19,14 +20,14 @@
 }
 
 func newStoreClient(env *environment) *storeClient {
-	return &storeClient{env: env, calls: map[uint64]func(kv.Response){}, limits: newStoreLimits(&env.cfg.Settings)}
+	return &storeClient{environment: env, calls: map[uint64]func(kv.Response){}, limits: newStoreLimits(&env.cfg.Settings)}
 }
 
 // call sends a request; done runs once, with its answer.
 func (s *storeClient) call(request kv.Request, done func(kv.Response)) {
-	id := s.env.newCallID()
+	id := s.newCallID()
 	s.calls[id] = done
-	s.env.emit(StoreCall{id, request})
+	s.emit(StoreCall{id, request})
 }
 
 // take returns the continuation of an answered request, nil if none waits for it, and notes what the
@@ -39,7 +40,7 @@
 	delete(s.calls, result.CallID)
 	switch result.Response.Status {
 	case kv.StatusOK, kv.StatusNotFound, kv.StatusConflict, kv.StatusCompacted:
-		s.answeredAt, s.failing = s.env.now, false
+		s.answeredAt, s.failing = s.now, false
 		s.seenRevision = max(s.seenRevision, result.Response.Revision)
 	case kv.StatusUnknown, kv.StatusUnavailable:
 		s.failing = true
@@ -53,24 +54,24 @@
 
 // healthy reports whether the store answers this controller.
 func (s *storeClient) healthy() bool {
-	return !s.failing && s.env.now-s.answeredAt < storeSilence
+	return !s.failing && s.now-s.answeredAt < storeSilence
 }
 
 // failingFor reports whether the store fails and has given no answer for longer than a time.
 func (s *storeClient) failingFor(long units.Micros) bool {
-	return s.failing && s.env.now-s.answeredAt > long
+	return s.failing && s.now-s.answeredAt > long
 }
 
 // requestInterval is the time between requests of one kind that may take such a share of this
 // controller's part of the permitted requests.
 func (s *storeClient) requestInterval(share float64) units.Micros {
-	return units.FromSeconds(float64(s.env.cfg.Settings.Size) / (s.limits.RPS * share))
+	return units.FromSeconds(float64(s.cfg.Settings.Size) / (s.limits.RPS * share))
 }
 
 // noteThrottled notes that the store refused a request for its rate.
 func (s *storeClient) noteThrottled() {
 	if s.limits.noteThrottled() {
-		s.env.log.Warn("store throttles, adopting announced limits", "write_rps", s.limits.WriteRPS, "rps", s.limits.RPS)
+		s.log.Warn("store throttles, adopting announced limits", "write_rps", s.limits.WriteRPS, "rps", s.limits.RPS)
 	}
 }
 
--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -34,7 +34,8 @@
 // time and that each change takes from. It counts what is written. It refuses nothing itself: who
 // writes asks it first.
 type writeBudget struct {
-	env        *environment
+	*environment
+
 	store      *storeClient
 	replica    *replica
 	partitions *partitionTable
@@ -49,15 +50,15 @@
 }
 
 // start begins to give credit.
-func (b *writeBudget) start() { b.refilledAt = b.env.now }
+func (b *writeBudget) start() { b.refilledAt = b.now }
 
 // refill gives this controller the changes that it may make since the last time.
 func (b *writeBudget) refill() {
 	rate := b.rate()
-	b.credit += rate * (b.env.now - b.refilledAt).Seconds()
+	b.credit += rate * (b.now - b.refilledAt).Seconds()
 	b.maxCredit = max(rate, min(b.store.limits.WriteRPS, minSavedChanges))
 	b.credit = min(b.credit, b.maxCredit)
-	b.refilledAt = b.env.now
+	b.refilledAt = b.now
 }
 
 // rate is this controller's part of the permitted changes, per second: most of them go to the leaders
@@ -87,7 +88,7 @@
 	}
 	used := 0.0
 	for _, process := range b.replica.registeredProcesses() {
-		if process.member() == b.env.cfg.Member {
+		if process.member() == b.cfg.Member {
 			continue
 		}
 		heartbeat, ok := b.heartbeats.heartbeatOf(process.member(), process.incarnation())
