--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -34,12 +34,23 @@
 	s.c.runTimers()
 }
 
+// commitTag is the write tag of the transactions that are tested.
+const commitTag = "a.1-1"
+
+// commitCase is what a store answers to a transaction and the lookups after it, and what the caller
+// is to learn.
+type commitCase struct {
+	answers  []kv.Response
+	outcome  commitOutcome
+	revision uint64
+	failed   []string
+}
+
 // TestCommit drives one transaction through every kind of answer: its fate is told once, and true, and
 // until it is clear the very same transaction is sent again.
 func TestCommit(t *testing.T) {
-	const tag = "a.1-1"
 	key := schema.PartitionKey(0)
-	written := encode(schema.Partition{Term: 2, Member: "a", Incarnation: "a.1", WriteTag: tag})
+	written := encode(schema.Partition{Term: 2, Member: "a", Incarnation: "a.1", WriteTag: commitTag})
 	foreign := encode(schema.Partition{Term: 2, Member: "b", Incarnation: "b.1", WriteTag: "b.1-7"})
 	var (
 		applied     = kv.Response{Status: kv.StatusOK, Revision: 21}
@@ -52,12 +63,7 @@
 		other       = kv.Response{Status: kv.StatusOK, Revision: 31, ModRevision: 25, Value: foreign}
 		absent      = kv.Response{Status: kv.StatusNotFound, Revision: 31}
 	)
-	for name, tc := range map[string]struct {
-		answers  []kv.Response
-		outcome  commitOutcome
-		revision uint64
-		failed   []string
-	}{
+	for name, tc := range map[string]commitCase{
 		"applied":                                   {[]kv.Response{applied}, commitApplied, 21, nil},
 		"conflict":                                  {[]kv.Response{conflict}, commitConflict, 30, []string{key}},
 		"throttled":                                 {[]kv.Response{throttled}, commitThrottled, 0, nil},
@@ -75,41 +81,45 @@
 		"unclear, unavailable, conflict, not there": {[]kv.Response{unknown, unavailable, conflict, absent}, commitConflict, 30, []string{key}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := &config.Config{Member: "a"}
-			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-			store := &scriptedStore{t: t, c: quietController(cfg)}
-			txn := &kv.Txn{
+			tc.run(t, &kv.Txn{
 				Conditions: []kv.Condition{{Key: key, ModRevision: 20}},
 				Operations: []kv.Operation{{Set: key, Value: written}},
-			}
-			calls := 0
-			store.c.commits.commit(txn, tag, func(outcome commitOutcome, revision uint64, failed []string) {
-				calls++
-				if outcome != tc.outcome || revision != tc.revision || !slices.Equal(failed, tc.failed) {
-					t.Errorf("outcome %d, revision %d, failed %v", outcome, revision, failed)
-				}
 			})
-			for i, answer := range tc.answers {
-				if calls != 0 {
-					t.Fatalf("fate told before answer %d", i)
-				}
-				store.answer(answer)
-			}
-			if calls != 1 || len(store.c.effects) != 0 {
-				t.Errorf("fate told %d times, %d effects after it", calls, len(store.c.effects))
-			}
-			for _, request := range store.requests {
-				if request.Kind == kv.Transact && request.Txn != txn {
-					t.Error("another transaction was sent")
-				}
-			}
-			if shown := store.c.replica.revisions[key]; (shown != 0) != (tc.outcome == commitApplied) {
-				t.Errorf("the replica shows revision %d", shown)
-			}
 		})
 	}
 }
 
+func (tc *commitCase) run(t *testing.T, txn *kv.Txn) {
+	t.Helper()
+	cfg := &config.Config{Member: "a"}
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+	store := &scriptedStore{t: t, c: quietController(cfg)}
+	calls := 0
+	store.c.commits.commit(txn, commitTag, func(outcome commitOutcome, revision uint64, failed []string) {
+		calls++
+		if outcome != tc.outcome || revision != tc.revision || !slices.Equal(failed, tc.failed) {
+			t.Errorf("outcome %d, revision %d, failed %v", outcome, revision, failed)
+		}
+	})
+	for i, answer := range tc.answers {
+		if calls != 0 {
+			t.Fatalf("fate told before answer %d", i)
+		}
+		store.answer(answer)
+	}
+	if calls != 1 || len(store.c.effects) != 0 {
+		t.Errorf("fate told %d times, %d effects after it", calls, len(store.c.effects))
+	}
+	for _, request := range store.requests {
+		if request.Kind == kv.Transact && request.Txn != txn {
+			t.Error("another transaction was sent")
+		}
+	}
+	if shown := store.c.replica.revisions[txn.Operations[0].Set]; (shown != 0) != (tc.outcome == commitApplied) {
+		t.Errorf("the replica shows revision %d", shown)
+	}
+}
+
 // TestCommitOfDeletions has nothing to look up: a repeat that fails counts as a conflict.
 func TestCommitOfDeletions(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -31,11 +31,7 @@
 		"store without a layout": {teams: limited, shards: true, want: wide},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := &config.Config{Member: "a"}
-			settings := &cfg.Settings
-			settings.Size, settings.Teams = 1, tc.teams
-			settings.KVStore.ValueKB, settings.KVStore.TxnOps, settings.KVStore.RPS, settings.KVStore.WriteRPS = valueKB, 12, 350, 35
-			settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
+			cfg := layoutConfig(tc.teams, valueKB)
 			store := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 			if tc.stored != nil {
 				store.put(schema.LayoutKey, tc.stored)
@@ -43,14 +39,7 @@
 			if tc.shards {
 				store.put(schema.MachineShardKey(wide.MachineShards-1), schema.MachineShard{Machines: []schema.Machine{{Name: "n-000047", Addr: "x"}}})
 			}
-			c := quietController(cfg)
-			step := store.stepper(c)
-			for range 100 {
-				step()
-			}
-			if !c.replica.synced {
-				t.Fatal("not loaded")
-			}
+			c := store.startController(t, cfg)
 			if got := (schema.Layout{MachineShards: len(c.replica.machineShards), JobShards: len(c.replica.jobShards)}); got != tc.want {
 				t.Errorf("%+v, want %+v", got, tc.want)
 			}
@@ -64,6 +53,30 @@
 	}
 }
 
+// layoutConfig has one member, with such teams and longest value.
+func layoutConfig(teams []config.Team, valueKB float64) *config.Config {
+	cfg := &config.Config{Member: "a"}
+	settings := &cfg.Settings
+	settings.Size, settings.Teams = 1, teams
+	settings.KVStore.ValueKB, settings.KVStore.TxnOps, settings.KVStore.RPS, settings.KVStore.WriteRPS = valueKB, 12, 350, 35
+	settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
+	return cfg
+}
+
+// startController runs a controller on the store until it has surely loaded.
+func (o *fakeStore) startController(t *testing.T, cfg *config.Config) *Controller {
+	t.Helper()
+	c := quietController(cfg)
+	step := o.stepper(c)
+	for range 100 {
+		step()
+	}
+	if !c.replica.synced {
+		t.Fatal("not loaded")
+	}
+	return c
+}
+
 // registered is a registration as a page or an event of the store shows it.
 func registered(member string, revision uint64) kv.KeyValue {
 	key := schema.RegistrationKey(member, member+".1")
