--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -7,64 +7,82 @@
 	"slices"
 
 	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/guard"
 	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
-// audit counts decisions by their reasons between two lines of the log, and violations of
-// invariants since the start.
+// audit looks at effects a last time as they leave, whatever path they came by: it asks package guard
+// once more, refuses what an invariant forbids, and counts the rest. It owns the counts of decisions by
+// their reasons between two lines of the log, and of violations since the start. It never allows
+// something by itself, and nothing is decided by its counts.
 type audit struct {
-	starts   int
-	stops    map[stopReason]int
-	releases map[releaseReason]int
-	forgets  map[forgetReason]int
-	answers  map[answerBasis]int
-
-	violations map[string]int
+	decisions  decisionCounts
+	violations map[string]int // by invariant
 }
 
 func newAudit() audit {
-	return audit{
-		stops: map[stopReason]int{}, releases: map[releaseReason]int{}, forgets: map[forgetReason]int{}, answers: map[answerBasis]int{},
-		violations: map[string]int{},
+	return audit{decisions: newDecisionCounts(), violations: map[string]int{}}
+}
+
+// decisionCounts counts decisions by their reasons.
+type decisionCounts struct {
+	starts   int
+	stops    map[guard.StopReason]int
+	releases map[guard.ReleaseReason]int
+	forgets  map[guard.ForgetReason]int
+	answers  map[guard.AnswerBasis]int
+}
+
+func newDecisionCounts() decisionCounts {
+	return decisionCounts{
+		stops: map[guard.StopReason]int{}, releases: map[guard.ReleaseReason]int{},
+		forgets: map[guard.ForgetReason]int{}, answers: map[guard.AnswerBasis]int{},
 	}
 }
 
+// empty reports whether nothing was decided.
+func (d *decisionCounts) empty() bool {
+	return d.starts+len(d.stops)+len(d.releases)+len(d.forgets)+len(d.answers) == 0
+}
+
+// countForgotten counts a job that may leave the accepted ones.
+func (a *audit) countForgotten(reason guard.ForgetReason) { a.decisions.forgets[reason]++ }
+
+// takeDecisions returns the counts of decisions and begins anew.
+func (a *audit) takeDecisions() decisionCounts {
+	taken := a.decisions
+	a.decisions = newDecisionCounts()
+	return taken
+}
+
 // decisionLogPeriod is how often decisions are told in the log, if there are any.
 const decisionLogPeriod = units.Second
 
 // logDecisions writes one line for all decisions since the last, with the revision and the age of
-// the proof that they rest on, and the epochs under which they were made.
+// the proof that they rest on, and the terms under which they were made.
 func (c *Controller) logDecisions() {
-	a := &c.audit
-	if a.starts+len(a.stops)+len(a.releases)+len(a.forgets)+len(a.answers) == 0 {
+	if c.audit.decisions.empty() {
 		return
 	}
-	attrs := append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "starts", a.starts)
-	attrs = append(attrs, countsAttr("stops", a.stops), countsAttr("releases", a.releases), countsAttr("forgets", a.forgets), countsAttr("answers", a.answers))
+	decisions := c.audit.takeDecisions()
+	attrs := append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "starts", decisions.starts)
+	attrs = append(attrs,
+		countsAttr("stops", decisions.stops), countsAttr("releases", decisions.releases),
+		countsAttr("forgets", decisions.forgets), countsAttr("answers", decisions.answers))
 	c.log.Info("decisions", attrs...)
-	violations := a.violations
-	*a = newAudit()
-	a.violations = violations
 }
 
 // countsAttr is a group of counts in the order of their names.
-func countsAttr[K ~string](name string, of map[K]int) slog.Attr {
-	attrs := make([]any, 0, len(of))
-	for _, k := range slices.Sorted(maps.Keys(of)) {
-		attrs = append(attrs, slog.Int(string(k), of[k]))
+func countsAttr[K ~string](name string, counts map[K]int) slog.Attr {
+	attrs := make([]any, 0, len(counts))
+	for _, key := range slices.Sorted(maps.Keys(counts)) {
+		attrs = append(attrs, slog.Int(string(key), counts[key]))
 	}
 	return slog.Group(name, attrs...)
 }
 
-// reportViolation refuses something that an invariant forbids: it is logged with the facts and counted.
-// Nothing should ever come here.
-func (c *Controller) reportViolation(invariant string, facts ...any) {
-	c.audit.violations[invariant]++
-	c.log.Error("invariant violated, refused", append([]any{"invariant", invariant}, append(facts, c.freshness.logAttrs()...)...)...)
-}
-
 // Invariants, as the log calls them.
 const (
 	invariantStart   = "no start without authority, dependencies done and acceptance"
@@ -74,75 +92,81 @@
 	invariantAnswer  = "no answer older than a stored outcome"
 )
 
-// authorityOver is what this controller may do with a machine now.
-func (c *Controller) authorityOver(m *machine) permissions {
-	return permissions{mayCommand: m.agent != nil && c.leads(m.part()), mayStart: c.mayStartTasks()}
+// reportViolation tells of something that was refused because an invariant forbids it: it is logged
+// with the facts and counted. Nothing should ever come here.
+func (c *Controller) reportViolation(invariant string, facts ...any) {
+	c.audit.violations[invariant]++
+	attrs := append([]any{"invariant", invariant}, facts...)
+	c.log.Error("invariant violated, refused", append(attrs, c.freshness.logAttrs()...)...)
 }
 
-// auditCommands gives the orders that may leave for a machine: the last look at them, whatever path
-// they come by. ok is false if nothing may be said to the machine at all.
-func (c *Controller) auditCommands(m *machine, orders []agent.Command) (out []agent.Command, ok bool) {
-	right := c.authorityOver(m)
-	if !right.mayCommand {
+// auditCommands returns the commands that may leave for a machine. ok is false if nothing may be said
+// to the machine at all.
+func (c *Controller) auditCommands(m *machine, commands []agent.Command) (allowed []agent.Command, ok bool) {
+	permissions := c.permissionsOver(m)
+	if !permissions.MayCommand {
 		c.reportViolation(invariantCommand, "machine", m.name, "partition", m.shard.partition)
 		return nil, false
 	}
-	if len(orders) == 0 {
-		return orders, true
+	if len(commands) == 0 {
+		return commands, true
 	}
 	entries := m.entriesByAttempt()
-	for _, o := range orders {
-		t, entered := entries[attemptKey{o.Task, o.Attempt}]
-		facts := c.taskFactsOf(t)
-		switch o.Action {
-		case agent.Start:
-			refusal := facts.mayStart(right)
-			if !entered || refusal != startAllowed {
-				c.reportViolation(invariantStart, "task", o.Task, "attempt", o.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
-				continue
-			}
-			c.audit.starts++
-		case agent.Stop:
-			reason := stopNotEntered
-			if entered {
-				reason = facts.mustStop()
-			}
-			c.audit.stops[reason]++
-		case agent.Remove: // ends nothing: the task has ended already
+	for _, command := range commands {
+		entry, entered := entries[attemptKey{command.Task, command.Attempt}]
+		if c.auditCommand(m, command, c.taskFactsOf(entry), entered, permissions) {
+			allowed = append(allowed, command)
 		}
-		out = append(out, o)
 	}
 	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		c.logCommands(m, out)
+		c.logCommands(m, allowed)
 	}
-	return out, true
+	return allowed, true
 }
 
-// stopNotEntered is the reason for stopping what no entry allows to run.
-const stopNotEntered stopReason = "not entered"
+// auditCommand reports whether one command may leave, and counts it.
+func (c *Controller) auditCommand(m *machine, command agent.Command, facts guard.TaskFacts, entered bool, permissions guard.Permissions) bool {
+	switch command.Action {
+	case agent.Start:
+		refusal := facts.MayStart(permissions)
+		if !entered || refusal != guard.StartAllowed {
+			c.reportViolation(invariantStart, "task", command.Task, "attempt", command.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
+			return false
+		}
+		c.audit.decisions.starts++
+	case agent.Stop:
+		reason := guard.StopNotEntered
+		if entered {
+			reason = facts.MustStop()
+		}
+		c.audit.decisions.stops[reason]++
+	case agent.Remove: // ends nothing: the task has ended already
+	}
+	return true
+}
 
 // logCommands writes the ids of what a machine is told, and the proof that it rests on.
-func (c *Controller) logCommands(m *machine, orders []agent.Command) {
+func (c *Controller) logCommands(m *machine, commands []agent.Command) {
 	attrs := append(c.freshness.logAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
-	for _, o := range orders {
-		attrs = append(attrs, slog.Group(string(o.Action)+" "+o.Task, "attempt", o.Attempt))
+	for _, command := range commands {
+		attrs = append(attrs, slog.Group(string(command.Action)+" "+command.Task, "attempt", command.Attempt))
 	}
 	c.log.Debug("commands", attrs...)
 }
 
-// attemptKey is a task's attempt as orders name it.
+// attemptKey is a task's attempt as commands name it.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// entriesByAttempt are a machine's entries by what orders call them.
+// entriesByAttempt are a machine's entries by what commands call them.
 func (m *machine) entriesByAttempt() map[attemptKey]schema.Task {
-	out := make(map[attemptKey]schema.Task, len(m.doc.Tasks))
-	for _, t := range m.doc.Tasks {
-		out[attemptKey{keyOf(t).task(), t.Attempt}] = t
+	entries := make(map[attemptKey]schema.Task, len(m.doc.Tasks))
+	for _, task := range m.doc.Tasks {
+		entries[attemptKey{keyOf(task).task(), task.Attempt}] = task
 	}
-	return out
+	return entries
 }
 
 // auditReleases takes back releases that nothing proves, and counts the others.
@@ -150,61 +174,78 @@
 	if !gd.ownShard {
 		return
 	}
-	c := gd.c
-	for _, d := range gd.machines {
-		if len(d.kept) == len(d.machine.doc.Tasks) && !d.machine.deleted || d.machine.agent == nil && !d.machine.deleted {
+	for _, staged := range gd.machines {
+		m := staged.machine
+		releasesNone := len(staged.kept) == len(m.doc.Tasks) && !m.deleted
+		if releasesNone || m.agent == nil && !m.deleted {
 			continue
 		}
-		kept := make(map[taskKey]bool, len(d.kept))
-		for _, t := range d.kept {
-			kept[keyOf(t)] = true
+		gd.c.auditReleasesOf(staged)
+	}
+}
+
+// auditReleasesOf takes back releases of one machine that nothing proves, and counts the others.
+func (c *Controller) auditReleasesOf(staged *stagedMachine) {
+	m := staged.machine
+	kept := make(map[taskKey]bool, len(staged.kept))
+	for _, task := range staged.kept {
+		kept[keyOf(task)] = true
+	}
+	for _, task := range m.doc.Tasks {
+		if kept[keyOf(task)] && !m.deleted {
+			continue
 		}
-		for _, t := range d.machine.doc.Tasks {
-			if kept[keyOf(t)] && !d.machine.deleted {
-				continue
-			}
-			reason := releaseMachineDeleted
-			if !d.machine.deleted {
-				reason = c.taskFactsOf(t).mayRelease(c.machineFactsOf(d.machine, t))
-			}
-			if reason == keepEntry {
-				c.reportViolation(invariantRelease, "task", keyOf(t).task(), "attempt", t.Attempt, "machine", d.machine.name)
-				d.kept = append(slices.Clone(d.kept), t)
-				continue
-			}
-			c.audit.releases[reason]++
+		reason := guard.ReleaseMachineDeleted // with its machine; there may be no agent to know more
+		if !m.deleted {
+			reason = c.taskFactsOf(task).MayRelease(c.machineFactsOf(m, task))
 		}
+		if reason == guard.KeepEntry {
+			c.reportViolation(invariantRelease, "task", keyOf(task).task(), "attempt", task.Attempt, "machine", m.name)
+			staged.kept = append(slices.Clone(staged.kept), task)
+			continue
+		}
+		c.audit.decisions.releases[reason]++
 	}
 }
 
-// auditForgotten refuses to clear away jobs whose end is neither stored nor written in the same
+// auditForgotten refuses to clear away jobs whose outcome is neither stored nor written in the same
 // transaction.
 func (b *plan) auditForgotten() {
-	for _, s := range b.c.replica.jobShards {
-		for _, id := range slices.Sorted(maps.Keys(b.cleared[s])) {
-			j := b.c.replica.jobs[id]
-			_, stored := b.c.replica.outcomes.get(id)
-			written := slices.ContainsFunc(b.jointOps, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
-			if !stored && !written && (j == nil || !j.cancellationShown) {
+	for _, shard := range b.c.replica.jobShards {
+		for _, id := range slices.Sorted(maps.Keys(b.cleared[shard])) {
+			if !b.outcomeIsSafe(id) {
 				b.c.reportViolation(invariantForget, "job", id)
-				delete(b.cleared[s], id)
+				delete(b.cleared[shard], id)
 			}
 		}
 	}
 }
 
-// auditAnswer looks at an answer to a user a last time. What was found before the job's end was
-// shown gives way to the end: another controller may have told it to the user already.
-func (c *Controller) auditAnswer(st *JobStatus) *JobStatus {
-	end, stored := c.replica.outcomes.get(st.ID)
-	if stored && st.contradicts(end) {
-		if st.Stage == StageDone || st.Stage == StageCancelled {
-			c.reportViolation(invariantAnswer, "job", st.ID, "stage", st.Stage, "end", end.State)
-		}
-		st = outcomeStatus(st.ID, end)
+// outcomeIsSafe reports whether a job's outcome is stored, or is written by this plan's transaction.
+func (b *plan) outcomeIsSafe(id string) bool {
+	if _, stored := b.c.replica.outcomes.get(id); stored {
+		return true
+	}
+	if j := b.c.replica.jobs[id]; j != nil && j.cancellationShown { // the outcome was written with it
+		return true
+	}
+	return slices.ContainsFunc(b.jointOps, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
+}
+
+// auditAnswer looks at an answer to a user. What was found before the job's outcome was shown gives way
+// to the outcome: another controller may have told it to the user already.
+func (c *Controller) auditAnswer(answer *JobStatus) *JobStatus {
+	outcome, stored := c.replica.outcomes.get(answer.ID)
+	facts := answer.facts(outcome, stored)
+	if facts.Contradicts() {
+		c.reportViolation(invariantAnswer, "job", answer.ID, "stage", answer.Stage, "end", outcome.State)
+	}
+	if facts.Overtaken() {
+		answer = outcomeStatus(answer.ID, outcome)
+		facts = answer.facts(outcome, stored)
 	}
-	if st.Stage == StageDone || st.Stage == StageCancelled {
-		c.audit.answers[st.basisOf(stored)]++
+	if facts.Final {
+		c.audit.decisions.answers[facts.Basis()]++
 	}
-	return st
+	return answer
 }
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -5,18 +5,10 @@
 	"slices"
 
 	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/guard"
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// shouldRun reports whether a task in the machine's document should run there.
-func (c *Controller) shouldRun(t schema.Task) bool { return c.taskFactsOf(t).mustStop() == keepRunning }
-
-// mayReleaseEntry reports whether a task in the document is certainly not, or no
-// longer, active on the machine, so that its entry may go.
-func (c *Controller) mayReleaseEntry(m *machine, t schema.Task) bool {
-	return c.taskFactsOf(t).mayRelease(c.machineFactsOf(m, t)) != keepEntry
-}
-
 // commandsFor compares what should be on the machine with what it reported.
 func (c *Controller) commandsFor(m *machine) []agent.Command {
 	rt := m.agent
@@ -27,7 +19,7 @@
 	// A task may be entered together with the stops that make room for it: it
 	// is launched once that room is free.
 	room := c.reportedFreeCapacity(m)
-	right := c.authorityOver(m)
+	permissions := c.permissionsOver(m)
 	listed := make(map[taskKey]bool, len(m.doc.Tasks))
 	// Whatever is entered may be waiting for room: what ranks higher has it first.
 	grade := func(t schema.Task) int {
@@ -44,11 +36,11 @@
 		k := keyOf(t)
 		p, there := rt.tasks[k]
 		facts := c.taskFactsOf(t)
-		if facts.mustStop() == keepRunning {
+		if facts.MustStop() == guard.KeepRunning {
 			listed[k] = true
 			// One that is being given up must not be launched again meanwhile: the
 			// same write may have put it elsewhere.
-			if !there && !rt.entriesLeaving[k] && facts.mayStart(right) == startAllowed && room.tryReserve(&c.replica.jobs[t.Job].spec) {
+			if !there && !rt.entriesLeaving[k] && facts.MayStart(permissions) == guard.StartAllowed && room.tryReserve(&c.replica.jobs[t.Job].spec) {
 				out = append(out, agent.Command{Action: agent.Start, Task: k.task(), Attempt: t.Attempt})
 			}
 			continue
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"frostdock.example/frostdock/internal/guard"
 	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
@@ -23,19 +24,19 @@
 			continue
 		}
 		final, _ := c.replica.outcomes.get(j.id)
-		reason := j.facts(final).mayForget()
-		if reason == keepJob || !b.canRemoveJob(j) || reason == forgetCancelledByDependency && b.jointRoom() <= least {
+		reason := j.facts(final).MayForget()
+		if reason == guard.KeepJob || !b.canRemoveJob(j) || reason == guard.ForgetCancelledByDependency && b.jointRoom() <= least {
 			continue
 		}
-		c.audit.forgets[reason]++
+		c.audit.countForgotten(reason)
 		switch reason {
-		case forgetCancelled:
+		case guard.ForgetCancelled:
 			key := schema.CancellationPrefix + j.id
 			b.removeJob(j)
 			b.addJoint(kv.Operation{Delete: key}, c.replica.revisions[key])
-		case forgetCancelledByDependency:
+		case guard.ForgetCancelledByDependency:
 			b.storeDerivedCancellation(j)
-		case forgetCompleted:
+		case guard.ForgetCompleted:
 			f := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(c.timeOfDay), WriteTag: b.writeTag}
 			// Whoever writes the end first decides between done and cancelled.
 			b.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(f)}, 0)
--- /dev/null
+++ b/internal/guard/guard_test.go
@@ -0,0 +1,73 @@
+package guard
+
+import "testing"
+
+// TestMayStart, TestMayRelease and TestMayForget look at each reason, and at what lacks just one
+// fact for it.
+func TestMayStart(t *testing.T) {
+	good, may := TaskFacts{Accepted: true, DependenciesDone: true}, Permissions{MayCommand: true, MayStart: true}
+	for name, tc := range map[string]struct {
+		facts TaskFacts
+		right Permissions
+		want  StartRefusal
+	}{
+		"all is well":       {good, may, StartAllowed},
+		"job is over":       {TaskFacts{DependenciesDone: true}, may, StartMustNotRun},
+		"job is cancelled":  {TaskFacts{Accepted: true, DependenciesDone: true, Cancelled: true}, may, StartMustNotRun},
+		"task is completed": {TaskFacts{Accepted: true, DependenciesDone: true, Completed: true}, may, StartMustNotRun},
+		"to be stopped":     {TaskFacts{Accepted: true, DependenciesDone: true, StopRequested: true}, may, StartMustNotRun},
+		"a need is open":    {TaskFacts{Accepted: true}, may, StartDependenciesOpen},
+		"no claim":          {good, Permissions{MayStart: true}, StartNotAuthorized},
+		"an old copy":       {good, Permissions{MayCommand: true}, StartReplicaTooOld},
+	} {
+		if got := tc.facts.MayStart(tc.right); got != tc.want {
+			t.Errorf("%s: %q, want %q", name, got, tc.want)
+		}
+	}
+}
+
+// TestMayRelease: see TestMayStart.
+func TestMayRelease(t *testing.T) {
+	wanted, unwanted := TaskFacts{Accepted: true}, TaskFacts{Accepted: true, Cancelled: true}
+	for name, tc := range map[string]struct {
+		facts   TaskFacts
+		machine MachineFacts
+		want    ReleaseReason
+	}{
+		"wanted and absent":            {wanted, MachineFacts{Quiesced: true}, KeepEntry},
+		"unwanted and absent":          {unwanted, MachineFacts{Quiesced: true}, ReleaseProvenAbsent},
+		"unwanted, a command may come": {unwanted, MachineFacts{}, KeepEntry},
+		"unwanted and there":           {unwanted, MachineFacts{Reported: true, Quiesced: true}, KeepEntry},
+		"ended":                        {wanted, MachineFacts{Reported: true, Ended: true, TokenSeen: true}, ReleaseReportedEnd},
+		"ended by an old report":       {wanted, MachineFacts{Reported: true, Ended: true}, KeepEntry},
+		"lease over":                   {wanted, MachineFacts{Reported: true, LeaseExpired: true}, ReleaseLeaseExpired},
+		"completed, not stored":        {TaskFacts{Accepted: true, Completed: true}, MachineFacts{LeaseExpired: true}, KeepEntry},
+		"completed and stored":         {TaskFacts{Accepted: true, Completed: true, CompletionStored: true}, MachineFacts{}, ReleaseCompletionStored},
+		"machine deleted":              {wanted, MachineFacts{MachineDeleted: true}, ReleaseMachineDeleted},
+		"job over":                     {TaskFacts{}, MachineFacts{}, ReleaseJobOver},
+	} {
+		if got := tc.facts.MayRelease(tc.machine); got != tc.want {
+			t.Errorf("%s: %q, want %q", name, got, tc.want)
+		}
+	}
+}
+
+// TestMayForget: see TestMayStart.
+func TestMayForget(t *testing.T) {
+	for name, tc := range map[string]struct {
+		facts JobFacts
+		want  ForgetReason
+	}{
+		"nothing is over":              {JobFacts{}, KeepJob},
+		"completed":                    {JobFacts{Completed: true, Entered: true}, ForgetCompleted},
+		"cancelled":                    {JobFacts{Cancelled: true, CancellationShown: true}, ForgetCancelled},
+		"cancelled, tasks are entered": {JobFacts{Cancelled: true, CancellationShown: true, Entered: true}, KeepJob},
+		"cancelled and completed":      {JobFacts{Cancelled: true, CancellationShown: true, Completed: true, Entered: true}, KeepJob},
+		"cancelled with another":       {JobFacts{Cancelled: true, CancelledByDependency: true}, ForgetCancelledByDependency},
+		"cancelled, mark not shown":    {JobFacts{Cancelled: true}, KeepJob},
+	} {
+		if got := tc.facts.MayForget(); got != tc.want {
+			t.Errorf("%s: %q, want %q", name, got, tc.want)
+		}
+	}
+}
