--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -18,12 +18,21 @@
 // their reasons between two lines of the log, and of violations since the start. It never allows
 // something by itself, and nothing is decided by its counts.
 type audit struct {
+	env        *environment
+	replica    *replica
+	freshness  *freshness
+	partitions *partitionTable
+	facts      *factSource
+
 	decisions  decisionCounts
 	violations map[string]int // by invariant
 }
 
-func newAudit() audit {
-	return audit{decisions: newDecisionCounts(), violations: map[string]int{}}
+func newAudit(env *environment, replica *replica, freshness *freshness, partitions *partitionTable, facts *factSource) *audit {
+	return &audit{
+		env: env, replica: replica, freshness: freshness, partitions: partitions, facts: facts,
+		decisions: newDecisionCounts(), violations: map[string]int{},
+	}
 }
 
 // decisionCounts counts decisions by their reasons.
@@ -62,16 +71,16 @@
 
 // logDecisions writes one line for all decisions since the last, with the revision and the age of
 // the proof that they rest on, and the terms under which they were made.
-func (c *Controller) logDecisions() {
-	if c.audit.decisions.empty() {
+func (a *audit) logDecisions() {
+	if a.decisions.empty() {
 		return
 	}
-	decisions := c.audit.takeDecisions()
-	attrs := append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "starts", decisions.starts)
+	decisions := a.takeDecisions()
+	attrs := append(a.freshness.logAttrs(), "terms", a.partitions.terms(), "starts", decisions.starts)
 	attrs = append(attrs,
 		countsAttr("stops", decisions.stops), countsAttr("releases", decisions.releases),
 		countsAttr("forgets", decisions.forgets), countsAttr("answers", decisions.answers))
-	c.log.Info("decisions", attrs...)
+	a.env.log.Info("decisions", attrs...)
 }
 
 // countsAttr is a group of counts in the order of their names.
@@ -94,18 +103,18 @@
 
 // reportViolation tells of something that was refused because an invariant forbids it: it is logged
 // with the facts and counted. Nothing should ever come here.
-func (c *Controller) reportViolation(invariant string, facts ...any) {
-	c.audit.violations[invariant]++
+func (a *audit) reportViolation(invariant string, facts ...any) {
+	a.violations[invariant]++
 	attrs := append([]any{"invariant", invariant}, facts...)
-	c.log.Error("invariant violated, refused", append(attrs, c.freshness.logAttrs()...)...)
+	a.env.log.Error("invariant violated, refused", append(attrs, a.freshness.logAttrs()...)...)
 }
 
-// auditCommands returns the commands that may leave for a machine. ok is false if nothing may be said
+// checkCommands returns the commands that may leave for a machine. ok is false if nothing may be said
 // to the machine at all.
-func (c *Controller) auditCommands(m *machine, commands []agent.Command) (allowed []agent.Command, ok bool) {
-	permissions := c.permissionsOver(m)
+func (a *audit) checkCommands(m *machine, commands []agent.Command) (allowed []agent.Command, ok bool) {
+	permissions := a.facts.permissionsOver(m)
 	if !permissions.MayCommand {
-		c.reportViolation(invariantCommand, "machine", m.name, "partition", m.shard.partition)
+		a.reportViolation(invariantCommand, "machine", m.name, "partition", m.shard.partition)
 		return nil, false
 	}
 	if len(commands) == 0 {
@@ -114,44 +123,44 @@
 	entries := m.entriesByAttempt()
 	for _, command := range commands {
 		entry, entered := entries[attemptKey{command.Task, command.Attempt}]
-		if c.auditCommand(m, command, c.taskFactsOf(entry), entered, permissions) {
+		if a.checkCommand(m, command, a.facts.ofTask(entry), entered, permissions) {
 			allowed = append(allowed, command)
 		}
 	}
-	if c.log.Enabled(context.Background(), slog.LevelDebug) {
-		c.logCommands(m, allowed)
+	if a.env.log.Enabled(context.Background(), slog.LevelDebug) {
+		a.logCommands(m, allowed)
 	}
 	return allowed, true
 }
 
-// auditCommand reports whether one command may leave, and counts it.
-func (c *Controller) auditCommand(m *machine, command agent.Command, facts guard.TaskFacts, entered bool, permissions guard.Permissions) bool {
+// checkCommand reports whether one command may leave, and counts it.
+func (a *audit) checkCommand(m *machine, command agent.Command, facts guard.TaskFacts, entered bool, permissions guard.Permissions) bool {
 	switch command.Action {
 	case agent.Start:
 		refusal := facts.MayStart(permissions)
 		if !entered || refusal != guard.StartAllowed {
-			c.reportViolation(invariantStart, "task", command.Task, "attempt", command.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
+			a.reportViolation(invariantStart, "task", command.Task, "attempt", command.Attempt, "machine", m.name, "entered", entered, "refusal", refusal)
 			return false
 		}
-		c.audit.decisions.starts++
+		a.decisions.starts++
 	case agent.Stop:
 		reason := guard.StopNotEntered
 		if entered {
 			reason = facts.MustStop()
 		}
-		c.audit.decisions.stops[reason]++
+		a.decisions.stops[reason]++
 	case agent.Remove: // ends nothing: the task has ended already
 	}
 	return true
 }
 
 // logCommands writes the ids of what a machine is told, and the proof that it rests on.
-func (c *Controller) logCommands(m *machine, commands []agent.Command) {
-	attrs := append(c.freshness.logAttrs(), "machine", m.name, "fencing_token", c.fencingToken(m), "agent_epoch", m.agent.epoch)
+func (a *audit) logCommands(m *machine, commands []agent.Command) {
+	attrs := append(a.freshness.logAttrs(), "machine", m.name, "fencing_token", a.replica.fencingToken(m), "agent_epoch", m.agent.epoch)
 	for _, command := range commands {
 		attrs = append(attrs, slog.Group(string(command.Action)+" "+command.Task, "attempt", command.Attempt))
 	}
-	c.log.Debug("commands", attrs...)
+	a.env.log.Debug("commands", attrs...)
 }
 
 // attemptKey is a task's attempt as commands name it.
@@ -180,12 +189,12 @@
 		if releasesNone || m.agent == nil && !m.deleted {
 			continue
 		}
-		gd.c.auditReleasesOf(staged)
+		gd.c.audit.checkReleasesOf(staged)
 	}
 }
 
-// auditReleasesOf takes back releases of one machine that nothing proves, and counts the others.
-func (c *Controller) auditReleasesOf(staged *stagedMachine) {
+// checkReleasesOf takes back releases of one machine that nothing proves, and counts the others.
+func (a *audit) checkReleasesOf(staged *stagedMachine) {
 	m := staged.machine
 	kept := make(map[taskKey]bool, len(staged.kept))
 	for _, task := range staged.kept {
@@ -195,26 +204,33 @@
 		if kept[keyOf(task)] && !m.deleted {
 			continue
 		}
-		reason := guard.ReleaseMachineDeleted // with its machine; there may be no agent to know more
-		if !m.deleted {
-			reason = c.taskFactsOf(task).MayRelease(c.machineFactsOf(m, task))
-		}
-		if reason == guard.KeepEntry {
-			c.reportViolation(invariantRelease, "task", keyOf(task).task(), "attempt", task.Attempt, "machine", m.name)
+		if !a.checkRelease(m, task) {
 			staged.kept = append(slices.Clone(staged.kept), task)
-			continue
 		}
-		c.audit.decisions.releases[reason]++
 	}
 }
 
+// checkRelease reports whether an entry may go, and counts it.
+func (a *audit) checkRelease(m *machine, task schema.Task) bool {
+	reason := guard.ReleaseMachineDeleted // with its machine; there may be no agent to know more
+	if !m.deleted {
+		reason = a.facts.ofTask(task).MayRelease(a.facts.ofPresence(m, task))
+	}
+	if reason == guard.KeepEntry {
+		a.reportViolation(invariantRelease, "task", keyOf(task).task(), "attempt", task.Attempt, "machine", m.name)
+		return false
+	}
+	a.decisions.releases[reason]++
+	return true
+}
+
 // auditForgotten refuses to clear away jobs whose outcome is neither stored nor written in the same
 // transaction.
 func (b *plan) auditForgotten() {
 	for _, shard := range b.c.replica.jobShards {
 		for _, id := range slices.Sorted(maps.Keys(b.cleared[shard])) {
 			if !b.outcomeIsSafe(id) {
-				b.c.reportViolation(invariantForget, "job", id)
+				b.c.audit.reportViolation(invariantForget, "job", id)
 				delete(b.cleared[shard], id)
 			}
 		}
@@ -232,20 +248,20 @@
 	return slices.ContainsFunc(b.jointOps, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
 }
 
-// auditAnswer looks at an answer to a user. What was found before the job's outcome was shown gives way
+// checkAnswer looks at an answer to a user. What was found before the job's outcome was shown gives way
 // to the outcome: another controller may have told it to the user already.
-func (c *Controller) auditAnswer(answer *JobStatus) *JobStatus {
-	outcome, stored := c.replica.outcomes.get(answer.ID)
+func (a *audit) checkAnswer(answer *JobStatus) *JobStatus {
+	outcome, stored := a.replica.outcomes.get(answer.ID)
 	facts := answer.facts(outcome, stored)
 	if facts.Contradicts() {
-		c.reportViolation(invariantAnswer, "job", answer.ID, "stage", answer.Stage, "end", outcome.State)
+		a.reportViolation(invariantAnswer, "job", answer.ID, "stage", answer.Stage, "end", outcome.State)
 	}
 	if facts.Overtaken() {
 		answer = outcomeStatus(answer.ID, outcome)
 		facts = answer.facts(outcome, stored)
 	}
 	if facts.Final {
-		c.audit.decisions.answers[facts.Basis()]++
+		a.decisions.answers[facts.Basis()]++
 	}
 	return answer
 }
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -26,17 +26,17 @@
 		}
 		clear(c.audit.violations)
 	}
-	if out, ok := c.auditCommands(m, launch); !ok || len(out) > 0 {
+	if out, ok := c.audit.checkCommands(m, launch); !ok || len(out) > 0 {
 		t.Error("what is not entered is started")
 	}
 	fired(invariantStart, true)
 	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(entry)), o.rev+1, false)
-	if out, ok := c.auditCommands(m, launch); !ok || len(out) != 1 {
+	if out, ok := c.audit.checkCommands(m, launch); !ok || len(out) != 1 {
 		t.Error("what is entered is not started")
 	}
 	fired(invariantStart, false)
 	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), o.rev+2, false)
-	if out, _ := c.auditCommands(m, launch); len(out) > 0 {
+	if out, _ := c.audit.checkCommands(m, launch); len(out) > 0 {
 		t.Error("a task of a cancelled job is started")
 	}
 	fired(invariantStart, true)
@@ -60,17 +60,17 @@
 	fired(invariantForget, true)
 
 	c.dependencies.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
-	if st := c.auditAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); st.Stage != StageCancelled {
+	if st := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); st.Stage != StageCancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
 	fired(invariantAnswer, false) // overtaken by the end, which is told instead
-	if st := c.auditAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); st.Stage != StageCancelled {
+	if st := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); st.Stage != StageCancelled {
 		t.Errorf("a cancelled job is called %s", st.Stage)
 	}
 	fired(invariantAnswer, true)
 
 	c.freshness.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
-	if _, ok := c.auditCommands(m, nil); ok {
+	if _, ok := c.audit.checkCommands(m, nil); ok {
 		t.Error("a controller whose copy is old commands")
 	}
 	fired(invariantCommand, true)
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -18,20 +18,19 @@
 	deletePeriod  period
 	listPeriod    period
 
-	types              []cloud.MachineType
-	typesReadAt        units.Micros
-	catalogInFlight    bool
-	listInFlight       bool
-	listed             map[string]cloud.ListedMachine
-	listedAt           units.Micros // when the last complete list was asked for
-	rentals            map[string]*rentalRequest
-	rentalsSent        int
-	offerNotBefore     map[string]units.Micros // offers that were refused: not before
-	deletionInFlight   bool
-	silenceSuspectedAt units.Micros // when most machines were last silent: the list may tell why
-	noDemandSince      units.Micros // since when next to nothing waits for room
-	autoscalerSince    units.Micros // since when this node has this duty; 0: not
-	strayingSince      map[string]units.Micros
+	types            []cloud.MachineType
+	typesReadAt      units.Micros
+	catalogInFlight  bool
+	listInFlight     bool
+	listed           map[string]cloud.ListedMachine
+	listedAt         units.Micros // when the last complete list was asked for
+	rentals          map[string]*rentalRequest
+	rentalsSent      int
+	offerNotBefore   map[string]units.Micros // offers that were refused: not before
+	deletionInFlight bool
+	noDemandSince    units.Micros // since when next to nothing waits for room
+	autoscalerSince  units.Micros // since when this node has this duty; 0: not
+	strayingSince    map[string]units.Micros
 }
 
 func newCloudView() cloudView {
@@ -86,7 +85,7 @@
 		c.deleteDecommissioned()
 	}
 	keeper := c.partitions.led[0] != nil && c.leads(0) && len(k.types) > 0
-	if !k.listInFlight && (keeper || c.now-k.silenceSuspectedAt < 10*units.Second && k.silenceSuspectedAt > 0) && k.listPeriod.due(c.now, listPeriod) {
+	if !k.listInFlight && (keeper || c.fleet.silenceSuspectedWithin(10*units.Second)) && k.listPeriod.due(c.now, listPeriod) {
 		c.listMachines("", map[string]cloud.ListedMachine{}, c.now)
 	}
 	if !keeper {
@@ -212,17 +211,12 @@
 // to another controller: it is not silent, only the store is slow.
 func (c *Controller) heardRecently(name string) bool {
 	lately := 3 * c.cfg.Settings.HeartbeatPeriod()
-	if at, ok := c.agents.heardAt[name]; ok && c.now-at < lately {
+	if c.agents.heardWithin(name, lately) {
 		return true
 	}
 	// Who cannot be asked is no witness here: nothing runs on such a machine, and
 	// one that never comes up would be paid for as long as one heartbeat stays away.
-	for _, p := range c.peers.latest {
-		if ago, ok := p.heartbeat.Heard[name]; ok && c.now-p.receivedAt+units.Micros(ago) < lately {
-			return true
-		}
-	}
-	return false
+	return c.peers.anyHeardWithin(name, lately)
 }
 
 func (c *Controller) machineType(name string) *cloud.MachineType {
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,157 +9,121 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// commandsFor compares what should be on the machine with what it reported.
-func (c *Controller) commandsFor(m *machine) []agent.Command {
-	rt := m.agent
-	out := []agent.Command{}
-	if rt.heardAt == 0 {
-		return out
+// commandPlanner compares what should be on a machine with what is there. It keeps nothing and sends
+// nothing; whether a task may start or must stop is decided by package guard.
+type commandPlanner struct {
+	replica  *replica
+	facts    *factSource
+	capacity reportedCapacity
+}
+
+// reportedCapacity tells how much of a machine is free.
+type reportedCapacity interface {
+	// reportedFreeCapacity is what no reported task uses.
+	reportedFreeCapacity(m *machine) *resources
+}
+
+// commandsFor lists the commands for a machine; none before its agent was heard.
+func (p *commandPlanner) commandsFor(m *machine) []agent.Command {
+	if m.agent.heardAt == 0 {
+		return []agent.Command{}
 	}
-	// A task may be entered together with the stops that make room for it: it
-	// is launched once that room is free.
-	room := c.reportedFreeCapacity(m)
-	permissions := c.permissionsOver(m)
-	listed := make(map[taskKey]bool, len(m.doc.Tasks))
-	// Whatever is entered may be waiting for room: what ranks higher has it first.
-	grade := func(t schema.Task) int {
-		if j := c.replica.jobs[t.Job]; j != nil {
-			return j.spec.Priority
+	list := commandList{
+		commandPlanner: p, machine: m,
+		permissions: p.facts.permissionsOver(m),
+		free:        p.capacity.reportedFreeCapacity(m),
+		expected:    make(map[taskKey]bool, len(m.doc.Tasks)),
+		commands:    []agent.Command{},
+	}
+	for _, task := range p.entriesByPriority(m) {
+		if facts := p.facts.ofTask(task); facts.MustStop() == guard.KeepRunning {
+			list.start(task, facts)
+		} else {
+			list.stop(task)
 		}
-		return 0
 	}
+	list.clearUnexpected()
+	return list.commands
+}
+
+// entriesByPriority lists the tasks that are entered on a machine, the most important first: each may be
+// waiting for free capacity.
+func (p *commandPlanner) entriesByPriority(m *machine) []schema.Task {
 	tasks := slices.Clone(m.doc.Tasks)
 	slices.SortStableFunc(tasks, func(a, b schema.Task) int {
-		return cmp.Or(cmp.Compare(grade(b), grade(a)), cmp.Compare(a.Attempt, b.Attempt))
+		return cmp.Or(cmp.Compare(p.priorityOf(b), p.priorityOf(a)), cmp.Compare(a.Attempt, b.Attempt))
 	})
-	for _, t := range tasks {
-		k := keyOf(t)
-		p, there := rt.tasks[k]
-		facts := c.taskFactsOf(t)
-		if facts.MustStop() == guard.KeepRunning {
-			listed[k] = true
-			// One that is being given up must not be launched again meanwhile: the
-			// same write may have put it elsewhere.
-			if !there && !rt.entriesLeaving[k] && facts.MayStart(permissions) == guard.StartAllowed && room.tryReserve(&c.replica.jobs[t.Job].spec) {
-				out = append(out, agent.Command{Action: agent.Start, Task: k.task(), Attempt: t.Attempt})
-			}
-			continue
-		}
-		j := c.replica.jobs[t.Job]
-		if j != nil && j.accepted && !j.done.Contains(t.Index) {
-			listed[k] = true // not to be reaped before its end is stored
-			if there && p.State != agent.Ended {
-				grace := 0.0
-				if t.StopMode == schema.StopGracefully {
-					grace = j.spec.CheckpointSeconds
-				}
-				out = append(out, agent.Command{Action: agent.Stop, Task: k.task(), Attempt: t.Attempt, GracePeriodSeconds: grace})
-			}
-		}
-	}
-	settled := c.quiesced(m)
-	for _, k := range rt.sortedTasks() {
-		p := rt.tasks[k]
-		if listed[k] {
-			continue
-		}
-		switch {
-		case p.State != agent.Ended:
-			out = append(out, agent.Command{Action: agent.Stop, Task: k.task(), Attempt: k.attempt})
-		case settled:
-			// Once reaped, a late launch would start the attempt anew: reap only
-			// when no such command can be under way.
-			out = append(out, agent.Command{Action: agent.Remove, Task: k.task(), Attempt: k.attempt})
-		}
+	return tasks
+}
+
+func (p *commandPlanner) priorityOf(task schema.Task) int {
+	if j := p.replica.jobs[task.Job]; j != nil {
+		return j.spec.Priority
 	}
-	return out
+	return 0
+}
+
+// commandList is the commands for one machine as they are put together.
+type commandList struct {
+	*commandPlanner
+	machine     *machine
+	permissions guard.Permissions
+	free        *resources       // what is left for starts
+	expected    map[taskKey]bool // tasks that may be on the machine for now
+	commands    []agent.Command
 }
 
-// push sends a machine its orders at once, instead of with the next report.
-func (c *Controller) push(m *machine) {
-	rt := m.agent
-	if rt == nil || rt.commandsInFlight > 0 || rt.commandUnclear || !c.leads(m.part()) {
+func (l *commandList) add(action agent.Action, key taskKey, gracePeriodSeconds float64) {
+	l.commands = append(l.commands, agent.Command{Action: action, Task: key.task(), Attempt: key.attempt, GracePeriodSeconds: gracePeriodSeconds})
+}
+
+// start starts a task that should run and is not there. It may be entered together with the stops that
+// make capacity for it: it waits until that is free.
+func (l *commandList) start(task schema.Task, facts guard.TaskFacts) {
+	key := keyOf(task)
+	l.expected[key] = true
+	_, there := l.machine.agent.tasks[key]
+	// One whose entry leaves must not be started again meanwhile: the same write may have put it
+	// elsewhere.
+	if there || l.machine.agent.entriesLeaving[key] {
 		return
 	}
-	if rt.epoch == 0 {
-		c.inspect(m)
-		return
+	if facts.MayStart(l.permissions) == guard.StartAllowed && l.free.tryReserve(&l.replica.jobs[task.Job].spec) {
+		l.add(agent.Start, key, 0)
 	}
-	orders, ok := c.auditCommands(m, c.commandsFor(m))
-	tok := c.fencingToken(m)
-	if !ok || len(orders) == 0 && rt.tokenSeen == tok {
+}
+
+// stop stops a task that should not run though it is entered. Those of jobs that are over are left to
+// clearUnexpected.
+func (l *commandList) stop(task schema.Task) {
+	j := l.replica.unstoredJobOf(task)
+	if j == nil {
 		return
 	}
-	if rt.tokenSeen > tok {
+	key := keyOf(task)
+	l.expected[key] = true // not to be removed before its completion is stored
+	status, there := l.machine.agent.tasks[key]
+	if !there || status.State == agent.Ended {
 		return
 	}
-	rt.commandsInFlight++
-	m.forgetOccupancy()
-	id := c.newCallID()
-	sess := rt.epoch
-	c.agents.calls[id] = func(d AgentResult) {
-		if m.agent != rt {
-			return
-		}
-		rt.commandsInFlight--
-		m.forgetOccupancy()
-		if d.Heartbeat != nil && d.Heartbeat.Machine == m.name {
-			c.reconcile(m, d.Heartbeat)
-			c.planNeeded = true
-			return
-		}
-		// No answer: the command may be carried out at any time while token and
-		// session stand. The next write of the document raises the token.
-		rt.commandUnclear, rt.unclearToken, rt.unclearEpoch = true, tok, sess
-		c.planNeeded = true
-		c.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", tok)
+	gracePeriod := 0.0
+	if task.StopMode == schema.StopGracefully {
+		gracePeriod = j.spec.CheckpointSeconds
 	}
-	c.emit(AgentCall{CallID: id, Address: m.doc.Addr, Commands: &agent.CommandRequest{FencingToken: tok, Epoch: sess, Commands: orders}})
+	l.add(agent.Stop, key, gracePeriod)
 }
 
-// pushCommands tells the machines whose entries have changed. That waits until a step has read all
-// that it was given: what enters a task may be followed, in the same answer of the state service,
-// by what cancels its job, and such a task was once started all the same.
-func (c *Controller) pushCommands() {
-	changed := c.agents.toPush
-	c.agents.toPush = nil
-	for _, m := range changed {
-		if c.replica.machines[m.name] == m {
-			c.push(m)
-		}
-	}
-}
-
-// inspect asks a machine for its report.
-func (c *Controller) inspect(m *machine) {
-	rt := m.agent
-	if rt == nil || rt.probing || m.doc.Addr == "" {
-		return
-	}
-	rt.probing = true
-	session, seq := rt.epoch, rt.sequence
-	id := c.newCallID()
-	c.agents.calls[id] = func(d AgentResult) {
-		if m.agent != rt {
-			return
-		}
-		rt.probing = false
-		if d.Heartbeat == nil || d.Heartbeat.Machine != m.name {
-			rt.probeFailedAt = c.now
-			rt.failedProbes++
-			return
-		}
-		rt.probeFailedAt = 0
-		if !d.Heartbeat.Newer(session, seq) && rt.epoch == session && rt.sequence == seq {
-			// An answer to what was asked just now is no late copy: the machine has
-			// begun to count anew, so it was started again and all that it had is
-			// gone. Its reports would be passed over for ever otherwise.
-			c.log.Info("agent restarted", "machine", m.name)
-			rt.epoch, rt.sequence, rt.tokenSeen = 0, 0, 0
-			rt.runningSince = map[taskKey]runStart{}
+// clearUnexpected stops and then removes what is on the machine and nobody expects there. Once a task is removed, a
+// late start would start the attempt anew: that waits until no such command can be under way.
+func (l *commandList) clearUnexpected() {
+	quiesced := l.facts.quiesced(l.machine)
+	for _, key := range l.machine.agent.sortedTasks() {
+		switch ended := l.machine.agent.tasks[key].State == agent.Ended; {
+		case l.expected[key]:
+		case !ended:
+			l.add(agent.Stop, key, 0)
+		case quiesced:
+			l.add(agent.Remove, key, 0)
 		}
-		c.reconcile(m, d.Heartbeat)
-		c.push(m)
 	}
-	c.emit(AgentCall{CallID: id, Address: m.doc.Addr})
 }
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -10,7 +10,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// foreignJob is a controller that commands n-000001, beside another that owns the partition of
+// foreignJob is a controller that commands n-000001, beside another that leads the partition of
 // j-000001, which is accepted and nowhere yet.
 func foreignJob(t *testing.T) (*Controller, *fakeStore, func(extra ...Message) []Effect) {
 	t.Helper()
@@ -43,7 +43,7 @@
 	for range 200 {
 		step()
 	}
-	if m := c.replica.machines["n-000001"]; m == nil || m.agent == nil || !c.quiesced(m) {
+	if m := c.replica.machines["n-000001"]; m == nil || m.agent == nil || !c.facts.quiesced(m) {
 		t.Fatal("the machine is not commanded")
 	}
 	return c, o, step
@@ -59,24 +59,24 @@
 	return schema.MachineShard{Machines: []schema.Machine{m}}
 }
 
-// launches counts the starts that are ordered by effects.
-func launches(effects []Effect) int {
+// countStarts counts the starts that effects command.
+func countStarts(effects []Effect) int {
 	n := 0
 	for _, e := range effects {
-		var orders []agent.Command
+		var commands []agent.Command
 		switch e := e.(type) {
 		case AgentCall:
 			if e.Commands != nil {
-				orders = e.Commands.Commands
+				commands = e.Commands.Commands
 			}
 		case Reply:
 			if a, ok := e.Body.(agent.HeartbeatResponse); ok {
-				orders = a.Commands
+				commands = a.Commands
 			}
 		case StoreCall, CloudCall, BroadcastHeartbeat: // start nothing
 		}
-		for _, order := range orders {
-			if order.Action == agent.Start {
+		for _, command := range commands {
+			if command.Action == agent.Start {
 				n++
 			}
 		}
@@ -97,9 +97,8 @@
 	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.rev, Events: events}}
 }
 
-// TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered
-// on its machine and that its job is cancelled. The command went out when the first of the two
-// had been read.
+// TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered on its
+// machine and that its job is cancelled. No command may leave when only the first of the two is read.
 func TestNoStartOfWhatTheSameAnswerCancels(t *testing.T) {
 	for name, cancelled := range map[string]bool{"accepted": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
@@ -111,12 +110,12 @@
 					kv.Event{Set: schema.CancellationPrefix + entry.Job, Value: encode(map[string]string{"w": "x"}), ModRevision: o.rev + 2},
 					kv.Event{Set: schema.OutcomePrefix + entry.Job, Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: o.rev + 2})
 			}
-			got := launches(step(o.news(events...)))
+			got := countStarts(step(o.news(events...)))
 			for range 40 {
-				got += launches(step())
+				got += countStarts(step())
 			}
 			if cancelled && got > 0 || !cancelled && got == 0 {
-				t.Errorf("%d starts are ordered", got)
+				t.Errorf("%d starts are commanded", got)
 			}
 		})
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,13 +36,15 @@
 
 	jobShardSplits jobShardSplits
 
-	peers      peerTable
-	agents     agentGateway
-	fleet      fleetMonitor
+	peers      *peerTable
+	facts      *factSource
+	agents     *agentGateway
+	quarantine *quarantineMonitor
+	fleet      *fleetMonitor
 	estimates  estimates
 	scheduling scheduling
 	cloud      cloudView
-	audit      audit
+	audit      *audit
 
 	duties []duty
 }
@@ -53,16 +55,16 @@
 	env := &environment{cfg: cfg, policy: pol, log: log.With("node", cfg.Member)}
 	c := &Controller{
 		environment: env,
-		peers:       newPeerTable(),
-		agents:      newAgentGateway(),
-		fleet:       newFleetMonitor(),
+		peers:       newPeerTable(env),
 		estimates:   newEstimates(),
 		scheduling:  newScheduling(),
 		cloud:       newCloudView(),
-		audit:       newAudit(),
 	}
 	c.wireReplication()
-	c.wireLeadership(incarnation)
+	c.wireAuthority(incarnation)
+	c.wireAgents()
+	c.wireLeadership()
+	c.wireFleet()
 	c.wireRequests()
 	c.duties = c.periodicDuties()
 	return c
@@ -79,33 +81,70 @@
 	c.replicator = &replicator{environment: env, store: c.store, replica: c.replica, freshness: c.freshness}
 }
 
-// wireLeadership connects what decides whether this process may act and write.
-func (c *Controller) wireLeadership(incarnation string) {
+// wireAuthority connects what decides whether this process may act and write.
+func (c *Controller) wireAuthority(incarnation string) {
 	env := c.environment
 	c.membership = newMembership(env, c.store, c.replica, c.partitions, incarnation)
 	c.authority = &authority{environment: env, replica: c.replica, membership: c.membership, freshness: c.freshness, partitions: c.partitions}
 	c.budget = &writeBudget{
-		environment: env, store: c.store, replica: c.replica, partitions: c.partitions, heartbeats: c,
+		environment: env, store: c.store, replica: c.replica, partitions: c.partitions, heartbeats: c.peers,
 		changesByKind: map[string]int{},
 	}
 	c.commits = &committer{
 		environment: env, store: c.store, replica: c.replica, budget: c.budget, membership: c.membership,
 		keysInFlight: map[string]bool{},
 	}
+}
+
+// wireAgents connects what deals with worker agents.
+func (c *Controller) wireAgents() {
+	env := c.environment
+	c.facts = &factSource{env: env, replica: c.replica, authority: c.authority}
+	c.audit = newAudit(env, c.replica, c.freshness, c.partitions, c.facts)
+	c.quarantine = &quarantineMonitor{env: env, replica: c.replica}
+	c.agents = &agentGateway{
+		env: env, store: c.store, replica: c.replica, partitions: c.partitions, authority: c.authority,
+		commands:      &commandPlanner{replica: c.replica, facts: c.facts, capacity: c},
+		reconciler:    &reconciler{env: env, replica: c.replica, quarantine: c.quarantine},
+		audit:         c.audit,
+		calls:         map[uint64]pendingAgentCall{},
+		heardAt:       map[string]units.Micros{},
+		registrations: map[string]*registration{},
+	}
+}
+
+// wireLeadership connects what acquires partitions and raises the store's format.
+func (c *Controller) wireLeadership() {
+	env := c.environment
 	c.leaderships = &leadershipManager{
 		environment: env, store: c.store, replica: c.replica, membership: c.membership, freshness: c.freshness, authority: c.authority,
-		partitions: c.partitions, budget: c.budget, commits: c.commits, machines: c,
+		partitions: c.partitions, budget: c.budget, commits: c.commits, machines: c.agents,
 		orphanedSince: map[int]units.Micros{},
 	}
 	c.gate = &formatGate{environment: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
 }
 
+// wireFleet connects what looks after machines that cannot be reached.
+func (c *Controller) wireFleet() {
+	env := c.environment
+	c.fleet = &fleetMonitor{
+		env: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
+		quarantine: c.quarantine, returns: c,
+		unheard: &unheardPartitions{
+			env: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
+			leaderships: c.leaderships, peers: c.peers,
+		},
+		suspectZones:   map[string]zoneSuspicion{},
+		zoneLogPeriods: map[string]*period{},
+	}
+}
+
 // wireRequests connects what answers users.
 func (c *Controller) wireRequests() {
 	env := c.environment
 	c.dependencies = &dependencyGraph{environment: env, replica: c.replica}
 	c.outcomeReads = newOutcomeReads(env, c.store, c.replica, c.dependencies)
-	c.users = newUserRequests(env, c)
+	c.users = newUserRequests(env, c.audit)
 	statuses := &statusReader{environment: env, replica: c.replica, freshness: c.freshness, outcomes: c.outcomeReads}
 	c.accepts = &acceptQueue{
 		environment: env, store: c.store, replica: c.replica, users: c.users, statuses: statuses,
@@ -117,9 +156,9 @@
 		cancellations: &cancellations{environment: env, replica: c.replica, users: c.users, statuses: statuses, commits: c.commits},
 	}
 	c.readiness = &readiness{
-		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud, membership: c.membership, peers: &c.peers,
+		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud, membership: c.membership, peers: c.peers,
 	}
-	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c}
+	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c.peers}
 }
 
 // Step takes what happened since the last step and returns what to do.
@@ -137,8 +176,8 @@
 	c.runTimers()
 	// Agents are answered and told only now: what starts a task must not leave beside the news, in
 	// the same step, that cancels its job.
-	c.answerHeartbeats()
-	c.pushCommands()
+	c.agents.answerHeartbeats()
+	c.agents.pushCommands()
 	c.runDuties()
 	return c.effects
 }
@@ -150,13 +189,13 @@
 	case ReadyRequest:
 		c.readiness.handle(m)
 	case HeartbeatRequest:
-		c.agents.heartbeats = append(c.agents.heartbeats, m) // answered when all else has been read
+		c.agents.receive(m)
 	case StoreResult:
 		c.handleStoreResult(m)
 	case CloudResult:
 		c.handleCloudResult(m)
 	case AgentResult:
-		c.handleAgentResult(m)
+		c.agents.handleResult(m)
 	case PeerHeartbeat:
 		c.handlePeerHeartbeat(m)
 	}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -25,12 +25,12 @@
 	gaps := map[int][]*freeMachine{} // with something free
 	for _, m := range c.replica.sortedMachines() {
 		t := c.machineType(m.doc.Type)
-		if t == nil || m.part() < 0 || m.agent != nil && (m.agent.hasNotice || m.agent.quarantined || m.agent.draining || m.agent.decommissionReason != "") {
+		if t == nil || m.part() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
 			continue
 		}
 		g := &freeMachine{m, resources{t.CPUs, t.GPUs, t.MemGB}}
 		for _, task := range m.doc.Tasks {
-			if j := c.unstoredJobOf(task); j != nil {
+			if j := c.replica.unstoredJobOf(task); j != nil {
 				g.reserve(&j.spec, 1)
 			}
 		}
@@ -129,7 +129,7 @@
 func (c *Controller) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	g := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
-		if j := c.unfinishedJobOf(task); j != nil {
+		if j := c.replica.unfinishedJobOf(task); j != nil {
 			g.reserve(&j.spec, 1)
 		}
 	}
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -44,11 +44,11 @@
 		{name: "accepts", run: c.accepts.storePending},
 		{name: "request expiry", every: expiryPeriod, run: c.users.expire},
 		{name: "leadership", every: leadershipPeriod, run: c.superviseLeadership},
-		{name: "agent registrations", run: c.finishRegistrations},
+		{name: "agent registrations", run: c.agents.finishRegistrations},
 		{name: "outcome reads", run: c.outcomeReads.readMissing},
 		{name: "job shard splits", run: c.splitJobShards},
 		{name: "heartbeat", every: heartbeatPeriod, run: c.sendHeartbeat},
-		{name: "decision log", every: decisionLogPeriod, run: c.logDecisions},
+		{name: "decision log", every: decisionLogPeriod, run: c.audit.logDecisions},
 		{name: "summary", every: summaryPeriod, run: c.logSummary},
 		{name: "autoscaler", run: c.runAutoscalerWhenSynced},
 		{name: "plans", run: c.planWhenNeeded},
@@ -70,7 +70,7 @@
 	c.replicator.checkLag()
 	c.leaderships.balance()
 	c.gate.raise()
-	c.checkFleet()
+	c.fleet.check()
 }
 
 func (c *Controller) runAutoscalerWhenSynced() {
--- a/internal/controller/facts.go
+++ b/internal/controller/facts.go
@@ -6,43 +6,65 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// This file gathers the facts that package guard decides on. It decides nothing itself.
+// factSource gathers the facts that package guard decides on: what the replica shows, what agents have
+// said, and what this controller may do. It decides nothing itself and keeps nothing.
+type factSource struct {
+	env       *environment
+	replica   *replica
+	authority *authority
+}
 
-// taskFactsOf gathers what is known of a task that is entered on a machine.
-func (c *Controller) taskFactsOf(t schema.Task) guard.TaskFacts {
-	j := c.replica.jobs[t.Job]
-	if j == nil || !j.accepted {
+// ofTask gathers what is known of a task that is entered on a machine.
+func (f *factSource) ofTask(task schema.Task) guard.TaskFacts {
+	j := f.replica.acceptedJob(task.Job)
+	if j == nil {
 		return guard.TaskFacts{}
 	}
 	return guard.TaskFacts{
 		Accepted:         true,
 		Cancelled:        j.cancelled(),
 		DependenciesDone: j.dependency.Ready(),
-		Completed:        j.isDone(t.Index),
-		CompletionStored: j.done.Contains(t.Index),
-		StopRequested:    t.StopMode > 0,
+		Completed:        j.isDone(task.Index),
+		CompletionStored: j.done.Contains(task.Index),
+		StopRequested:    task.StopMode > 0,
 	}
 }
 
 // permissionsOver is what this controller may do with a machine now.
-func (c *Controller) permissionsOver(m *machine) guard.Permissions {
-	return guard.Permissions{MayCommand: m.agent != nil && c.leads(m.part()), MayStart: c.mayStartTasks()}
+func (f *factSource) permissionsOver(m *machine) guard.Permissions {
+	return guard.Permissions{
+		MayCommand: m.agent != nil && f.authority.leads(m.part()),
+		MayStart:   f.authority.mayStartTasks(),
+	}
 }
 
-// machineFactsOf gathers what is known of a task's presence on a machine that this controller
-// commands.
-func (c *Controller) machineFactsOf(m *machine, t schema.Task) guard.MachineFacts {
-	status, listed := m.agent.tasks[keyOf(t)]
+// ofPresence gathers what is known of a task's presence on a machine that this controller commands.
+func (f *factSource) ofPresence(m *machine, task schema.Task) guard.MachineFacts {
+	status, listed := m.agent.tasks[keyOf(task)]
 	return guard.MachineFacts{
 		Reported:       listed && m.agent.heardAt > 0,
 		Ended:          status.State == agent.Ended,
-		TokenSeen:      m.agent.tokenSeen == c.fencingToken(m),
-		LeaseExpired:   c.now > m.agent.leaseEnd,
-		Quiesced:       c.quiesced(m),
+		TokenSeen:      m.agent.tokenSeen == f.replica.fencingToken(m),
+		LeaseExpired:   f.env.now > m.agent.leaseEnd,
+		Quiesced:       f.quiesced(m),
 		MachineDeleted: m.deleted,
 	}
 }
 
+// quiesced reports whether no command can still start a task on a machine.
+func (f *factSource) quiesced(m *machine) bool { return f.replica.quiesced(m, f.env.now) }
+
+// shouldRun reports whether a task that is entered on a machine should run there.
+func (f *factSource) shouldRun(task schema.Task) bool {
+	return f.ofTask(task).MustStop() == guard.KeepRunning
+}
+
+// mayRelease reports whether a task that is entered on a machine is certainly not, or no longer, active
+// there, so that its entry may go.
+func (f *factSource) mayRelease(m *machine, task schema.Task) bool {
+	return f.ofTask(task).MayRelease(f.ofPresence(m, task)) != guard.KeepEntry
+}
+
 // facts gathers what is known of a job of a led partition; outcome is its stored one, if there is one.
 func (j *job) facts(outcome schema.Outcome) guard.JobFacts {
 	return guard.JobFacts{
@@ -55,22 +77,11 @@
 }
 
 // facts gathers what an answer says and what is stored of its job's outcome.
-func (st *JobStatus) facts(outcome schema.Outcome, stored bool) guard.AnswerFacts {
+func (s *JobStatus) facts(outcome schema.Outcome, stored bool) guard.AnswerFacts {
 	return guard.AnswerFacts{
-		Final:         st.Stage == StageDone || st.Stage == StageCancelled,
-		Cancelled:     st.Stage == StageCancelled,
+		Final:         s.terminal(),
+		Cancelled:     s.Stage == StageCancelled,
 		OutcomeStored: stored,
-		Agrees:        st.Stage == outcome.State,
+		Agrees:        s.Stage == outcome.State,
 	}
 }
-
-// shouldRun reports whether a task that is entered on a machine should run there.
-func (c *Controller) shouldRun(t schema.Task) bool {
-	return c.taskFactsOf(t).MustStop() == guard.KeepRunning
-}
-
-// mayReleaseEntry reports whether a task that is entered on a machine is certainly not, or no longer,
-// active there, so that its entry may go.
-func (c *Controller) mayReleaseEntry(m *machine, t schema.Task) bool {
-	return c.taskFactsOf(t).MayRelease(c.machineFactsOf(m, t)) != guard.KeepEntry
-}
--- /dev/null
+++ b/internal/controller/fencing_test.go
@@ -0,0 +1,91 @@
+package controller
+
+import (
+	"testing"
+
+	"frostdock.example/frostdock/internal/units"
+)
+
+// TestDirectCommand goes through the stages of a direct command. One without an answer is unclear until
+// a heartbeat shows that it can be carried out no more.
+func TestDirectCommand(t *testing.T) {
+	const token, epoch = 7, 3
+	for name, tc := range map[string]struct {
+		happens func(*directCommand)
+		want    directCommandStage
+	}{
+		"sent":                     {func(*directCommand) {}, commandInFlight},
+		"answered":                 {(*directCommand).answered, commandSettled},
+		"unanswered":               {(*directCommand).unanswered, commandUnclear},
+		"higher token":             {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token+1, epoch) }, commandSettled},
+		"later epoch":              {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch+1) }, commandSettled},
+		"same token and epoch":     {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch) }, commandUnclear},
+		"later epoch while waited": {func(d *directCommand) { d.heartbeatCame(token, epoch+1) }, commandInFlight},
+	} {
+		var command directCommand
+		if !command.settled() {
+			t.Fatal("a command is open before one was sent")
+		}
+		command.send(token, epoch)
+		tc.happens(&command)
+		if command.stage != tc.want {
+			t.Errorf("%s: stage %d, want %d", name, command.stage, tc.want)
+		}
+	}
+}
+
+// TestQuiesced looks at each thing that lets a command still arrive.
+func TestQuiesced(t *testing.T) {
+	for name, tc := range map[string]struct {
+		happens func(c *Controller, state *agentState)
+		want    bool
+	}{
+		"nothing":             {func(*Controller, *agentState) {}, true},
+		"never heard":         {func(_ *Controller, state *agentState) { state.heardAt = 0 }, false},
+		"token not seen":      {func(_ *Controller, state *agentState) { state.tokenSeen-- }, false},
+		"command in flight":   {func(_ *Controller, state *agentState) { state.command.send(1, 1) }, false},
+		"command unclear":     {func(_ *Controller, state *agentState) { state.command.send(1, 1); state.command.unanswered() }, false},
+		"start just given":    {func(c *Controller, state *agentState) { state.responses.startAt = c.now }, false},
+		"start has expired":   {func(c *Controller, state *agentState) { state.responses.startAt = c.now - responseLifetime - 1 }, true},
+		"start about to":      {func(c *Controller, state *agentState) { state.responses.startAt = c.now - responseLifetime }, false},
+		"agent was restarted": {func(_ *Controller, state *agentState) { state.forgetEpoch() }, false},
+	} {
+		c, _, _ := foreignJob(t)
+		m := c.replica.machines["n-000001"]
+		tc.happens(c, m.agent)
+		if got := c.facts.quiesced(m); got != tc.want {
+			t.Errorf("%s: %v, want %v", name, got, tc.want)
+		}
+	}
+}
+
+// TestLostResponses has heartbeats come to a machine's commander, one a period, and counts those that
+// show that the responses before them were lost.
+func TestLostResponses(t *testing.T) {
+	const (
+		lease  = 31 * units.Second
+		period = 6 * units.Second
+		token  = 9
+	)
+	for name, tc := range map[string]struct {
+		shown    uint64 // fencing token that each heartbeat shows
+		newEpoch bool   // the last heartbeat is of a new epoch
+		beats    int
+		want     int
+	}{
+		"the token is seen":            {shown: token, beats: 4, want: 0},
+		"the token is never seen":      {shown: token - 1, beats: 4, want: 3},
+		"the lease expires all along":  {shown: token, newEpoch: true, beats: 10, want: maxLostResponses},
+		"a new epoch soon after a gap": {shown: token, newEpoch: true, beats: 3, want: 0},
+	} {
+		var responses responseState
+		now := 100 * units.Second
+		for beat := 1; beat <= tc.beats; beat++ {
+			now += period
+			responses.heartbeatCame(now, lease, tc.newEpoch && beat == tc.beats, tc.shown, token)
+		}
+		if responses.lost != tc.want {
+			t.Errorf("%s: %d lost, want %d", name, responses.lost, tc.want)
+		}
+	}
+}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -246,7 +246,7 @@
 			}
 			m := c.replica.sortedMachines()[7]
 			o.seq++
-			c.handle(HeartbeatRequest{Heartbeat: agent.Heartbeat{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq, FencingToken: c.fencingToken(m)}})
+			c.handle(HeartbeatRequest{Heartbeat: agent.Heartbeat{Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq, FencingToken: c.replica.fencingToken(m)}})
 			if after := kept(); after < before-1 {
 				t.Errorf("one report dropped the views of %d machines", before-after)
 			}
--- /dev/null
+++ b/internal/controller/heartbeat.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"net/http"
+	"slices"
+
+	"frostdock.example/frostdock/internal/agent"
+)
+
+// answerHeartbeats answers the worker heartbeats of a step. They wait until it has read all else that
+// it was given: a response that starts a task must not leave beside the news that cancels its job.
+func (g *agentGateway) answerHeartbeats() {
+	requests := g.heartbeats
+	g.heartbeats = nil
+	for _, request := range requests {
+		g.answerHeartbeat(request)
+	}
+}
+
+// answerHeartbeat answers a worker heartbeat: it finds the machine, checks that this controller
+// commands it, takes what the heartbeat tells and responds with commands.
+func (g *agentGateway) answerHeartbeat(request HeartbeatRequest) {
+	heartbeat := &request.Heartbeat
+	if !g.replica.synced || heartbeat.Machine == "" {
+		g.refuse(request)
+		return
+	}
+	m := g.replica.machines[heartbeat.Machine]
+	if m == nil {
+		g.register(request)
+		return
+	}
+	if !g.checkCommander(m, request) {
+		return
+	}
+	g.takeHeartbeat(m, heartbeat)
+	g.respond(m, request)
+}
+
+// refuse answers that the agent may try again, here or elsewhere.
+func (g *agentGateway) refuse(request HeartbeatRequest) {
+	g.env.reply(request.RequestID, http.StatusServiceUnavailable, nil)
+}
+
+// redirect answers that another controller commands the machine; leader is empty if it is not known.
+func (g *agentGateway) redirect(request HeartbeatRequest, leader string) {
+	g.env.reply(request.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: leader})
+}
+
+// checkCommander reports whether this controller commands the machine. If not, it answers.
+func (g *agentGateway) checkCommander(m *machine, request HeartbeatRequest) bool {
+	partition := m.shard.partition
+	switch {
+	case m.doc.Decommissioned: // nobody commands it any more
+		g.redirect(request, "")
+	case !g.isLeader(partition):
+		g.noteHeard(m.name)
+		g.redirect(request, g.leaderOf(partition))
+	case request.Heartbeat.FencingToken > g.replica.fencingToken(m) || m.agent == nil:
+		// A later leader commands it. The agent would drop a response from here, yet go on sending
+		// its heartbeats here while its lease runs out.
+		g.redirect(request, "")
+	case !g.authority.leads(partition):
+		g.refuse(request)
+	default:
+		return true
+	}
+	return false
+}
+
+// takeHeartbeat takes what a heartbeat tells. That it is answered renews the agent's lease, also when it
+// is a late copy.
+func (g *agentGateway) takeHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
+	state, lease := m.agent, g.env.cfg.Settings.Lease()
+	if heartbeat.Newer(state.epoch, state.sequence) { // a late copy is no sign of life
+		g.noteHeard(m.name)
+		newEpoch := state.epoch > 0 && heartbeat.Epoch > state.epoch
+		state.responses.heartbeatCame(g.env.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
+	}
+	g.reconciler.reconcile(m, heartbeat)
+	state.extendLease(g.env.now, lease)
+}
+
+// respond answers a heartbeat with the commands for its machine.
+func (g *agentGateway) respond(m *machine, request HeartbeatRequest) {
+	commands, ok := g.audit.checkCommands(m, g.commands.commandsFor(m))
+	if !ok {
+		g.refuse(request)
+		return
+	}
+	if slices.ContainsFunc(commands, func(command agent.Command) bool { return command.Action == agent.Start }) {
+		m.agent.responses.startAt = g.env.now
+	}
+	g.env.reply(request.RequestID, http.StatusOK, agent.HeartbeatResponse{FencingToken: g.replica.fencingToken(m), Commands: commands})
+}
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -33,8 +33,8 @@
 	if own && c.now <= rt.leaseEnd {
 		v.validUntil = min(v.validUntil, rt.leaseEnd+1)
 	}
-	if own && c.now <= rt.startExpiredAt() {
-		v.validUntil = min(v.validUntil, rt.startExpiredAt()+1)
+	if own && c.now <= rt.responses.startExpiresAt() {
+		v.validUntil = min(v.validUntil, rt.responses.startExpiresAt()+1)
 	}
 	for _, task := range m.doc.Tasks {
 		j := c.replica.jobs[task.Job]
@@ -42,7 +42,7 @@
 		active := !over && task.DoneTenths == 0 && !j.isDone(task.Index) // its commander has seen its end: the room is free
 		if own {
 			k := keyOf(task)
-			rel := c.mayReleaseEntry(m, task)
+			rel := c.facts.mayRelease(m, task)
 			piece, there := rt.tasks[k]
 			running := there && piece.State != agent.Ended && c.now <= rt.leaseEnd
 			if rel && !running {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -8,54 +8,106 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// peerTable keeps the latest heartbeat of each other controller.
+// peerTable keeps the latest heartbeat of each other controller. What a heartbeat says is evidence that
+// something was so a moment ago, never permission to act: that comes from the key-value store alone.
 type peerTable struct {
+	env    *environment
 	latest map[string]peerState // by member
 }
 
+// peerState is the latest heartbeat of another controller.
 type peerState struct {
 	receivedAt units.Micros
 	heartbeat  peer.Heartbeat
 }
 
-func newPeerTable() peerTable { return peerTable{latest: map[string]peerState{}} }
+func newPeerTable(env *environment) *peerTable {
+	return &peerTable{env: env, latest: map[string]peerState{}}
+}
+
+// Times for which a heartbeat tells of the present.
+const (
+	peerHeartbeatLife = 3 * units.Second
+	peerWitnessLife   = 4 * units.Second // as a witness that a machine is heard
+)
 
-func (c *Controller) handlePeerHeartbeat(m PeerHeartbeat) {
-	c.peers.latest[m.Heartbeat.Member] = peerState{receivedAt: c.now, heartbeat: m.Heartbeat}
-	c.completions.apply(m.Heartbeat.Ended)
+// receive keeps a heartbeat.
+func (t *peerTable) receive(heartbeat peer.Heartbeat) {
+	t.latest[heartbeat.Member] = peerState{receivedAt: t.env.now, heartbeat: heartbeat}
 }
 
-// sendHeartbeat tells the others which machines this node hears, as evidence that a
-// machine lives, and whether it reaches the state service.
-func (c *Controller) sendHeartbeat() {
-	b := peer.Heartbeat{Member: c.cfg.Member, Inc: c.membership.incarnation, StateOK: c.store.healthy(), Heard: map[string]int64{}, Open: map[string][]string{}}
-	for name, m := range c.replica.machines {
-		if m.agent != nil && c.leads(m.part()) && c.acceptsTasks(m) {
-			b.Open[name] = slices.Sorted(maps.Keys(m.agent.images))
+// heartbeatOf is the latest heartbeat of one process, if it is recent.
+func (t *peerTable) heartbeatOf(member, incarnation string) (peer.Heartbeat, bool) {
+	return t.heartbeatWithin(member, incarnation, peerHeartbeatLife)
+}
+
+// heartbeatWithin is the latest heartbeat of one process, if it is not older than that.
+func (t *peerTable) heartbeatWithin(member, incarnation string, maxAge units.Micros) (peer.Heartbeat, bool) {
+	state, ok := t.latest[member]
+	if !ok || state.heartbeat.Inc != incarnation || t.env.now-state.receivedAt > maxAge {
+		return peer.Heartbeat{}, false
+	}
+	return state.heartbeat, true
+}
+
+// hears reports whether a process hears a machine; known is false if it cannot be asked.
+func (t *peerTable) hears(member, incarnation, machine string) (heard, known bool) {
+	heartbeat, known := t.heartbeatWithin(member, incarnation, peerWitnessLife)
+	if !known {
+		return false, false
+	}
+	ago, listed := heartbeat.Heard[machine]
+	return listed && units.Micros(ago) < 2*t.env.cfg.Settings.HeartbeatPeriod(), true
+}
+
+// anyHeardWithin reports whether any other controller heard a machine less than so long ago.
+func (t *peerTable) anyHeardWithin(machine string, length units.Micros) bool {
+	for _, state := range t.latest {
+		if ago, ok := state.heartbeat.Heard[machine]; ok && t.env.now-state.receivedAt+units.Micros(ago) < length {
+			return true
 		}
 	}
-	for m, at := range c.agents.heardAt {
-		if c.now-at > 2*c.cfg.Settings.Lease() {
-			delete(c.agents.heardAt, m)
-			continue
+	return false
+}
+
+// anyReachesStore reports whether another controller says that it reaches the key-value store.
+func (t *peerTable) anyReachesStore() bool {
+	for _, state := range t.latest {
+		if t.env.now-state.receivedAt < peerHeartbeatLife && state.heartbeat.StateOK {
+			return true
 		}
-		b.Heard[m] = int64(c.now - at)
+	}
+	return false
+}
+
+// handlePeerHeartbeat takes another controller's heartbeat.
+func (c *Controller) handlePeerHeartbeat(message PeerHeartbeat) {
+	c.peers.receive(message.Heartbeat)
+	c.completions.apply(message.Heartbeat.Ended)
+}
+
+// sendHeartbeat tells the other controllers which machines are heard here, as evidence that they live,
+// which of them take tasks, whether this controller reaches the key-value store, which tasks have
+// completed on its machines and how many changes it makes.
+func (c *Controller) sendHeartbeat() {
+	heartbeat := peer.Heartbeat{
+		Member: c.cfg.Member, Inc: c.membership.incarnation, StateOK: c.store.healthy(),
+		Heard: c.agents.heardAgo(), Open: c.openMachines(),
 	}
 	writeRate := c.budget.updateAverageRate()
 	if c.chainsEnabled() {
-		b.Ended, b.Writes = c.completions.forPeers(), writeRate
+		heartbeat.Ended, heartbeat.Writes = c.completions.forPeers(), writeRate
 	}
-	c.emit(BroadcastHeartbeat{b})
+	c.emit(BroadcastHeartbeat{heartbeat})
 }
 
-// heartbeatLife is how long a heartbeat tells of the present.
-const heartbeatLife = 3 * units.Second
-
-// heartbeatOf is the latest heartbeat of one process, if it is recent.
-func (c *Controller) heartbeatOf(member, incarnation string) (peer.Heartbeat, bool) {
-	p, ok := c.peers.latest[member]
-	if !ok || p.heartbeat.Inc != incarnation || c.now-p.receivedAt > heartbeatLife {
-		return peer.Heartbeat{}, false
+// openMachines lists the machines of led partitions that take tasks, with the images that are there.
+func (c *Controller) openMachines() map[string][]string {
+	open := map[string][]string{}
+	for name, m := range c.replica.machines {
+		if m.agent != nil && c.leads(m.part()) && c.acceptsTasks(m) {
+			open[name] = slices.Sorted(maps.Keys(m.agent.images))
+		}
 	}
-	return p.heartbeat, true
+	return open
 }
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,60 +7,119 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// jobAtFault reports whether the job itself seems to be at fault: it failed on several
-// machines, or on all that there are, and completed on none.
-func (c *Controller) jobAtFault(j *job) bool {
-	if len(j.failedOn) < 2 || j.succeeded || j.doneCount() > 0 {
-		return false
+// quarantineMonitor withholds work from machines that fail tasks of several jobs, and owns the
+// quarantine of each. Jobs that fail everywhere do not count: otherwise a few jobs submitted with a
+// mistake take all machines out of use.
+type quarantineMonitor struct {
+	env     *environment
+	replica *replica
+}
+
+// quarantineState is whether a machine is kept from work.
+type quarantineState struct {
+	active     bool
+	changedAt  units.Micros    // when that last changed
+	failedJobs map[string]bool // jobs with a task that failed here
+}
+
+// quarantinePeriod is how long a machine that fails tasks gets no work. Then it is tried once more:
+// what ailed it may be over, and jobs must not wait beside it for good.
+const quarantinePeriod = 30 * units.Second
+
+// Bounds of who is at fault.
+const (
+	// A job fails everywhere if it has failed on so many machines, or on all that there are, but on two
+	// at least.
+	maxMachinesAtFault   = 3
+	minFailuresElsewhere = 2
+	// A machine fails if tasks of so many jobs have failed on it.
+	minJobsFailed = 2
+)
+
+// succeeded notes that a task of a job has completed. If the job seemed to be at fault, it was its
+// machines.
+func (q *quarantineMonitor) succeeded(j *job) {
+	j.failures = 0
+	wasAtFault := q.jobAtFault(j)
+	j.succeeded = true
+	if wasAtFault {
+		q.judgeMachinesOf(j)
 	}
-	mine := 0
-	for _, m := range c.replica.machines {
-		if m.agent != nil && m.agent.heardAt > 0 {
-			if mine++; mine > len(j.failedOn) || mine == 3 {
-				break // no need to count a whole fleet
-			}
-		}
+}
+
+// failed notes that a task of a job has failed on a machine.
+func (q *quarantineMonitor) failed(j *job, m *machine) {
+	j.backOff(q.env.now)
+	m.agent.quarantine.failedJobs[j.id] = true
+	if j.failedOn == nil {
+		j.failedOn = map[string]bool{}
 	}
-	return len(j.failedOn) >= min(3, mine)
+	j.failedOn[m.name] = true
+	q.judgeMachinesOf(j)
 }
 
-// judgeMachinesOf judges the machines on which a job has failed. One that fails tasks of
-// several jobs gets no more work; but jobs that fail everywhere do not count. When
-// they did, a few jobs submitted with a mistake took all machines out of use.
-func (c *Controller) judgeMachinesOf(j *job) {
-	for _, name := range slices.Sorted(maps.Keys(j.failedOn)) {
-		m := c.replica.machines[name]
-		if m == nil || m.agent == nil {
+// jobAtFault reports whether the job itself seems to be at fault: it failed on several machines, or on
+// all that there are, and completed on none.
+func (q *quarantineMonitor) jobAtFault(j *job) bool {
+	if len(j.failedOn) < minFailuresElsewhere || j.succeeded || j.doneCount() > 0 {
+		return false
+	}
+	heard := 0
+	for _, m := range q.replica.machines {
+		if m.agent == nil || m.agent.heardAt == 0 {
 			continue
 		}
-		n := 0
-		for id := range m.agent.failedJobs {
-			if o := c.replica.jobs[id]; o == nil || !c.jobAtFault(o) {
-				n++
-			}
+		heard++
+		if heard > len(j.failedOn) || heard == maxMachinesAtFault {
+			break // no need to count a whole fleet
 		}
-		if suspect := n >= 2; suspect != m.agent.quarantined {
-			m.agent.quarantined, m.agent.quarantinedAt = suspect, c.now
-			c.log.Warn("machine quarantine", "machine", name, "quarantined", suspect)
+	}
+	return len(j.failedOn) >= min(maxMachinesAtFault, heard)
+}
+
+// judgeMachinesOf judges the machines on which a job has failed.
+func (q *quarantineMonitor) judgeMachinesOf(j *job) {
+	for _, name := range slices.Sorted(maps.Keys(j.failedOn)) {
+		if m := q.replica.machines[name]; m != nil && m.agent != nil {
+			q.judgeMachine(m)
 		}
 	}
 }
 
-// quarantinePeriod is how long a machine that fails tasks gets no work. Then it is tried once
-// more: what ailed it may be over, and jobs must not wait beside it for good.
-const quarantinePeriod = 30 * units.Second
+// judgeMachine begins or ends the quarantine of a machine by the jobs that have failed on it.
+func (q *quarantineMonitor) judgeMachine(m *machine) {
+	state := &m.agent.quarantine
+	jobs := 0
+	for id := range state.failedJobs {
+		if j := q.replica.jobs[id]; j == nil || !q.jobAtFault(j) {
+			jobs++
+		}
+	}
+	if failing := jobs >= minJobsFailed; failing != state.active {
+		state.active, state.changedAt = failing, q.env.now
+		q.env.log.Warn("machine quarantine", "machine", m.name, "quarantined", failing)
+	}
+}
 
-// endQuarantine lets a sick machine try again.
-func (c *Controller) endQuarantine(m *machine) {
-	if m.agent.quarantined && c.now-m.agent.quarantinedAt > quarantinePeriod {
-		m.agent.quarantined, m.agent.failedJobs = false, map[string]bool{}
-		c.planNeeded = true
+// expire ends a machine's quarantine after a while.
+func (q *quarantineMonitor) expire(m *machine) {
+	state := &m.agent.quarantine
+	if state.active && q.env.now-state.changedAt > quarantinePeriod {
+		state.active, state.failedJobs = false, map[string]bool{}
+		q.env.planNeeded = true
 	}
 }
 
-// backOff backs off a job one of whose tasks failed.
-func (c *Controller) backOff(j *job) {
+// Bounds of how long a job waits after a failure.
+const (
+	maxBackOff        = 40 * units.Second
+	failuresPerDouble = 2 // the wait doubles with so many failures in a row
+	maxBackOffDoubles = 6
+)
+
+// backOff lets a job wait before its next start, since one of its tasks failed.
+func (j *job) backOff(now units.Micros) {
 	j.failures++
-	j.failedAt = c.now
-	j.retryAt = c.now + min(units.Second<<min(j.failures/2, 6), 40*units.Second)
+	j.failedAt = now
+	j.retryAt = now + min(units.Second<<min(j.failures/failuresPerDouble, maxBackOffDoubles), maxBackOff)
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"maps"
 	"slices"
 	"strings"
 
@@ -9,303 +8,239 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fleetHealth is what a controller sees of the machines that it commands.
+// fleetMonitor looks after the machines that this controller commands: it probes those that are overdue,
+// notices those that cannot be reached, and gives up those that are gone for all that can be known. It
+// owns the suspicion of zones that may be cut off (zones.go).
+//
+// Silence is evidence only where it is not this controller's own: most machines must be heard here, no
+// other living controller may hear the machine, and its zone must not be suspected. The monitor never
+// releases a task's entry: a machine that is given up keeps its entries until the cloud confirms that
+// it is deleted.
+type fleetMonitor struct {
+	env        *environment
+	replica    *replica
+	authority  *authority
+	agents     *agentGateway
+	peers      *peerTable
+	quarantine *quarantineMonitor
+	returns    machineReturns
+	unheard    *unheardPartitions
+
+	suspectZones       map[string]zoneSuspicion // that may be cut off
+	zoneLogPeriods     map[string]*period
+	decommissionings   period
+	silenceSuspectedAt units.Micros // when most machines, or those of a zone, were last silent
+}
+
+// machineReturns gives machines back to the cloud.
+type machineReturns interface {
+	giveUp(reason string, machines ...*machine)
+}
+
+// Times and counts by which machines are judged.
+const (
+	// A heartbeat is overdue after so many tenths of its period, and its machine counts as heard for
+	// so many.
+	overdueTenths = 13
+	hearingTenths = 15
+
+	probePeriod        = units.Second
+	reclaimProbePeriod = units.Second / 2
+	giveUpPeriod       = units.Second
+	minFailedProbes    = 2 // in a row; fewer may be the luck of a bad network
+	maxSilentShare     = 8 // at once one machine of so many is given up as silent, and one more
+)
+
+// fleetHealth is what a controller sees of the machines that it commands, in one look.
 type fleetHealth struct {
 	total     int // machines
-	hearing   int // that report
-	reporting int // that are not mute
+	hearing   int // whose heartbeats come
+	reporting int // that are not unreachable inbound
 	zones     map[string]*zoneHealth
 
-	silent              []*machine // neither report nor answer
-	unreachableOutbound []*machine // report, but nothing reaches them
-	unreachableInbound  []*machine // answer, but their reports reach nobody
+	silent              []*machine // neither heartbeats nor answers come
+	unreachableOutbound []*machine // heartbeats come, but nothing reaches them
+	unreachableInbound  []*machine // answers come, but heartbeats reach nobody
 }
 
-// checkFleet looks after machines that have fallen silent.
-func (c *Controller) checkFleet() {
-	if !c.replica.synced {
+// check looks at all machines and acts on what it sees.
+func (f *fleetMonitor) check() {
+	if !f.replica.synced {
 		return
 	}
-	v := &fleetHealth{zones: map[string]*zoneHealth{}}
-	for _, m := range c.replica.sortedMachines() {
-		if m.agent != nil && c.leads(m.part()) {
-			c.endQuarantine(m)
-			c.checkMachine(v, m)
-		}
-	}
-	c.judgeZones(v.zones)
-	c.giveUpReclaimed()
-	if v.hearing == 0 && v.total > 0 {
-		c.transferUnheardPartitions()
+	health := f.survey()
+	f.judgeZones(health.zones)
+	f.giveUpReclaimed()
+	if health.hearing == 0 && health.total > 0 {
+		f.unheard.transfer()
 	}
-	if len(v.silent) > 0 && v.hearing*2 < v.total {
-		c.cloud.silenceSuspectedAt = c.now
+	mostSilent := health.hearing*2 < health.total
+	if len(health.silent) > 0 && mostSilent {
+		f.silenceSuspectedAt = f.env.now
 	}
-	// This node's own silence is no evidence: most machines must be heard here.
-	if len(v.silent)+len(v.unreachableOutbound)+len(v.unreachableInbound) == 0 || v.hearing*2 < v.total || !c.fleet.decommissionings.due(c.now, units.Second) {
+	unreachable := len(health.silent) + len(health.unreachableOutbound) + len(health.unreachableInbound)
+	if unreachable == 0 || mostSilent || !f.decommissionings.due(f.env.now, giveUpPeriod) {
 		return
 	}
-	c.giveUpUnreachable(v)
+	f.giveUpUnreachable(health)
 }
 
-// checkMachine enters one machine into the view, and asks it when its report is overdue.
-func (c *Controller) checkMachine(v *fleetHealth, m *machine) {
-	report := c.cfg.Settings.HeartbeatPeriod()
-	v.total++
-	if c.unreachableInbound(m) {
-		v.unreachableInbound = append(v.unreachableInbound, m)
-	} else {
-		v.reporting++
-	}
-	z := v.zones[m.doc.Zone]
-	if z == nil {
-		z = &zoneHealth{}
-		v.zones[m.doc.Zone] = z
-	}
-	z.machines = append(z.machines, m)
-	if m.agent.unheardAnswers >= maxUnheardAnswers || m.agent.unheardAnswers > 0 && m.agent.failedProbes >= 2 {
-		v.unreachableOutbound = append(v.unreachableOutbound, m)
-		return
-	}
-	last := max(m.agent.heardAt, m.agent.since-report) // a new owner asks at once, and need not wait as long
-	overdue := c.now-last > report*13/10
-	if c.now-last < report*3/2 {
-		v.hearing++
-		z.hearing++
-		if m.agent.tokenSeen < c.fencingToken(m) && m.agent.heardAt > 0 {
-			c.push(m) // raise its token, so that absence can prove something
-		}
-	}
-	// The report is overdue, or a command was not answered: ask the machine
-	// itself, and again.
-	// In a zone where many fall silent all are asked, and those that do not answer
-	// once more.
-	asked := m.agent.failedProbes > 0 && c.fleet.suspectZones[m.doc.Zone].probedAt > 0
-	if (overdue || m.agent.commandUnclear || asked) && c.now-m.agent.probedAt > units.Second {
-		m.agent.probedAt = c.now
-		c.inspect(m)
-	}
-	if m.agent.failedProbes > 0 {
-		z.failing++
-	}
-	if (overdue || asked) && m.agent.failedProbes >= 2 {
-		v.silent = append(v.silent, m)
-	}
+// silenceSuspectedWithin reports whether many machines were silent at once less than so long ago: the
+// cloud's list may tell why.
+func (f *fleetMonitor) silenceSuspectedWithin(length units.Micros) bool {
+	return f.silenceSuspectedAt > 0 && f.env.now-f.silenceSuspectedAt < length
 }
 
-// giveUpReclaimed returns machines whose announced end has come and that do not answer any
-// more, and asks the others.
-func (c *Controller) giveUpReclaimed() {
-	var taken []*machine
-	for _, m := range c.expiredNotices() {
-		if m.agent.probeFailedAt > m.agent.noticeEnds && m.agent.probeFailedAt > m.agent.heardAt {
-			taken = append(taken, m)
-		} else if c.now-m.agent.probedAt > units.Second/2 {
-			m.agent.probedAt = c.now
-			c.inspect(m)
+// survey looks at all machines that this controller commands.
+func (f *fleetMonitor) survey() *fleetHealth {
+	health := &fleetHealth{zones: map[string]*zoneHealth{}}
+	for _, m := range f.replica.sortedMachines() {
+		if m.agent != nil && f.authority.leads(m.part()) {
+			f.quarantine.expire(m)
+			f.surveyMachine(health, m)
 		}
 	}
-	c.giveUp("reclaimed", taken...)
+	return health
 }
 
-// zoneHeardSince reports whether another machine of the same zone was heard after this one was
-// overdue. Where an owner has but a few machines in a zone that is cut off, the first to be
-// overdue was deleted before the others were asked.
-func (c *Controller) zoneHeardSince(v *fleetHealth, m *machine) bool {
-	z := v.zones[m.doc.Zone]
-	if len(v.zones) <= 1 || len(z.machines) <= 1 {
-		return true
+// surveyMachine enters one machine into the view, and probes it if its heartbeat is overdue.
+func (f *fleetMonitor) surveyMachine(health *fleetHealth, m *machine) {
+	state := m.agent
+	health.total++
+	if f.unreachableInbound(m) {
+		health.unreachableInbound = append(health.unreachableInbound, m)
+	} else {
+		health.reporting++
 	}
-	overdue := m.agent.heardAt + c.cfg.Settings.HeartbeatPeriod()*13/10
-	return slices.ContainsFunc(z.machines, func(o *machine) bool { return o != m && o.agent.heardAt > overdue })
-}
-
-// giveUpUnreachable returns machines that are gone for all that can be known. Every living
-// controller must say that it does not hear the machine.
-func (c *Controller) giveUpUnreachable(v *fleetHealth) {
-	var gone []*machine
-	for _, m := range v.silent {
-		if len(gone) <= v.total/8 && m.agent.failedProbes >= 2 && !c.fleet.suspectZones[m.doc.Zone].suspected && c.zoneHeardSince(v, m) && !c.heardByOthers(m.name, v.zones[m.doc.Zone].reachable()) {
-			gone = append(gone, m)
-		}
+	zone := health.zone(m.doc.Zone)
+	zone.machines = append(zone.machines, m)
+	if f.unreachableOutbound(m) {
+		health.unreachableOutbound = append(health.unreachableOutbound, m)
+		return
 	}
-	c.giveUp("silent", gone...)
-	c.giveUp("unreachable outbound", v.unreachableOutbound...)
-	for _, m := range v.unreachableInbound {
-		if v.reporting*2 >= v.total && c.now-m.agent.heardAt < c.cfg.Settings.HeartbeatPeriod()*3/2 && !c.heardByOthers(m.name, true) {
-			c.giveUp("unreachable inbound", m)
+	heartbeatPeriod := f.env.cfg.Settings.HeartbeatPeriod()
+	// A new leader probes at once, and need not wait as long.
+	silentFor := f.env.now - max(state.heardAt, state.since-heartbeatPeriod)
+	overdue := silentFor > heartbeatPeriod*overdueTenths/10
+	if silentFor < heartbeatPeriod*hearingTenths/10 {
+		health.hearing++
+		zone.hearing++
+		if state.tokenSeen < f.replica.fencingToken(m) && state.heardAt > 0 {
+			f.agents.push(m) // raise its token, so that absence can prove something
 		}
 	}
+	// In a zone where many fall silent all are probed, and those that do not answer once more.
+	probedWithZone := state.probe.failures > 0 && f.suspectZones[m.doc.Zone].probedAt > 0
+	if (overdue || state.command.unclear() || probedWithZone) && f.env.now-state.probe.askedAt > probePeriod {
+		f.probe(m)
+	}
+	if state.probe.failures > 0 {
+		zone.failing++
+	}
+	if (overdue || probedWithZone) && state.probe.failures >= minFailedProbes {
+		health.silent = append(health.silent, m)
+	}
 }
 
-// zoneSuspicion is what is remembered of a zone that may be cut off.
-type zoneSuspicion struct {
-	probedAt  units.Micros // when all machines there were asked
-	suspected bool         // it still may be
+// probe asks a machine for its heartbeat, and notes when.
+func (f *fleetMonitor) probe(m *machine) {
+	m.agent.probe.askedAt = f.env.now
+	f.agents.probe(m)
 }
 
-// zoneHealth is what an owner sees of its machines in one zone.
-type zoneHealth struct {
-	machines []*machine
-	hearing  int // that report
-	failing  int // that did not answer a question
+// unreachableOutbound reports whether a machine's heartbeats come while nothing reaches it.
+func (f *fleetMonitor) unreachableOutbound(m *machine) bool {
+	lost := m.agent.responses.lost
+	return lost >= maxLostResponses || lost > 0 && m.agent.probe.failures >= minFailedProbes
 }
 
-// judgeZones notices zones that may be cut off. When several machines of a zone
-// fall silent at once, all of them there are asked, so that those that have died
-// with them are known before their reports are overdue. If next to none answers, it
-// is the way to the zone that is lost: the machines run on behind the cut, their
-// tasks until their leases end, and all of them are back after it; deleting them
-// once took half of a fleet's machines away for minutes. Of those that are really
-// gone the cloud's list will tell.
-func (c *Controller) judgeZones(zones map[string]*zoneHealth) {
-	several := func(z *zoneHealth) bool { return z != nil && z.failing >= max(3, len(z.machines)/20) }
-	for zone, s := range c.fleet.suspectZones {
-		if !several(zones[zone]) {
-			delete(c.fleet.suspectZones, zone)
-			zones[zone].clearSuspicion(s.suspected)
-		}
-	}
-	// With one zone alone, a silent majority is doubted anyway.
-	others := len(zones) > 1
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		z := zones[zone]
-		s, open := c.fleet.suspectZones[zone]
-		switch {
-		case !several(z):
-		case !open || c.now-s.probedAt > zoneProbePeriod:
-			c.fleet.suspectZones[zone] = zoneSuspicion{probedAt: c.now, suspected: others && (!open || s.suspected)} // until the first answers
-			for _, m := range z.machines {
-				if c.now-m.agent.heardAt > units.Second {
-					m.agent.probedAt = c.now
-					c.inspect(m)
-				}
-			}
-		case c.now-s.probedAt > zoneProbeWait:
-			answered := z.heardSince(s.probedAt - units.Second)
-			was := s.suspected
-			s.suspected = others && answered*4 < len(z.machines)
-			c.fleet.suspectZones[zone] = s
-			if !s.suspected {
-				z.clearSuspicion(was)
-				continue
-			}
-			c.cloud.silenceSuspectedAt = c.now
-			if periodOf(c.fleet.zoneLogPeriods, zone).due(c.now, 10*units.Second) {
-				c.log.Warn("zone suspected partitioned", "zone", zone, "machines", len(z.machines), "answer", answered)
-			}
-		}
-	}
+// unreachableInbound reports whether a machine answers what it is asked while none of its heartbeats
+// has come for longer than a lease. Direct commands renew no lease, so all that it is given ends with
+// its epoch, again and again.
+func (f *fleetMonitor) unreachableInbound(m *machine) bool {
+	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.since)
+	return f.env.now-lastAnswered > f.env.cfg.Settings.Lease()+2*f.env.cfg.Settings.HeartbeatPeriod()
 }
 
-// clearSuspicion is called when a zone is no longer in doubt. What its machines did not answer
-// before says nothing about them, and none was idle: the last to be heard again were
-// once deleted as silent, and those that were to be emptied as idle.
-func (z *zoneHealth) clearSuspicion(doubted bool) {
-	if z == nil || !doubted {
-		return
-	}
-	for _, m := range z.machines {
-		m.agent.failedProbes, m.agent.draining = 0, false
+// giveUpReclaimed gives up machines whose announced end has come and that do not answer any more, and
+// probes the others.
+func (f *fleetMonitor) giveUpReclaimed() {
+	var reclaimed []*machine
+	for _, m := range f.expiredNotices() {
+		probe := &m.agent.probe
+		if probe.failedAt > m.agent.notice.endsAt && probe.failedAt > m.agent.heardAt {
+			reclaimed = append(reclaimed, m)
+		} else if f.env.now-probe.askedAt > reclaimProbePeriod {
+			f.probe(m)
+		}
 	}
+	f.returns.giveUp("reclaimed", reclaimed...)
 }
 
-// heardSince counts the zone's machines that were heard since then.
-func (z *zoneHealth) heardSince(at units.Micros) int {
-	n := 0
-	for _, m := range z.machines {
-		if m.agent.heardAt >= at {
-			n++
+// expiredNotices lists the machines whose announced end has come.
+func (f *fleetMonitor) expiredNotices() []*machine {
+	var expired []*machine
+	for _, m := range f.replica.sortedMachines() {
+		if m.agent != nil && m.agent.notice.expired(f.env.now) && f.authority.leads(m.part()) {
+			expired = append(expired, m)
 		}
 	}
-	return n
+	return expired
 }
 
-// The machines of a zone in doubt have so long to answer, and are asked again
-// after a while.
-const (
-	zoneProbeWait   = 1800 * units.Millisecond
-	zoneProbePeriod = 10 * units.Second
-)
-
-// transferUnheardPartitions gives a partition none of whose machines are heard here to a
-// controller that hears most of them: this node's own network is what fails,
-// and while it kept the partition the machines' leases would run out.
-func (c *Controller) transferUnheardPartitions() {
-	report := c.cfg.Settings.HeartbeatPeriod()
-	for _, p := range c.partitions.ledPartitions() {
-		o := c.partitions.led[p]
-		if o.commitsInFlight > 0 || c.now-o.since < 3*report || !c.budget.hasCredit() || c.store.failing {
-			continue
+// giveUpUnreachable gives up machines that are gone for all that can be known. Every living controller
+// must say that it does not hear the machine.
+func (f *fleetMonitor) giveUpUnreachable(health *fleetHealth) {
+	var gone []*machine
+	for _, m := range health.silent {
+		if len(gone) <= health.total/maxSilentShare && f.goneForCertain(health, m) {
+			gone = append(gone, m)
 		}
-		for _, l := range c.replica.registeredProcesses() {
-			heartbeat, ok := c.heartbeatOf(l.member(), l.incarnation())
-			if !ok || l.member() == c.cfg.Member {
-				continue
-			}
-			mine, there := 0, 0
-			for _, m := range c.replica.machines {
-				if m.part() != p {
-					continue
-				}
-				mine++
-				if ago, ok := heartbeat.Heard[m.name]; ok && units.Micros(ago) < 2*report {
-					there++
-				}
-			}
-			if mine > 0 && there*2 > mine {
-				c.log.Warn("transferring leadership, no machine heard", "partition", p, "to", l.member())
-				c.leaderships.acquire(p, l)
-				return
-			}
+	}
+	f.returns.giveUp("silent", gone...)
+	f.returns.giveUp("unreachable outbound", health.unreachableOutbound...)
+	mostReport := health.reporting*2 >= health.total
+	for _, m := range health.unreachableInbound {
+		answers := f.env.now-m.agent.heardAt < f.env.cfg.Settings.HeartbeatPeriod()*hearingTenths/10
+		if mostReport && answers && !f.heardByOthers(m.name, true) {
+			f.returns.giveUp("unreachable inbound", m)
 		}
 	}
 }
 
-// expiredNotices lists this node's machines whose announced end has come.
-func (c *Controller) expiredNotices() []*machine {
-	var out []*machine
-	for _, m := range c.replica.sortedMachines() {
-		if m.agent != nil && m.agent.hasNotice && c.now > m.agent.noticeEnds && c.leads(m.part()) {
-			out = append(out, m)
-		}
-	}
-	return out
+// goneForCertain reports whether nothing speaks for a silent machine any more.
+func (f *fleetMonitor) goneForCertain(health *fleetHealth, m *machine) bool {
+	return m.agent.probe.failures >= minFailedProbes &&
+		!f.suspectZones[m.doc.Zone].suspected &&
+		f.zoneHeardSince(health, m) &&
+		!f.heardByOthers(m.name, health.zones[m.doc.Zone].reachable())
 }
 
-// reachable reports whether the way to the zone is open: most machines there are heard.
-func (z *zoneHealth) reachable() bool { return len(z.machines) >= 4 && z.hearing*2 >= len(z.machines) }
+// zoneHeardSince reports whether another machine of the same zone was heard after this one was overdue.
+// Where a controller commands but a few machines in a zone that is cut off, the first to be overdue
+// would be deleted before the others were probed.
+func (f *fleetMonitor) zoneHeardSince(health *fleetHealth, m *machine) bool {
+	zone := health.zones[m.doc.Zone]
+	if len(health.zones) <= 1 || len(zone.machines) <= 1 {
+		return true
+	}
+	overdueAt := m.agent.heardAt + f.env.cfg.Settings.HeartbeatPeriod()*overdueTenths/10
+	return slices.ContainsFunc(zone.machines, func(other *machine) bool { return other != m && other.agent.heardAt > overdueAt })
+}
 
-// heardByOthers reports whether a living controller hears the machine. One that cannot
-// be asked might, unless the way to the machine's zone is open: while controllers
-// refuse each other's connections, nothing that died would be replaced.
-func (c *Controller) heardByOthers(name string, reached bool) bool {
-	for key := range c.replica.registeredSince {
+// heardByOthers reports whether another living controller hears the machine. One that cannot be asked
+// might, unless the way to the machine's zone is open: while controllers refuse each other's
+// connections, nothing that died would be replaced.
+func (f *fleetMonitor) heardByOthers(name string, zoneReachable bool) bool {
+	for key := range f.replica.registeredSince {
 		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, schema.RegistrationPrefix), "/")
-		if member == c.cfg.Member {
+		if member == f.env.cfg.Member {
 			continue
 		}
-		p, ok := c.peers.latest[member]
-		if !ok || p.heartbeat.Inc != incarnation || c.now-p.receivedAt > 4*units.Second {
-			if !reached {
-				return true
-			}
-			continue
-		}
-		if ago, ok := p.heartbeat.Heard[name]; ok && units.Micros(ago) < 2*c.cfg.Settings.HeartbeatPeriod() {
+		heard, known := f.peers.hears(member, incarnation, name)
+		if heard || !known && !zoneReachable {
 			return true
 		}
 	}
 	return false
 }
-
-// fleetMonitor remembers what was noticed of machines that cannot be reached.
-type fleetMonitor struct {
-	suspectZones     map[string]zoneSuspicion // that may be partitioned
-	zoneLogPeriods   map[string]*period
-	decommissionings period
-}
-
-func newFleetMonitor() fleetMonitor {
-	return fleetMonitor{suspectZones: map[string]zoneSuspicion{}, zoneLogPeriods: map[string]*period{}}
-}
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -17,12 +17,8 @@
 	peers      *peerTable
 }
 
-const (
-	// readinessGrace is how long the store may have been silent before a failure counts.
-	readinessGrace = 2 * units.Second
-	// peerEvidenceLife is how long a peer's heartbeat shows that the peer reaches the store.
-	peerEvidenceLife = 3 * units.Second
-)
+// readinessGrace is how long the store may have been silent before a failure counts.
+const readinessGrace = 2 * units.Second
 
 // handle answers a health probe.
 func (r *readiness) handle(request ReadyRequest) {
@@ -40,16 +36,5 @@
 		return false
 	}
 	storeLost := !r.store.healthy() && r.now-r.store.answeredAt > readinessGrace
-	return !storeLost || !r.peerReachesStore()
-}
-
-// peerReachesStore reports whether a recent heartbeat of another controller says that it reaches the
-// store.
-func (r *readiness) peerReachesStore() bool {
-	for _, peer := range r.peers.latest {
-		if r.now-peer.receivedAt < peerEvidenceLife && peer.heartbeat.StateOK {
-			return true
-		}
-	}
-	return false
+	return !storeLost || !r.peers.anyReachesStore()
 }
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -31,10 +31,10 @@
 	case leadership == nil || m.doc.Decommissioned:
 		m.agent = nil
 	case m.agent == nil || change.moved || m.agent.leadership != leadership:
-		c.beginCommand(m, leadership)
+		c.agents.beginCommand(m, leadership)
 	case change.entryChanged:
 		m.forgetUnlistedCompletions()
-		c.agents.toPush = append(c.agents.toPush, m)
+		c.agents.noteChanged(m)
 	}
 }
 
@@ -57,7 +57,7 @@
 			continue
 		}
 		if _, ok := j.bindings[task.Index]; !ok {
-			c.backOff(j)
+			j.backOff(c.now)
 		}
 	}
 }
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -125,7 +125,7 @@
 	store := &scriptedStore{t: t, c: c}
 	c.replicator.watch()
 	store.answer(kv.Response{Status: kv.StatusCompacted, Revision: 900})
-	if c.replica.synced || c.mayAct() {
+	if c.replica.synced || c.authority.mayAct() {
 		t.Error("a replica that lacks changes is relied on")
 	}
 	store.answer(kv.Response{Status: kv.StatusUnavailable})
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -18,7 +18,7 @@
 	}
 	var names []string
 	for _, m := range c.replica.sortedMachines() {
-		if (m.doc.Decommissioned || m.agent != nil && m.agent.deleteAtOnce) && !m.deleted && c.leads(m.shard.partition) && len(names) < maxDeletions {
+		if (m.doc.Decommissioned || m.agent != nil && m.agent.decommission.atOnce) && !m.deleted && c.leads(m.shard.partition) && len(names) < maxDeletions {
 			names = append(names, m.name)
 		}
 	}
@@ -94,7 +94,7 @@
 		}
 		wanted := c.hasRoomForAny(m, g, starvingJobs)
 		if waiting || wanted {
-			m.agent.draining = false
+			m.agent.stopDraining()
 		}
 		if m.agent.draining {
 			draining++
@@ -105,7 +105,7 @@
 		}
 		free += t.CPUs - u
 		// One that was out of reach until now is empty for that reason alone.
-		if u/t.CPUs < 0.6 && !wanted && c.now-m.agent.since > 30*units.Second && c.answeredSteadily(m, 30*units.Second) {
+		if u/t.CPUs < 0.6 && !wanted && c.now-m.agent.since > 30*units.Second && m.agent.responses.steady(c.now, c.cfg.Settings.HeartbeatPeriod(), 30*units.Second) {
 			all = append(all, candidate{m, t, u, t.HourlyRate(m.doc.Spot) * (1 - u/t.CPUs)})
 		}
 	}
@@ -119,7 +119,7 @@
 			return
 		}
 		draining++
-		k.m.agent.draining = true
+		k.m.agent.startDraining()
 		c.log.Info("draining machine", "machine", k.m.name, "used_cpus", k.used, "free_elsewhere", free)
 	}
 }
@@ -133,14 +133,14 @@
 		if t == nil || m.agent == nil {
 			continue
 		}
-		used := slices.ContainsFunc(m.doc.Tasks, func(t schema.Task) bool { return c.unstoredJobOf(t) != nil })
+		used := slices.ContainsFunc(m.doc.Tasks, func(t schema.Task) bool { return c.replica.unstoredJobOf(t) != nil })
 		// One that is not heard may be cut off, and is not idle for sure.
 		if used || waiting || c.now-m.agent.heardAt > 2*c.cfg.Settings.HeartbeatPeriod() || len(starvingJobs) > 0 && c.hasRoomForAny(m, c.freeCapacity(m, t), starvingJobs) {
-			m.agent.idleSince = c.now
+			m.agent.noteUsed(c.now)
 			continue
 		}
 		if c.now-m.agent.idleSince >= c.idlePeriod(t) || m.agent.draining {
-			if m.agent.commandsInFlight == 0 && m.agent.decommissionReason == "" {
+			if !m.agent.command.inFlight() && !m.agent.decommission.decided() {
 				idle = append(idle, m)
 			}
 		}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		for _, t := range m.doc.Tasks {
-			if j := c.unstoredJobOf(t); j != nil && j.spec.Spot && !j.spec.Service {
+			if j := c.replica.unstoredJobOf(t); j != nil && j.spec.Spot && !j.spec.Service {
 				sum += j.spec.CPUs
 			}
 		}
@@ -236,7 +236,7 @@
 	for i := range c.cloud.types {
 		t := &c.cloud.types[i]
 		for _, z := range t.Zones {
-			if c.fleet.suspectZones[z].suspected || !c.demandIn(short, t, z, spotJobs) {
+			if c.fleet.suspects(z) || !c.demandIn(short, t, z, spotJobs) {
 				continue
 			}
 			for _, spot := range []bool{false, true} {
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -152,7 +152,7 @@
 			}
 		}
 		j := c.replica.jobs[t.Job]
-		if j == nil || !j.accepted || !c.shouldRun(t) || d.stops[k] > 0 || !from.eligible(j) {
+		if j == nil || !j.accepted || !c.facts.shouldRun(t) || d.stops[k] > 0 || !from.eligible(j) {
 			continue
 		}
 		cost := c.workLost(d.machine, j, k)
@@ -193,11 +193,11 @@
 // back: services leave at once, tasks with checkpoints as late as they can.
 // Others run on, since they may complete in time.
 func (c *Controller) drainReclaimed(b *plan) {
-	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.hasNotice }) {
-		left := d.machine.agent.noticeEnds - c.now
+	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.notice.announced }) {
+		left := d.machine.agent.notice.endsAt - c.now
 		for _, t := range d.kept {
 			j := c.replica.jobs[t.Job]
-			if j == nil || !c.shouldRun(t) || !b.fitsShard(d.shard) {
+			if j == nil || !c.facts.shouldRun(t) || !b.fitsShard(d.shard) {
 				continue
 			}
 			if j.spec.Service || j.spec.CheckpointIntervalSeconds > 0 && left < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime {
@@ -244,12 +244,12 @@
 	}
 	moves := 0
 	moving := map[*job]bool{} // one task a time: two that move together may not fit one zone
-	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.draining && c.quiesced(m) }) {
+	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.draining && c.facts.quiesced(m) }) {
 		for _, t := range d.kept {
 			j := c.replica.jobs[t.Job]
 			k := keyOf(t)
 			run, runs := d.machine.agent.runningSince[k]
-			if j == nil || !j.accepted || !j.spec.Service || moving[j] || j.waiting() > 0 || hasStoppingTask(j) || !c.shouldRun(t) || !runs || c.now-run.at < minServiceRun || !b.fitsShard(d.shard) {
+			if j == nil || !j.accepted || !j.spec.Service || moving[j] || j.waiting() > 0 || hasStoppingTask(j) || !c.facts.shouldRun(t) || !runs || c.now-run.at < minServiceRun || !b.fitsShard(d.shard) {
 				continue
 			}
 			j.removeBinding(t.Index) // it does not stand in its own way
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -2,12 +2,10 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 	"strings"
 
 	"frostdock.example/frostdock/internal/schema"
-	"frostdock.example/frostdock/internal/units"
 )
 
 // stagedShard is a machine shard's document in the making.
@@ -166,8 +164,8 @@
 // acceptsTasks reports whether a machine of this node may be given tasks.
 func (c *Controller) acceptsTasks(m *machine) bool {
 	rt := m.agent
-	return rt.heardAt > 0 && c.now-rt.heardAt < 2*c.cfg.Settings.HeartbeatPeriod()+units.Second && !rt.hasNotice && !rt.quarantined && !rt.draining && rt.decommissionReason == "" && rt.unheardAnswers < maxUnheardAnswers &&
-		rt.tokenSeen == c.fencingToken(m) && !rt.commandUnclear && !c.unreachableInbound(m)
+	return rt.heardAt > 0 && c.now-rt.heardAt < silenceAfter(c.cfg.Settings.HeartbeatPeriod()) && rt.takesNewTasks() && rt.responses.lost < maxLostResponses &&
+		rt.tokenSeen == c.replica.fencingToken(m) && !rt.command.unclear() && !c.fleet.unreachableInbound(m)
 }
 
 // foreignMachineOpen reports whether the owner of another partition's machine says
@@ -177,7 +175,7 @@
 	if p == nil {
 		return nil, false
 	}
-	heartbeat, ok := c.heartbeatOf(p.doc.Member, p.doc.Incarnation)
+	heartbeat, ok := c.peers.heartbeatOf(p.doc.Member, p.doc.Incarnation)
 	if !ok {
 		return nil, false
 	}
@@ -238,11 +236,9 @@
 func (b *plan) enterAgents() {
 	c := b.c
 	wait := map[*machineShard][]string{}
-	for _, name := range slices.Sorted(maps.Keys(c.agents.unregistered)) {
-		if c.agents.unregistered[name].confirmed && c.replica.machines[name] == nil {
-			g := c.replica.machineShardOf(name)
-			wait[g] = append(wait[g], name)
-		}
+	for _, name := range c.agents.confirmedRegistrations() {
+		g := c.replica.machineShardOf(name)
+		wait[g] = append(wait[g], name)
 	}
 	if len(wait) == 0 {
 		return
@@ -259,11 +255,11 @@
 			if !b.fitsShard(gd) || gd.bytesLeft < documentOverheadBytes {
 				break
 			}
-			e := c.agents.unregistered[name]
+			e := c.agents.registrations[name]
 			r := &e.request.Heartbeat
 			doc := schema.Machine{Name: name, Addr: r.Addr, MachineKind: schema.MachineKind{Type: r.Type, Zone: r.Zone, Spot: r.Spot}}
 			// A machine that had an entry before may have seen higher tokens.
-			if seen := e.token >> 31; seen >= gd.shard.handover {
+			if seen := e.token >> termBits; seen >= gd.shard.handover {
 				doc.TokenIncrements = seen - gd.shard.handover + 1
 			}
 			gd.bytesLeft -= schema.MaxStoredSize(len(encode(doc)))
@@ -315,7 +311,7 @@
 			}
 			b.writeShard(gd)
 			for _, t := range d.machine.doc.Tasks {
-				j := b.c.unfinishedJobOf(t)
+				j := b.c.replica.unfinishedJobOf(t)
 				if j == nil || j.partition != b.leadership.partition {
 					continue
 				}
@@ -345,7 +341,7 @@
 			if !gd.ownShard || !b.fitsShard(gd) {
 				continue
 			}
-			if !d.machine.deleted && d.machine.agent != nil && d.machine.agent.decommissionReason != "" && !d.machine.agent.deleteAtOnce && !d.machine.doc.Decommissioned {
+			if !d.machine.deleted && d.machine.agent != nil && d.machine.agent.decommission.decided() && !d.machine.agent.decommission.atOnce && !d.machine.doc.Decommissioned {
 				b.writeShard(gd)
 				d.decommission, d.usable = true, false
 			}
@@ -367,7 +363,7 @@
 			if rt == nil || !b.fitsShard(gd) {
 				continue
 			}
-			if rt.commandUnclear && rt.heardAt > 0 && c.now-rt.heardAt < c.cfg.Settings.HeartbeatPeriod()*2 && rt.unclearToken == c.fencingToken(d.machine) {
+			if rt.command.unclear() && rt.heardAt > 0 && c.now-rt.heardAt < c.cfg.Settings.HeartbeatPeriod()*2 && rt.command.token == c.replica.fencingToken(d.machine) {
 				d.fence = true
 				b.writeShard(gd)
 			}
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -6,24 +6,40 @@
 
 // logSummary tells the state in one line, so that a log can be read from anywhere.
 func (c *Controller) logSummary() {
-	jobs, services, waiting, bound := 0, 0, 0, 0
-	for _, j := range c.replica.jobs {
-		if j.accepted && !j.cancelled() {
-			jobs++
-			if j.spec.Service {
-				services++
-			}
-			waiting += j.waiting()
-			bound += len(j.bindings)
+	jobs := c.replica.countJobs()
+	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.authority.mayAct(),
+		"invariants_violated", c.audit.violations, "store_ok", c.store.healthy(),
+		"jobs", jobs.accepted, "services", jobs.services, "tasks_waiting", jobs.tasksWaiting, "tasks_bound", jobs.tasksBound,
+		"machines", len(c.replica.machines), "machines_led", c.replica.countCommanded(),
+		"requests_open", c.users.openCount(), "changes", c.budget.takeChangesByKind())...)
+}
+
+// jobCounts counts the accepted jobs that are not cancelled, and their tasks.
+type jobCounts struct{ accepted, services, tasksWaiting, tasksBound int }
+
+func (r *replica) countJobs() jobCounts {
+	var counts jobCounts
+	for _, j := range r.jobs {
+		if !j.accepted || j.cancelled() {
+			continue
 		}
+		counts.accepted++
+		if j.spec.Service {
+			counts.services++
+		}
+		counts.tasksWaiting += j.waiting()
+		counts.tasksBound += len(j.bindings)
 	}
-	mine := 0
-	for _, m := range c.replica.machines {
+	return counts
+}
+
+// countCommanded counts the machines that this controller commands.
+func (r *replica) countCommanded() int {
+	commanded := 0
+	for _, m := range r.machines {
 		if m.agent != nil {
-			mine++
+			commanded++
 		}
 	}
-	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.mayAct(), "invariants_violated", c.audit.violations, "store_ok", c.store.healthy(),
-		"jobs", jobs, "services", services, "tasks_waiting", waiting, "tasks_bound", bound,
-		"machines", len(c.replica.machines), "machines_led", mine, "requests_open", c.users.openCount(), "changes", c.budget.takeChangesByKind())...)
+	return commanded
 }
--- a/internal/controller/userrequests.go
+++ b/internal/controller/userrequests.go
@@ -19,7 +19,7 @@
 
 // answerAuditor looks at a status a last time before a user sees it, and returns what is to be told.
 type answerAuditor interface {
-	auditAnswer(status *JobStatus) *JobStatus
+	checkAnswer(status *JobStatus) *JobStatus
 }
 
 func newUserRequests(env *environment, auditor answerAuditor) *userRequests {
@@ -61,7 +61,7 @@
 // answerStatus tells a user a job's status.
 func (u *userRequests) answerStatus(requestID uint64, httpStatus int, status *JobStatus) {
 	if u.close(requestID) {
-		u.emit(Reply{RequestID: requestID, Status: httpStatus, Body: u.auditor.auditAnswer(status)})
+		u.emit(Reply{RequestID: requestID, Status: httpStatus, Body: u.auditor.checkAnswer(status)})
 	}
 }
 
--- a/internal/controller/userrequests_test.go
+++ b/internal/controller/userrequests_test.go
@@ -12,7 +12,7 @@
 // plainAuditor lets every status pass.
 type plainAuditor struct{}
 
-func (plainAuditor) auditAnswer(status *JobStatus) *JobStatus { return status }
+func (plainAuditor) checkAnswer(status *JobStatus) *JobStatus { return status }
 
 func openRequests(requests ...UserRequest) *userRequests {
 	users := newUserRequests(&environment{}, plainAuditor{})
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -71,3 +71,29 @@
 		}
 	}
 }
+
+// TestAnswer looks at what answers rest on, and at those that an outcome has overtaken.
+func TestAnswer(t *testing.T) {
+	for name, tc := range map[string]struct {
+		facts                  AnswerFacts
+		basis                  AnswerBasis
+		overtaken, contradicts bool
+	}{
+		"running":                       {AnswerFacts{}, AnswerRecentReplica, false, false},
+		"done, not stored":              {AnswerFacts{Final: true}, AnswerRecentReplica, false, false},
+		"cancelled, not stored":         {AnswerFacts{Final: true, Cancelled: true}, AnswerDerivedOutcome, false, false},
+		"the stored outcome":            {AnswerFacts{Final: true, OutcomeStored: true, Agrees: true}, AnswerStoredOutcome, false, false},
+		"running, but over":             {AnswerFacts{OutcomeStored: true}, AnswerStoredOutcome, true, false},
+		"done, but stored as cancelled": {AnswerFacts{Final: true, OutcomeStored: true}, AnswerStoredOutcome, true, true},
+	} {
+		if got := tc.facts.Basis(); got != tc.basis {
+			t.Errorf("%s: rests on %q, want %q", name, got, tc.basis)
+		}
+		if got := tc.facts.Overtaken(); got != tc.overtaken {
+			t.Errorf("%s: overtaken %v", name, got)
+		}
+		if got := tc.facts.Contradicts(); got != tc.contradicts {
+			t.Errorf("%s: contradicts %v", name, got)
+		}
+	}
+}
