--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -2,9 +2,9 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"sort"
 	"strconv"
-	"strings"
 
 	"frostdock.example/frostdock/internal/agent"
 	"frostdock.example/frostdock/internal/cloud"
@@ -12,7 +12,16 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeAgent is one machine's agent.
+const (
+	firstEpoch          = 1
+	agentTickPeriod     = 100 * units.Millisecond
+	heartbeatTimeout    = 4 * units.Second
+	minHeartbeatSpacing = 500 * units.Millisecond // between one heartbeat and the next, when something has changed
+	failAfter           = 2 * units.Second        // how long a task runs that fails
+)
+
+// fakeAgent is one machine's agent: it sends heartbeats, carries commands out, and drops all tasks
+// when its lease expires.
 type fakeAgent struct {
 	world       *World
 	name        string
@@ -20,169 +29,277 @@
 	machineType *cloud.MachineType
 	running     bool
 
-	epoch, seq, token uint64
-	leaseRenewedAt    units.Micros // when the last answered report was sent
-	tasks             map[string]*task
-	images            map[string]bool
-	controllerIndex   int
-	inFlight          bool
-	sentAt            units.Micros
-	nextHeartbeat     units.Micros
-	changed           bool
-	tokenRaisedAt     units.Micros
-	hungUntil         units.Micros
-	delayedCommands   []func() // commands that came while it hung
-	failsTasks        bool
-	slowdown          float64
-	spotNotice        *float64
+	epoch, sequence, token uint64
+	tokenRaisedAt          units.Micros
+	leaseRenewedAt         units.Micros // when the last answered heartbeat was sent
+
+	tasks  map[string]*task // by id
+	images map[string]bool  // those that are on the machine
+
+	controllerIndex int // which controller gets the next heartbeat
+	inFlight        bool
+	sentAt          units.Micros
+	nextHeartbeat   units.Micros
+	changed         bool // something happened that controllers don't know yet
+
+	hungUntil       units.Micros
+	delayedCommands []func() // those that came while it hung
+	failsTasks      bool
+	slowdown        float64 // how many times longer tasks take
+	spotNotice      *float64
 }
 
+// task is an attempt of a task on a machine.
 type task struct {
 	jobID        string
-	num          int
+	number       int
 	attempt      uint64
 	state        agent.TaskState
 	cause        agent.Cause
 	checkpointed bool
-	imageReadyAt units.Micros // when its image is there
-	endsAt       units.Micros // when it completes
+	imageReadyAt units.Micros // when its image has been fetched
 	startedAt    units.Micros
+	endsAt       units.Micros // when it completes, or its checkpoint does
 }
 
-func (t *task) id() string { return t.jobID + "/" + strconv.Itoa(t.num) }
+func taskID(jobID string, number int) string { return jobID + "/" + strconv.Itoa(number) }
+
+func (t *task) id() string { return taskID(t.jobID, t.number) }
+
+// runs reports whether the task's program is alive.
+func (t *task) runs() bool { return t.state == agent.Running || t.state == agent.Checkpointing }
 
 func (w *World) addWorker(name string, listed cloud.ListedMachine, machineType *cloud.MachineType) {
-	worker := &fakeAgent{world: w, name: name, listed: listed, machineType: machineType, running: true, epoch: 1, tasks: map[string]*task{}, images: map[string]bool{},
-		leaseRenewedAt: w.now, slowdown: 1, controllerIndex: w.rng.IntN(len(w.processes))}
+	worker := &fakeAgent{
+		world:           w,
+		name:            name,
+		listed:          listed,
+		machineType:     machineType,
+		running:         true,
+		epoch:           firstEpoch,
+		leaseRenewedAt:  w.now,
+		tasks:           map[string]*task{},
+		images:          map[string]bool{},
+		controllerIndex: w.rng.IntN(len(w.processes)),
+		slowdown:        1,
+	}
 	w.workers[name] = worker
 	w.workerNames = append(w.workerNames, name)
 	worker.nextHeartbeat = w.now + units.Micros(w.rng.Int64N(int64(units.Second)))
-	w.every(100*units.Millisecond, worker.tick)
+	w.every(agentTickPeriod, worker.tick)
 }
 
+// removeWorker ends a machine with all that is on it.
 func (w *World) removeWorker(name string) {
 	worker := w.workers[name]
 	if worker == nil || !worker.running {
 		return
 	}
-	for _, running := range worker.sortedTasks() {
-		worker.drop(running)
-	}
+	worker.dropAll()
 	worker.running = false
 	delete(w.workers, name)
 }
 
 func (a *fakeAgent) sortedTasks() []*task {
-	var out []*task
+	var sorted []*task
 	for _, t := range a.tasks {
-		out = append(out, t)
+		sorted = append(sorted, t)
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].id() < out[j].id() })
-	return out
+	sort.Slice(sorted, func(i, j int) bool { return sorted[i].id() < sorted[j].id() })
+	return sorted
 }
 
-// drop ends whatever the task does; the machine forgets it.
-func (a *fakeAgent) drop(t *task) {
-	if t.state == agent.Running || t.state == agent.Checkpointing {
-		a.world.Checker.TaskStopped(a.name, t.jobID, t.num)
+// dropAll ends all tasks; the machine forgets them.
+func (a *fakeAgent) dropAll() {
+	for _, t := range a.sortedTasks() {
+		a.stopProgram(t)
+		delete(a.tasks, t.id())
 	}
-	delete(a.tasks, t.id())
 }
 
+// endTask ends a task; the machine keeps its outcome until a controller has it removed.
 func (a *fakeAgent) endTask(t *task, cause agent.Cause) {
-	if t.state == agent.Running || t.state == agent.Checkpointing {
-		a.world.Checker.TaskStopped(a.name, t.jobID, t.num)
-	}
+	a.stopProgram(t)
 	t.state, t.cause = agent.Ended, cause
 	a.changed = true
-	if cause == agent.CauseDone {
-		a.world.Checker.Completed(t.jobID, t.num)
-		if a.world.Checker.AllCompleted(t.jobID) {
-			a.world.users.jobCompleted(t.jobID)
-		}
+	if cause != agent.CauseDone {
+		return
+	}
+	a.world.checker.taskCompleted(t.jobID, t.number)
+	if a.world.checker.allCompleted(t.jobID) {
+		a.world.users.jobCompleted(t.jobID)
+	}
+}
+
+func (a *fakeAgent) stopProgram(t *task) {
+	if t.runs() {
+		a.world.checker.taskStopped(a.name, t.jobID, t.number)
 	}
 }
 
-func (a *fakeAgent) lease() units.Micros { return a.world.processes[0].cfg.Settings.Lease() }
+func (a *fakeAgent) lease() units.Micros { return a.world.settings.Lease() }
+
+// hangs reports whether the machine stands still.
+func (a *fakeAgent) hangs() bool { return a.world.now < a.hungUntil }
+
+// hang makes the machine stand still; its tasks make no progress meanwhile.
+func (a *fakeAgent) hang(duration units.Micros) {
+	a.hungUntil = a.world.now + duration
+	for _, t := range a.tasks {
+		t.endsAt += duration
+		t.imageReadyAt += duration
+	}
+}
+
+// failTasks makes the machine fail all tasks for a while.
+func (a *fakeAgent) failTasks(duration units.Micros) {
+	a.failsTasks = true
+	a.world.after(duration, func() { a.failsTasks = false })
+}
+
+// slowDown makes tasks that start from now on take longer.
+func (a *fakeAgent) slowDown(factor float64) { a.slowdown = factor }
+
+// reboot restarts the machine at once; it knows nothing of its life before.
+func (a *fakeAgent) reboot() {
+	a.dropAll()
+	a.epoch, a.sequence, a.token = firstEpoch, 0, 0
+	a.leaseRenewedAt, a.changed = a.world.now, true
+}
+
+// receiveNotice tells the agent that its spot instance will be interrupted.
+func (a *fakeAgent) receiveNotice(notice units.Micros) {
+	seconds := notice.Seconds()
+	a.spotNotice, a.changed = &seconds, true
+}
 
 func (a *fakeAgent) tick() {
-	now := a.world.now
 	if !a.running {
 		return
 	}
 	a.checkLease() // also while it hangs: it may go on within its lease only
-	if now < a.hungUntil {
+	if a.hangs() {
 		return
 	}
-	for _, command := range a.delayedCommands {
-		command()
+	for _, execute := range a.delayedCommands {
+		execute()
 	}
 	a.delayedCommands = nil
-	due := false
+	a.advanceTasks()
+	now := a.world.now
+	if !a.inFlight && (now >= a.nextHeartbeat || a.changed && now-a.sentAt >= minHeartbeatSpacing) {
+		a.sendHeartbeat()
+	}
+}
+
+// checkLease begins a new epoch, without any task, when the last answered heartbeat is too old.
+func (a *fakeAgent) checkLease() {
+	if a.world.now-a.leaseRenewedAt <= a.lease() {
+		return
+	}
+	a.dropAll()
+	a.epoch++
+	a.leaseRenewedAt = a.world.now
+	a.changed = true
+}
+
+// anyTaskDue reports whether some task's time may have come: most ticks have none.
+func (a *fakeAgent) anyTaskDue() bool {
+	now := a.world.now
 	for _, t := range a.tasks {
-		due = due || a.failsTasks || t.state == agent.Pulling && now >= t.imageReadyAt || (t.state == agent.Running || t.state == agent.Checkpointing) && now >= t.endsAt
+		if a.failsTasks || t.state == agent.Pulling && now >= t.imageReadyAt || t.runs() && now >= t.endsAt {
+			return true
+		}
 	}
-	if due {
-		a.advance()
+	return false
+}
+
+// advanceTasks moves every task on whose time has come.
+func (a *fakeAgent) advanceTasks() {
+	if !a.anyTaskDue() {
+		return
 	}
-	if !a.inFlight && (now >= a.nextHeartbeat || a.changed && now-a.sentAt >= 500*units.Millisecond) {
-		a.sendHeartbeat()
+	for _, t := range a.sortedTasks() {
+		switch t.state {
+		case agent.Pulling:
+			a.advancePulling(t)
+		case agent.Running:
+			a.advanceRunning(t)
+		case agent.Checkpointing:
+			a.advanceCheckpointing(t)
+		}
 	}
 }
 
-// advance moves every task on whose time has come.
-func (a *fakeAgent) advance() {
+// advancePulling starts a task whose image is there.
+func (a *fakeAgent) advancePulling(t *task) {
 	now := a.world.now
-	for _, current := range a.sortedTasks() {
-		switch {
-		case current.state == agent.Pulling && now >= current.imageReadyAt:
-			job := a.world.users.job(current.jobID)
-			a.images[job.spec.Image] = true
-			current.state = agent.Running
-			a.changed = true
-			a.world.Checker.TaskStarted(a.name, a.listed, current.jobID, current.num)
-			current.startedAt = now
-			run := units.FromSeconds(job.runSeconds * a.slowdown)
-			switch {
-			case a.world.Checker.IsCompleted(current.jobID, current.num):
-				run = 0 // the result is kept
-			case a.failsTasks || job.failing:
-				run = 2 * units.Second
-			}
-			current.endsAt = now + run
-		case current.state == agent.Running && now >= current.endsAt && !a.world.users.job(current.jobID).spec.Service:
-			if (a.failsTasks || a.world.users.job(current.jobID).failing) && !a.world.Checker.IsCompleted(current.jobID, current.num) {
-				a.endTask(current, agent.CauseError)
-			} else {
-				a.endTask(current, agent.CauseDone)
-			}
-		case current.state == agent.Running && a.failsTasks && now >= current.startedAt+2*units.Second:
-			a.endTask(current, agent.CauseError)
-		case current.state == agent.Checkpointing && now >= current.endsAt:
-			current.checkpointed = true
-			a.endTask(current, agent.CauseStopped)
-		}
+	if now < t.imageReadyAt {
+		return
+	}
+	job := a.world.users.job(t.jobID)
+	a.images[job.spec.Image] = true
+	t.state = agent.Running
+	a.changed = true
+	a.world.checker.taskStarted(a.name, a.listed, t.jobID, t.number)
+	t.startedAt = now
+	switch {
+	case a.world.checker.isCompleted(t.jobID, t.number):
+		t.endsAt = now // the result of the first run is kept
+	case a.failsTasks || job.failing:
+		t.endsAt = now + failAfter
+	default:
+		t.endsAt = now + units.FromSeconds(job.runSeconds*a.slowdown)
 	}
 }
 
-// checkLease ends the session when the last answered report is too old.
-func (a *fakeAgent) checkLease() {
-	if a.world.now-a.leaseRenewedAt > a.lease() {
-		for _, t := range a.sortedTasks() {
-			a.drop(t)
+// advanceRunning ends a task of an array whose time is over, and any on a machine that fails them.
+func (a *fakeAgent) advanceRunning(t *task) {
+	now := a.world.now
+	job := a.world.users.job(t.jobID)
+	switch {
+	case now >= t.endsAt && !job.spec.Service:
+		cause := agent.CauseDone
+		if (a.failsTasks || job.failing) && !a.world.checker.isCompleted(t.jobID, t.number) {
+			cause = agent.CauseError
 		}
-		a.epoch++
-		a.leaseRenewedAt = a.world.now
-		a.changed = true
+		a.endTask(t, cause)
+	case a.failsTasks && now >= t.startedAt+failAfter:
+		a.endTask(t, agent.CauseError)
+	}
+}
+
+// advanceCheckpointing ends a task whose checkpoint is saved.
+func (a *fakeAgent) advanceCheckpointing(t *task) {
+	if a.world.now < t.endsAt {
+		return
 	}
+	t.checkpointed = true
+	a.endTask(t, agent.CauseStopped)
 }
 
+// heartbeat tells the machine's present state under the next sequence number.
 func (a *fakeAgent) heartbeat() agent.Heartbeat {
-	a.seq++
-	heartbeat := agent.Heartbeat{Machine: a.name, Addr: a.listed.Addr, Type: a.listed.Type, Zone: a.listed.Zone, Spot: a.listed.Spot,
-		Epoch: a.epoch, Sequence: a.seq, FencingToken: a.token, InterruptionNoticeSeconds: a.spotNotice}
+	a.sequence++
+	heartbeat := agent.Heartbeat{
+		Machine:                   a.name,
+		Addr:                      a.listed.Addr,
+		Type:                      a.listed.Type,
+		Zone:                      a.listed.Zone,
+		Spot:                      a.listed.Spot,
+		Epoch:                     a.epoch,
+		Sequence:                  a.sequence,
+		FencingToken:              a.token,
+		InterruptionNoticeSeconds: a.spotNotice,
+	}
 	for _, t := range a.sortedTasks() {
-		heartbeat.Tasks = append(heartbeat.Tasks, agent.TaskStatus{Task: t.id(), Attempt: t.attempt, State: t.state, Cause: t.cause, CheckpointSaved: t.checkpointed})
+		heartbeat.Tasks = append(heartbeat.Tasks, agent.TaskStatus{
+			Task:            t.id(),
+			Attempt:         t.attempt,
+			State:           t.state,
+			Cause:           t.cause,
+			CheckpointSaved: t.checkpointed,
+		})
 	}
 	return heartbeat
 }
@@ -191,178 +308,93 @@
 	w := a.world
 	a.inFlight, a.changed = true, false
 	a.sentAt = w.now
-	period := a.world.processes[0].cfg.Settings.HeartbeatPeriod()
-	a.nextHeartbeat = w.now + units.Micros(float64(period)*(0.75+0.5*w.rng.Float64()))
+	period := float64(w.settings.HeartbeatPeriod())
+	a.nextHeartbeat = w.now + units.Micros(period*(0.75+0.5*w.rng.Float64()))
 	heartbeat := a.heartbeat()
-	target, epoch, sent := w.processes[a.controllerIndex], a.epoch, w.now
-	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate { // nobody waits for its answer
-		other := w.processes[w.rng.IntN(len(w.processes))]
-		late := units.FromSeconds(1 + w.rng.Float64()*w.rng.Float64()*3*a.lease().Seconds())
-		w.after(late, func() {
-			other.request(func(to uint64) controller.Message {
-				return controller.HeartbeatRequest{RequestID: to, Heartbeat: heartbeat}
-			}, func(controller.Reply) {})
-		})
-	}
-	call(w, a.name, target.name, 4*units.Second, func(answer func(controller.Reply)) {
-		target.request(func(to uint64) controller.Message {
-			return controller.HeartbeatRequest{RequestID: to, Heartbeat: heartbeat}
-		}, answer)
-	}, func(reply controller.Reply, ok bool) {
-		a.inFlight = false
-		if !a.running || w.now < a.hungUntil {
-			return
-		}
-		a.checkLease()
-		if !ok || reply.Status != 200 {
-			a.chooseController(reply)
-			return
-		}
-		answer := reply.Body.(agent.HeartbeatResponse)
-		if a.epoch != epoch || answer.FencingToken < a.token {
-			return
-		}
-		a.raiseToken(answer.FencingToken)
-		a.leaseRenewedAt = sent
-		a.execute(answer.Commands, w.now)
-	})
+	target, epoch, sentAt := w.processes[a.controllerIndex], a.epoch, w.now
+	a.maybeDuplicate(heartbeat)
+	call(w, a.name, target.name, heartbeatTimeout, func(answer func(controller.Reply)) {
+		target.requestHeartbeat(heartbeat, answer)
+	}, func(reply controller.Reply, ok bool) { a.heartbeatAnswered(reply, ok, epoch, sentAt) })
 }
 
-func (a *fakeAgent) raiseToken(token uint64) {
-	if token > a.token {
-		a.token = token
-		if a.world.now-a.tokenRaisedAt > a.lease()/2 || a.tokenRaisedAt == 0 {
-			a.changed = true
-			a.tokenRaisedAt = a.world.now
-		}
-	}
+// requestHeartbeat gives the controller a worker heartbeat.
+func (p *controllerProcess) requestHeartbeat(heartbeat agent.Heartbeat, answer func(controller.Reply)) {
+	p.request(func(requestID uint64) controller.Message {
+		return controller.HeartbeatRequest{RequestID: requestID, Heartbeat: heartbeat}
+	}, answer)
 }
 
-func (a *fakeAgent) chooseController(reply controller.Reply) {
-	if redirect, ok := reply.Body.(agent.Redirect); ok && reply.Status == 421 && redirect.LeaderAddr != "" {
-		for i, process := range a.world.processes {
-			if process.name == redirect.LeaderAddr && i != a.controllerIndex {
-				a.controllerIndex = i
-				a.nextHeartbeat = a.world.now + units.Micros(a.world.rng.Int64N(int64(500*units.Millisecond)))
-				return
-			}
-		}
+// maybeDuplicate sends a copy of a heartbeat late, to any controller. Nobody waits for its answer.
+func (a *fakeAgent) maybeDuplicate(heartbeat agent.Heartbeat) {
+	w := a.world
+	if w.network.duplicateRate <= 0 || w.rng.Float64() >= w.network.duplicateRate {
+		return
 	}
-	a.controllerIndex = (a.controllerIndex + 1) % len(a.world.processes)
-	a.nextHeartbeat = a.world.now + units.Second
+	target := w.processes[w.rng.IntN(len(w.processes))]
+	delay := units.FromSeconds(1 + w.rng.Float64()*w.rng.Float64()*3*a.lease().Seconds())
+	w.after(delay, func() { target.requestHeartbeat(heartbeat, func(controller.Reply) {}) })
 }
 
-// execute carries out orders that were given at a time.
-func (a *fakeAgent) execute(orders []agent.Command, sentAt units.Micros) {
-	for _, command := range orders {
-		jobID, digits, _ := strings.Cut(command.Task, "/")
-		num, err := strconv.Atoi(digits)
-		if err != nil {
-			continue
-		}
-		t := a.tasks[command.Task]
-		switch command.Action {
-		case agent.Start:
-			if t != nil && t.attempt == command.Attempt {
-				continue
-			}
-			a.world.Checker.LaunchCommanded(jobID, num, a.name, sentAt)
-			a.launch(jobID, num, command.Attempt, t)
-		case agent.Stop:
-			if t == nil || t.attempt != command.Attempt || t.state == agent.Ended {
-				continue
-			}
-			job := a.world.users.job(jobID)
-			if t.state == agent.Running && job.spec.CheckpointIntervalSeconds > 0 && command.GracePeriodSeconds >= job.spec.CheckpointSeconds {
-				t.state, t.endsAt = agent.Checkpointing, a.world.now+units.FromSeconds(job.spec.CheckpointSeconds)
-				a.changed = true
-			} else if t.state != agent.Checkpointing || command.GracePeriodSeconds == 0 {
-				a.endTask(t, agent.CauseStopped)
-			}
-		case agent.Remove:
-			if t != nil && t.attempt == command.Attempt && t.state == agent.Ended {
-				delete(a.tasks, command.Task)
-				a.changed = true
-			}
-		}
+// heartbeatAnswered renews the lease and carries the answer's commands out, unless the answer is for
+// an epoch that is over or comes from a leader that has been superseded.
+func (a *fakeAgent) heartbeatAnswered(reply controller.Reply, ok bool, epoch uint64, sentAt units.Micros) {
+	a.inFlight = false
+	if !a.running || a.hangs() {
+		return
 	}
-}
-
-func (a *fakeAgent) launch(jobID string, num int, attempt uint64, previous *task) {
-	a.changed = true
-	t := &task{jobID: jobID, num: num, attempt: attempt, state: agent.Ended}
-	job := a.world.users.find(jobID)
-	switch {
-	case previous != nil && previous.state != agent.Ended:
-		// Shown under a key of its own until it is reaped: a refused start.
+	a.checkLease()
+	if !ok || reply.Status != http.StatusOK {
+		a.chooseController(reply)
+		return
+	}
+	response := reply.Body.(agent.HeartbeatResponse)
+	if a.epoch != epoch || response.FencingToken < a.token {
 		return
-	case job == nil || num >= job.spec.Tasks:
-		t.cause = "no_such"
-	case !a.fits(job):
-		t.cause = "no_room"
-	default:
-		t.state = agent.Pulling
-		t.imageReadyAt = a.world.now
-		if !a.images[job.spec.Image] {
-			t.imageReadyAt += units.FromSeconds(job.spec.ImageGB / a.machineType.FetchGBPerSecond)
-		}
 	}
-	a.tasks[t.id()] = t
+	a.raiseToken(response.FencingToken)
+	a.leaseRenewedAt = sentAt
+	a.execute(response.Commands, a.world.now)
 }
 
-func (a *fakeAgent) fits(job *userJob) bool {
-	cpus, gpus, mem := a.machineType.CPUs, a.machineType.GPUs, a.machineType.MemGB
-	for _, t := range a.tasks {
-		if t.state != agent.Ended {
-			other := a.world.users.job(t.jobID)
-			cpus, gpus, mem = cpus-other.spec.CPUs, gpus-other.spec.GPUs, mem-other.spec.MemGB
-		}
+// raiseToken keeps the highest fencing token; controllers hear of it soon, but not of each.
+func (a *fakeAgent) raiseToken(token uint64) {
+	if token <= a.token {
+		return
+	}
+	a.token = token
+	if a.world.now-a.tokenRaisedAt > a.lease()/2 || a.tokenRaisedAt == 0 {
+		a.changed = true
+		a.tokenRaisedAt = a.world.now
 	}
-	return cpus >= job.spec.CPUs-1e-9 && gpus >= job.spec.GPUs-1e-9 && mem >= job.spec.MemGB-1e-9
 }
 
-// sendCommand carries a direct command, or a question, to a worker. One that
-// arrives while the machine hangs is carried out when it goes on.
-func (w *World) sendCommand(caller string, command controller.AgentCall, done func(controller.AgentResult)) {
-	name, _, _ := strings.Cut(command.Address, ":")
-	sentAt := w.now
-	call(w, caller, name, 2*units.Second, func(answer func(controller.AgentResult)) {
-		worker := w.workers[name]
-		if worker == nil {
-			return
-		}
-		execute := func() {
-			worker.checkLease()
-			if c := command.Commands; c != nil && c.FencingToken >= worker.token && c.Epoch == worker.epoch {
-				worker.raiseToken(c.FencingToken)
-				worker.execute(c.Commands, sentAt)
+// chooseController turns to the controller that a redirect names, else to the next one.
+func (a *fakeAgent) chooseController(reply controller.Reply) {
+	processes := a.world.processes
+	redirect, ok := reply.Body.(agent.Redirect)
+	if ok && reply.Status == http.StatusMisdirectedRequest && redirect.LeaderAddr != "" {
+		for i, process := range processes {
+			if process.name == redirect.LeaderAddr && i != a.controllerIndex {
+				a.controllerIndex = i
+				a.nextHeartbeat = a.world.now + units.Micros(a.world.rng.Int64N(int64(500*units.Millisecond)))
+				return
 			}
-			heartbeat := worker.heartbeat()
-			answer(controller.AgentResult{Heartbeat: roundTrip(&heartbeat)})
 		}
-		if w.now < worker.hungUntil {
-			worker.delayedCommands = append(worker.delayedCommands, execute)
-			return
-		}
-		execute()
-	}, func(result controller.AgentResult, ok bool) {
-		if !ok {
-			result = controller.AgentResult{}
-		}
-		result.CallID = command.CallID
-		done(result)
-	})
+	}
+	a.controllerIndex = (a.controllerIndex + 1) % len(processes)
+	a.nextHeartbeat = a.world.now + units.Second
 }
 
-// roundTrip encodes and decodes a report, so that the wire form is exercised.
+// roundTrip encodes and decodes a heartbeat, so that the wire form is exercised.
 func roundTrip(sent *agent.Heartbeat) *agent.Heartbeat {
 	encoded, err := json.Marshal(sent)
 	if err != nil {
 		panic(err)
 	}
-	var out agent.Heartbeat
-	if err := json.Unmarshal(encoded, &out); err != nil {
+	var received agent.Heartbeat
+	if err := json.Unmarshal(encoded, &received); err != nil {
 		panic(err)
 	}
-	return &out
+	return &received
 }
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -1,7 +1,7 @@
 package simulator
 
 import (
-	"strings"
+	"net/http"
 	"testing"
 
 	"frostdock.example/frostdock/internal/cloud"
@@ -9,157 +9,170 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// violation breaks one rule.
-type violation struct {
-	rule string
+// breach breaks one rule.
+type breach struct {
+	rule Rule
 	play func(c *Checker)
 }
 
 // TestCheckerCatches breaks each rule once and sees that it is noticed.
 func TestCheckerCatches(t *testing.T) {
-	for _, tc := range append(placementViolations(), answerViolations()...) {
+	for _, tc := range append(placementBreaches(), answerBreaches()...) {
 		c := NewChecker()
 		c.now = units.Second
-		c.cpuLimit["red"] = 4
-		c.Submitted(&schema.Job{ID: "j-1", Team: "red", Tasks: 3, CPUs: 2})
-		c.Submitted(&schema.Job{ID: "j-2", Team: "blue", Tasks: 2, CPUs: 1, Spread: true})
-		c.Submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
+		c.setQuota("red", resources{cpus: 4})
+		c.submitted(&schema.Job{ID: "j-1", Team: "red", Tasks: 3, CPUs: 2})
+		c.submitted(&schema.Job{ID: "j-2", Team: "blue", Tasks: 2, CPUs: 1, Spread: true})
+		c.submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
 		tc.play(c)
-		if len(c.Violations) != 1 || !strings.Contains(c.Violations[0], tc.rule) {
-			t.Errorf("%s: noticed %q", tc.rule, c.Violations)
+		if len(c.Violations) != 1 || c.Violations[0].Rule != tc.rule {
+			t.Errorf("%s: noticed %v", tc.rule, c.Violations)
 		}
 	}
 }
 
-// placementViolations are those of tasks: where and when they run.
-func placementViolations() []violation {
+// submission, poll and cancellation give the checker an answer that was not overtaken by another.
+func submission(c *Checker, id string, status int, stage string) {
+	c.submissionAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
+}
+
+func poll(c *Checker, id string, status int, stage string) {
+	c.pollAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
+}
+
+func cancellation(c *Checker, id string, status int, stage string) {
+	c.cancellationAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
+}
+
+// placementBreaches are those of tasks: where and when they run.
+func placementBreaches() []breach {
 	spot := cloud.ListedMachine{Type: "big", Zone: "a", Spot: true}
 	a, b := cloud.ListedMachine{Type: "big", Zone: "a"}, cloud.ListedMachine{Type: "big", Zone: "b"}
-	return []violation{
-		{"ran_twice", func(c *Checker) { c.TaskStarted("m1", a, "j-1", 0); c.TaskStarted("m2", a, "j-1", 0) }},
+	return []breach{
+		{"ran_twice", func(c *Checker) { c.taskStarted("m1", a, "j-1", 0); c.taskStarted("m2", a, "j-1", 0) }},
 		{"quota", func(c *Checker) {
-			c.TaskStarted("m1", a, "j-1", 0)
-			c.TaskStarted("m1", a, "j-1", 1)
-			c.TaskStarted("m1", a, "j-1", 2)
+			c.taskStarted("m1", a, "j-1", 0)
+			c.taskStarted("m1", a, "j-1", 1)
+			c.taskStarted("m1", a, "j-1", 2)
 		}},
-		{"wrong_place", func(c *Checker) { c.TaskStarted("m1", spot, "j-1", 0) }},
-		{"wrong_place", func(c *Checker) { c.TaskStarted("m1", a, "j-2", 0); c.TaskStarted("m2", a, "j-2", 1) }},
-		{"wrong_place", func(c *Checker) { c.TaskStarted("m1", a, "j-3", 0); c.TaskStarted("m2", b, "j-3", 1) }},
+		{"wrong_place", func(c *Checker) { c.taskStarted("m1", spot, "j-1", 0) }},
+		{"wrong_place", func(c *Checker) { c.taskStarted("m1", a, "j-2", 0); c.taskStarted("m2", a, "j-2", 1) }},
+		{"wrong_place", func(c *Checker) { c.taskStarted("m1", a, "j-3", 0); c.taskStarted("m2", b, "j-3", 1) }},
 		{"ran_cancelled", func(c *Checker) {
-			c.TaskStarted("m1", a, "j-1", 0)
-			c.CancelRequested("j-1")
-			c.Answered("abort", "j-1", 200, "cancelled", c.LastStage("j-1"))
-			c.now += c.CancelDeadline + 1
-			c.CheckDeadlines()
+			c.taskStarted("m1", a, "j-1", 0)
+			c.cancelRequested("j-1")
+			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			c.now += c.cancelDeadline + 1
+			c.checkDeadlines()
 		}},
 		{"ran_cancelled", func(c *Checker) {
-			c.CancelRequested("j-1")
-			c.Answered("abort", "j-1", 200, "cancelled", c.LastStage("j-1"))
-			c.now += c.CancelDeadline + 1
-			c.TaskStarted("m1", a, "j-1", 0)
+			c.cancelRequested("j-1")
+			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			c.now += c.cancelDeadline + 1
+			c.taskStarted("m1", a, "j-1", 0)
 		}},
 		{"ran_cancelled", func(c *Checker) { // a start is ordered long after the confirmation
-			c.CancelRequested("j-1")
-			c.Answered("abort", "j-1", 200, "cancelled", c.LastStage("j-1"))
-			c.now += launchDeadline + 1
-			c.LaunchCommanded("j-1", 0, "m1", c.now)
+			c.cancelRequested("j-1")
+			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			c.now += startDeadlineAfterCancel + 1
+			c.startCommanded("j-1", 0, "m1", c.now)
 		}},
 		{"ran_cancelled", func(c *Checker) { // it goes on after its machine hung
-			c.TaskStarted("m1", a, "j-1", 0)
-			c.CancelRequested("j-1")
-			c.Answered("abort", "j-1", 200, "cancelled", c.LastStage("j-1"))
+			c.taskStarted("m1", a, "j-1", 0)
+			c.cancelRequested("j-1")
+			cancellation(c, "j-1", http.StatusOK, "cancelled")
 			for range 20 {
-				c.now += c.CancelDeadline / 10
-				c.CheckDeadlines()
+				c.now += c.cancelDeadline / 10
+				c.checkDeadlines()
 			}
 		}},
 		{"too_early", func(c *Checker) { // one of two needed tasks is not done
-			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
-			c.Completed("j-2", 0)
-			c.TaskStarted("m1", a, "j-4", 0)
+			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
+			c.taskCompleted("j-2", 0)
+			c.taskStarted("m1", a, "j-4", 0)
 		}},
 		{"left_waiting", func(c *Checker) {
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
-			c.FaultsEndAt = units.Second
+			submission(c, "j-1", http.StatusCreated, "pending")
+			c.faultsEndAt = units.Second
 			for range 20 {
 				c.now += 5 * units.Second
-				c.Waiting("j-1", "m1", true)
+				c.waiting("j-1", "m1", true)
 			}
 		}},
 	}
 }
 
-// answerViolations are those of what users are told, and of who is served.
-func answerViolations() []violation {
+// answerBreaches are those of what users are told, and of who is served.
+func answerBreaches() []breach {
 	a := cloud.ListedMachine{Type: "big", Zone: "a"}
-	return []violation{
+	return []breach{
 		{"accepted_bad", func(c *Checker) {
-			c.MustReject("j-1", "lacks a field")
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
+			c.mustReject("j-1", "lacks a field")
+			submission(c, "j-1", http.StatusCreated, "pending")
 		}},
 		{"forgotten", func(c *Checker) {
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
-			c.Answered("poll", "j-1", 404, "", c.LastStage("j-1"))
+			submission(c, "j-1", http.StatusCreated, "pending")
+			poll(c, "j-1", http.StatusNotFound, "")
 		}},
 		{"forgotten", func(c *Checker) {
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
-			c.Answered("submit", "j-1", 422, "", c.LastStage("j-1"))
+			submission(c, "j-1", http.StatusCreated, "pending")
+			submission(c, "j-1", http.StatusUnprocessableEntity, "")
 		}},
 		{"forgotten", func(c *Checker) {
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
+			submission(c, "j-1", http.StatusCreated, "pending")
 			for range 100 {
 				c.now += units.Second
-				c.Answered("poll", "j-1", 503, "", c.LastStage("j-1"))
-				c.Answered("poll", "j-2", 404, "", c.LastStage("j-2"))
-				c.Answered("poll", "j-3", 404, "", c.LastStage("j-3"))
+				poll(c, "j-1", http.StatusServiceUnavailable, "")
+				poll(c, "j-2", http.StatusNotFound, "")
+				poll(c, "j-3", http.StatusNotFound, "")
 			}
 		}},
 		{"forgotten", func(c *Checker) { // however others fare
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
-			c.FaultsEndAt = 10 * units.Second
+			submission(c, "j-1", http.StatusCreated, "pending")
+			c.faultsEndAt = 10 * units.Second
 			for range 30 {
 				c.now += 3 * units.Second
-				c.Answered("poll", "j-1", 503, "", c.LastStage("j-1"))
-				c.Answered("poll", "j-2", 503, "", c.LastStage("j-2"))
+				poll(c, "j-1", http.StatusServiceUnavailable, "")
+				poll(c, "j-2", http.StatusServiceUnavailable, "")
 			}
 		}},
 		{"unserved", func(c *Checker) {
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
+			submission(c, "j-1", http.StatusCreated, "pending")
 			c.checkHalfStarted("team red", []*jobHistory{c.jobs["j-1"]})
 		}},
 		{"unserved", func(c *Checker) { // it began, but late
-			c.Answered("submit", "j-1", 201, "pending", c.LastStage("j-1"))
+			submission(c, "j-1", http.StatusCreated, "pending")
 			c.now += startDeadline + 1
-			c.TaskStarted("m1", a, "j-1", 0)
+			c.taskStarted("m1", a, "j-1", 0)
 			c.Finish()
 		}},
 		{"orphaned", func(c *Checker) { // through another job
-			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-1"}})
-			c.Submitted(&schema.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-4"}})
-			c.Answered("submit", "j-5", 201, "pending", c.LastStage("j-5"))
-			c.CancelRequested("j-1")
-			c.Answered("abort", "j-1", 200, "cancelled", c.LastStage("j-1"))
-			c.now += c.CancelDeadline + 1
-			c.Answered("poll", "j-5", 200, "pending", c.LastStage("j-5"))
+			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-1"}})
+			c.submitted(&schema.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-4"}})
+			submission(c, "j-5", http.StatusCreated, "pending")
+			c.cancelRequested("j-1")
+			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			c.now += c.cancelDeadline + 1
+			poll(c, "j-5", http.StatusOK, "pending")
 		}},
 		{"went_back", func(c *Checker) { // cancelled with a job that is done
-			c.Submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
-			c.Completed("j-2", 0)
-			c.Completed("j-2", 1)
-			c.CancelRequested("j-2")
-			c.Answered("abort", "j-2", 200, "done", c.LastStage("j-2"))
-			c.Answered("poll", "j-4", 200, "cancelled", c.LastStage("j-4"))
-		}},
-		{"invented", func(c *Checker) { c.Answered("poll", "j-77", 200, "pending", c.LastStage("j-77")) }},
-		{"not_done", func(c *Checker) { c.Completed("j-1", 0); c.Answered("poll", "j-1", 200, "done", c.LastStage("j-1")) }},
+			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
+			c.taskCompleted("j-2", 0)
+			c.taskCompleted("j-2", 1)
+			c.cancelRequested("j-2")
+			cancellation(c, "j-2", http.StatusOK, "done")
+			poll(c, "j-4", http.StatusOK, "cancelled")
+		}},
+		{"invented", func(c *Checker) { poll(c, "j-77", http.StatusOK, "pending") }},
+		{"not_done", func(c *Checker) { c.taskCompleted("j-1", 0); poll(c, "j-1", http.StatusOK, "done") }},
 		{"went_back", func(c *Checker) {
 			for n := range 3 {
-				c.Completed("j-1", n)
+				c.taskCompleted("j-1", n)
 			}
-			c.Answered("poll", "j-1", 200, "done", c.LastStage("j-1"))
-			c.Answered("poll", "j-1", 200, "running", c.LastStage("j-1"))
+			poll(c, "j-1", http.StatusOK, "done")
+			poll(c, "j-1", http.StatusOK, "running")
 		}},
-		{"went_back", func(c *Checker) { c.Answered("poll", "j-1", 200, "cancelled", c.LastStage("j-1")) }},
+		{"went_back", func(c *Checker) { poll(c, "j-1", http.StatusOK, "cancelled") }},
 		{"nothing_ran", func(c *Checker) { c.Finish() }},
 	}
 }
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"sort"
 
 	"frostdock.example/frostdock/internal/cloud"
@@ -9,17 +10,27 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// cloud rents machines.
+const (
+	cloudTimeout          = 5 * units.Second
+	snapshotPeriod        = units.Second
+	keptSnapshots         = 60
+	listDelay             = 8 * units.Second // how old the list of machines is
+	staleListRate         = 0.1              // chance that it is twice as old
+	failureDetectionDelay = 30 * units.Second
+	maxRentalCount        = 50
+)
+
+// fakeCloud rents machines out. Its list of them is some seconds old.
 type fakeCloud struct {
-	world           *World
-	machineTypes    []cloud.MachineType
-	available       map[string]int // offers: type/zone/spot -> machines still to be had
-	scaleOuts       map[string][]string
-	machines        map[string]*machine
-	nextMachine     int
-	down            bool
-	snapshots       []snapshot
-	listDelay       units.Micros
+	world        *World
+	machineTypes []cloud.MachineType
+	available    map[offer]int       // machines still to be had
+	rentals      map[string][]string // machines by the name of their rental: a repeat gets the same ones
+	machines     map[string]*machine
+	nextMachine  int
+	snapshots    []snapshot // the last ones
+	down         bool
+
 	bootFactor      float64 // how many times longer machines take to come up
 	bootFailureRate float64 // chance that a machine never comes up
 }
@@ -29,18 +40,31 @@
 	createdAt units.Micros
 }
 
+// snapshot is the list of machines at some time.
 type snapshot struct {
 	at       units.Micros
 	machines []cloud.ListedMachine
 }
 
-func newCloud(w *World) *fakeCloud {
-	c := &fakeCloud{world: w, available: map[string]int{}, scaleOuts: map[string][]string{}, machines: map[string]*machine{}, listDelay: 8 * units.Second, bootFactor: 1}
-	w.every(units.Second, c.recordSnapshot)
+func newCloud(w *World, options *worldOptions) *fakeCloud {
+	c := &fakeCloud{
+		world:           w,
+		machineTypes:    options.machineTypes,
+		available:       maps.Clone(options.offers),
+		rentals:         map[string][]string{},
+		machines:        map[string]*machine{},
+		bootFactor:      options.bootFactor,
+		bootFailureRate: options.bootFailureRate,
+	}
+	w.every(snapshotPeriod, c.recordSnapshot)
 	return c
 }
 
-func offerKey(typ, zone string, spot bool) string { return fmt.Sprintf("%s/%s/%v", typ, zone, spot) }
+// startOutage makes the cloud unavailable for a while.
+func (c *fakeCloud) startOutage(duration units.Micros) {
+	c.down = true
+	c.world.after(duration, func() { c.down = false })
+}
 
 func (c *fakeCloud) machineType(name string) *cloud.MachineType {
 	for i := range c.machineTypes {
@@ -51,7 +75,7 @@
 	return nil
 }
 
-// recordSnapshot remembers the list, which is shown late.
+// recordSnapshot remembers the list, which is shown later.
 func (c *fakeCloud) recordSnapshot() {
 	taken := snapshot{at: c.world.now}
 	for _, current := range c.machines {
@@ -59,44 +83,17 @@
 		listed.AgeSeconds = (c.world.now - current.createdAt).Seconds()
 		taken.machines = append(taken.machines, listed)
 	}
-	sort.Slice(taken.machines, func(a, b int) bool { return taken.machines[a].Name < taken.machines[b].Name })
+	sort.Slice(taken.machines, func(i, j int) bool { return taken.machines[i].Name < taken.machines[j].Name })
 	c.snapshots = append(c.snapshots, taken)
-	if len(c.snapshots) > 60 {
+	if len(c.snapshots) > keptSnapshots {
 		c.snapshots = c.snapshots[1:]
 	}
 }
 
+// call serves a controller's request across the network.
 func (c *fakeCloud) call(caller string, request controller.CloudCall, done func(controller.CloudResult)) {
-	call(c.world, caller, "cloud", 5*units.Second, func(answer func(controller.CloudResult)) {
-		result := controller.CloudResult{Status: cloud.StatusOK}
-		if c.down {
-			result.Status = cloud.StatusRefused
-			answer(result)
-			return
-		}
-		switch request.Op {
-		case controller.CloudCatalog:
-			result.Catalog.Types = c.machineTypes
-		case controller.CloudRent:
-			result.Machines.Names, result.Status = c.scaleOut(request.Rental)
-		case controller.CloudDelete:
-			for _, name := range request.Machines.Names {
-				c.remove(name)
-			}
-		case controller.CloudList:
-			at := c.world.now - c.listDelay
-			if c.world.rng.Float64() < 0.1 {
-				at -= c.listDelay
-			}
-			var shown snapshot
-			for _, taken := range c.snapshots {
-				if taken.at <= at {
-					shown = taken
-				}
-			}
-			result.Page.Machines = shown.machines
-		}
-		answer(result)
+	call(c.world, caller, cloudHost, cloudTimeout, func(answer func(controller.CloudResult)) {
+		answer(c.serve(&request))
 	}, func(result controller.CloudResult, ok bool) {
 		if !ok {
 			result = controller.CloudResult{}
@@ -106,54 +103,97 @@
 	})
 }
 
-func (c *fakeCloud) scaleOut(request cloud.RentalRequest) ([]string, cloud.Status) {
-	if names, ok := c.scaleOuts[request.Name]; ok {
+func (c *fakeCloud) serve(request *controller.CloudCall) controller.CloudResult {
+	if c.down {
+		return controller.CloudResult{Status: cloud.StatusRefused}
+	}
+	result := controller.CloudResult{Status: cloud.StatusOK}
+	switch request.Op {
+	case controller.CloudCatalog:
+		result.Catalog.Types = c.machineTypes
+	case controller.CloudRent:
+		result.Machines.Names, result.Status = c.rent(request.Rental)
+	case controller.CloudDelete:
+		for _, name := range request.Machines.Names {
+			c.remove(name)
+		}
+	case controller.CloudList:
+		result.Page.Machines = c.staleList()
+	}
+	return result
+}
+
+// staleList is the list of machines as it was a while ago.
+func (c *fakeCloud) staleList() []cloud.ListedMachine {
+	at := c.world.now - listDelay
+	if c.world.rng.Float64() < staleListRate {
+		at -= listDelay
+	}
+	var shown snapshot
+	for _, taken := range c.snapshots {
+		if taken.at <= at {
+			shown = taken
+		}
+	}
+	return shown.machines
+}
+
+// rent creates machines, as many of those asked for as there are.
+func (c *fakeCloud) rent(request cloud.RentalRequest) (names []string, status cloud.Status) {
+	if names, ok := c.rentals[request.Name]; ok {
 		return names, cloud.StatusOK
 	}
-	key := offerKey(request.Type, request.Zone, request.Spot)
-	count := min(request.Count, c.available[key])
 	machineType := c.machineType(request.Type)
-	if machineType == nil || request.Count < 1 || request.Count > 50 {
+	if machineType == nil || request.Count < 1 || request.Count > maxRentalCount {
 		return nil, cloud.StatusRefused
 	}
+	wanted := offer{request.Type, request.Zone, request.Spot}
+	count := min(request.Count, c.available[wanted])
 	if count == 0 {
 		return nil, cloud.StatusRefused
 	}
-	c.available[key] -= count
-	var names []string
+	c.available[wanted] -= count
 	for range count {
-		name := c.create(request.Type, request.Zone, request.Spot)
+		name := c.create(wanted)
 		names = append(names, name)
-		if c.world.rng.Float64() < c.bootFailureRate {
-			continue
-		}
-		boot := units.FromSeconds(machineType.BootSeconds * (0.6 + 0.9*c.world.rng.Float64()) * c.bootFactor)
-		c.world.after(boot, func() { c.bootCompleted(name) })
+		c.boot(name, machineType)
 	}
-	c.scaleOuts[request.Name] = names
+	c.rentals[request.Name] = names
 	return names, cloud.StatusOK
 }
 
-func (c *fakeCloud) create(typ, zone string, spot bool) string {
+// create adds a machine to the list; it has not booted yet.
+func (c *fakeCloud) create(kind offer) string {
 	name := fmt.Sprintf("n-%06d", c.nextMachine)
 	c.nextMachine++
-	c.machines[name] = &machine{listed: cloud.ListedMachine{Name: name, Addr: name + ":9000", Type: typ, Zone: zone, Spot: spot, State: cloud.Starting}, createdAt: c.world.now}
+	listed := cloud.ListedMachine{Name: name, Addr: name + ":9000", Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, State: cloud.Starting}
+	c.machines[name] = &machine{listed: listed, createdAt: c.world.now}
 	return name
 }
 
+// boot lets a machine come up after a while, or never.
+func (c *fakeCloud) boot(name string, machineType *cloud.MachineType) {
+	if c.world.rng.Float64() < c.bootFailureRate {
+		return
+	}
+	duration := units.FromSeconds(machineType.BootSeconds * (0.6 + 0.9*c.world.rng.Float64()) * c.bootFactor)
+	c.world.after(duration, func() { c.bootCompleted(name) })
+}
+
+// bootCompleted starts the agent of a machine that has not been removed meanwhile.
 func (c *fakeCloud) bootCompleted(name string) {
-	listing := c.machines[name]
-	if listing == nil {
+	booted := c.machines[name]
+	if booted == nil {
 		return
 	}
-	listing.listed.State = cloud.Running
-	c.world.addWorker(name, listing.listed, c.machineType(listing.listed.Type))
+	booted.listed.State = cloud.Running
+	c.world.addWorker(name, booted.listed, c.machineType(booted.listed.Type))
 }
 
 // remove takes a machine away at once, with all that is on it.
 func (c *fakeCloud) remove(name string) {
-	if listing := c.machines[name]; listing != nil {
-		c.available[offerKey(listing.listed.Type, listing.listed.Zone, listing.listed.Spot)]++
+	if removed := c.machines[name]; removed != nil {
+		c.available[offer{removed.listed.Type, removed.listed.Zone, removed.listed.Spot}]++
 		delete(c.machines, name)
 	}
 	c.world.removeWorker(name)
@@ -162,9 +202,9 @@
 // crash stops a machine; the list shows it as running for a while.
 func (c *fakeCloud) crash(name string) {
 	c.world.removeWorker(name)
-	c.world.after(30*units.Second, func() {
-		if listing := c.machines[name]; listing != nil {
-			listing.listed.State = cloud.Failed
+	c.world.after(failureDetectionDelay, func() {
+		if crashed := c.machines[name]; crashed != nil {
+			crashed.listed.State = cloud.Failed
 		}
 	})
 }
--- /dev/null
+++ b/internal/simulator/events.go
@@ -0,0 +1,61 @@
+package simulator
+
+import (
+	"container/heap"
+
+	"frostdock.example/frostdock/internal/units"
+)
+
+// event is an action at a moment of simulated time.
+type event struct {
+	at       units.Micros
+	sequence int // orders the events of one moment as they were scheduled
+	action   func()
+}
+
+// eventQueue is a heap of events, the next one first.
+type eventQueue []event
+
+// Len is part of heap.Interface.
+func (q eventQueue) Len() int { return len(q) }
+
+// Less is part of heap.Interface.
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+}
+
+// Swap is part of heap.Interface.
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
+// Push is part of heap.Interface.
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+
+// Pop is part of heap.Interface.
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// at schedules an action; one for a time that has passed runs next.
+func (w *World) at(when units.Micros, action func()) {
+	w.scheduled++
+	heap.Push(&w.queue, event{max(when, w.now), w.scheduled, action})
+}
+
+func (w *World) after(delay units.Micros, action func()) { w.at(w.now+delay, action) }
+
+func (w *World) every(period units.Micros, action func()) {
+	w.after(period, func() { action(); w.every(period, action) })
+}
+
+// run plays all events until the given time.
+func (w *World) run(until units.Micros) {
+	for len(w.queue) > 0 && w.queue[0].at <= until {
+		next := heap.Pop(&w.queue).(event)
+		w.now = next.at
+		w.checker.now = w.now
+		next.action()
+	}
+	w.now = until
+}
--- /dev/null
+++ b/internal/simulator/faults.go
@@ -0,0 +1,190 @@
+package simulator
+
+import (
+	"fmt"
+
+	"frostdock.example/frostdock/internal/units"
+)
+
+// crashControllers crashes controllers and starts them again.
+type crashControllers struct {
+	names    []string
+	downtime units.Micros
+}
+
+func (f crashControllers) apply(w *World) error {
+	for _, name := range f.names {
+		process := w.findProcess(name)
+		if process == nil {
+			return fmt.Errorf("no node %q", name)
+		}
+		process.restartAfter(f.downtime)
+	}
+	return nil
+}
+
+// restartInTurn crashes all controllers, one after the other.
+type restartInTurn struct {
+	interval, downtime units.Micros
+	upgrade            bool // they come back with the present version
+}
+
+func (f restartInTurn) apply(w *World) error {
+	for i, process := range w.processes {
+		w.after(units.Micros(i)*f.interval, func() {
+			process.previousVersion = process.previousVersion && !f.upgrade
+			process.restartAfter(f.downtime)
+		})
+	}
+	return nil
+}
+
+// pauseController makes a controller stand still.
+type pauseController struct {
+	name     string
+	duration units.Micros
+}
+
+func (f pauseController) apply(w *World) error {
+	process := w.findProcess(f.name)
+	if process == nil {
+		return fmt.Errorf("no node %q", f.name)
+	}
+	process.pause(f.duration)
+	return nil
+}
+
+// partitionHosts interrupts the way between two kinds of host.
+type partitionHosts struct {
+	host, peer string // patterns
+	mode       partitionMode
+	duration   units.Micros
+}
+
+func (f partitionHosts) apply(w *World) error {
+	w.partitionHosts(f.host, f.peer, f.mode, f.duration)
+	return nil
+}
+
+// partitionRandomMachines cuts some machines off from everything.
+type partitionRandomMachines struct {
+	count    int
+	mode     partitionMode
+	duration units.Micros
+}
+
+func (f partitionRandomMachines) apply(w *World) error {
+	machines := map[string]bool{}
+	for _, worker := range w.randomWorkers(f.count) {
+		machines[worker.name] = true
+	}
+	w.partitionMachines(machines, f.mode, f.duration)
+	return nil
+}
+
+// partitionZone cuts a zone off from everything that is not in it.
+type partitionZone struct {
+	zone     string
+	mode     partitionMode
+	duration units.Micros
+}
+
+func (f partitionZone) apply(w *World) error {
+	w.partitionZone(f.zone, f.mode, f.duration)
+	return nil
+}
+
+// delayAnswers delays answers to worker heartbeats; direct commands are as fast as ever.
+type delayAnswers struct{ most, duration units.Micros }
+
+func (f delayAnswers) apply(w *World) error {
+	w.delayAnswers(f.most, f.duration)
+	return nil
+}
+
+// duplicateHeartbeats repeats some worker heartbeats, up to well over a lease later.
+type duplicateHeartbeats struct {
+	rate     float64
+	duration units.Micros
+}
+
+func (f duplicateHeartbeats) apply(w *World) error {
+	w.duplicateHeartbeats(f.rate, f.duration)
+	return nil
+}
+
+// refuseController makes the key-value store unavailable to one controller.
+type refuseController struct {
+	name     string
+	duration units.Micros
+}
+
+func (f refuseController) apply(w *World) error {
+	w.store.refuse(f.name, f.duration)
+	return nil
+}
+
+// storeOutage makes the key-value store unavailable to all.
+type storeOutage struct{ duration units.Micros }
+
+func (f storeOutage) apply(w *World) error {
+	w.store.startOutage(f.duration)
+	return nil
+}
+
+// lateCommits leaves some transactions without an answer and commits them seconds later.
+type lateCommits struct {
+	rate     float64
+	duration units.Micros
+}
+
+func (f lateCommits) apply(w *World) error {
+	w.store.commitLate(f.rate, f.duration)
+	return nil
+}
+
+// slowStore makes the key-value store take longer.
+type slowStore struct{ averageDelay, duration units.Micros }
+
+func (f slowStore) apply(w *World) error {
+	w.store.slowDown(f.averageDelay, f.duration)
+	return nil
+}
+
+// loseWatches makes a controller's watches tell nothing; all else is answered.
+type loseWatches struct {
+	name     string
+	duration units.Micros
+}
+
+func (f loseWatches) apply(w *World) error {
+	w.store.loseWatches(f.name, f.duration)
+	return nil
+}
+
+// cloudOutage makes the cloud unavailable.
+type cloudOutage struct{ duration units.Micros }
+
+func (f cloudOutage) apply(w *World) error {
+	w.cloud.startOutage(f.duration)
+	return nil
+}
+
+// cancelAtEnd has users cancel some jobs at the moment of their end.
+type cancelAtEnd struct {
+	rate     float64
+	duration units.Micros
+}
+
+func (f cancelAtEnd) apply(w *World) error {
+	w.users.cancelJobsAtEnd(f.rate, f.duration)
+	return nil
+}
+
+// invalidRequests has users send what no user should send.
+type invalidRequests struct{ duration units.Micros }
+
+func (f invalidRequests) apply(w *World) error {
+	w.users.sendInvalid(w.now + f.duration)
+	return nil
+}
--- /dev/null
+++ b/internal/simulator/parser_steps.go
@@ -0,0 +1,173 @@
+package simulator
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// stepParser turns the arguments of a step into the step.
+type stepParser struct {
+	isFault bool // the region is out of order until the step's duration has passed
+	parse   func(args *arguments) (step, error)
+}
+
+// userStep parses a step that is no fault.
+func userStep(parse func(args *arguments) (step, error)) stepParser { return stepParser{parse: parse} }
+
+// faultStep parses a fault from its arguments and its duration.
+func faultStep(parse func(args *arguments, duration units.Micros) step) stepParser {
+	return stepParser{isFault: true, parse: func(args *arguments) (step, error) { return parse(args, args.faultDuration()), nil }}
+}
+
+// stepParsers are the steps, by their word.
+var stepParsers = map[string]stepParser{
+	"submit":     userStep(parseSubmission),
+	"cancel":     userStep(func(args *arguments) (step, error) { return cancelJob{args.word(0)}, nil }),
+	"repeat":     userStep(func(args *arguments) (step, error) { return resubmitJob{args.word(0), args.flag("broken")}, nil }),
+	"cancel_now": userStep(parseCancelRunning),
+	"limits":     userStep(func(*arguments) (step, error) { return applyNextLimits{}, nil }),
+
+	"crash":   faultStep(parseCrash),
+	"roll":    faultStep(parseRoll),
+	"upgrade": faultStep(parseUpgrade),
+	"freeze":  faultStep(func(args *arguments, duration units.Micros) step { return pauseController{args.word(0), duration} }),
+
+	"cut":          faultStep(parseHostPartition),
+	"lose":         faultStep(parseMachinePartition),
+	"zonecut":      faultStep(parseZonePartition),
+	"slow_answers": faultStep(parseDelayedAnswers),
+	"late_reports": faultStep(parseDuplicateHeartbeats),
+
+	"refuse": faultStep(func(args *arguments, duration units.Micros) step { return refuseController{args.word(0), duration} }),
+	"outage": faultStep(func(_ *arguments, duration units.Micros) step { return storeOutage{duration} }),
+	"late_writes": faultStep(func(args *arguments, duration units.Micros) step {
+		return lateCommits{args.number("share", 0.3), duration}
+	}),
+	"slow_state": faultStep(func(args *arguments, duration units.Micros) step {
+		return slowStore{args.duration("by", 0.5), duration}
+	}),
+	"blind":        faultStep(func(args *arguments, duration units.Micros) step { return loseWatches{args.word(0), duration} }),
+	"cloud_outage": faultStep(func(_ *arguments, duration units.Micros) step { return cloudOutage{duration} }),
+
+	"cancel_at_end": faultStep(func(args *arguments, duration units.Micros) step {
+		return cancelAtEnd{args.number("share", 0.5), duration}
+	}),
+	"odd": faultStep(func(_ *arguments, duration units.Micros) step { return invalidRequests{duration} }),
+
+	"die":    faultStep(machineFaultParser(func(*arguments, units.Micros) machineFault { return crashMachine{} })),
+	"hang":   faultStep(machineFaultParser(func(_ *arguments, duration units.Micros) machineFault { return hangMachine{duration} })),
+	"sick":   faultStep(machineFaultParser(func(_ *arguments, duration units.Micros) machineFault { return failTasks{duration} })),
+	"slow":   faultStep(machineFaultParser(func(args *arguments, _ units.Micros) machineFault { return slowTasks{args.number("factor", 4)} })),
+	"reboot": faultStep(machineFaultParser(func(*arguments, units.Micros) machineFault { return rebootMachine{} })),
+	"take":   faultStep(machineFaultParser(func(*arguments, units.Micros) machineFault { return reclaimMachine{} })),
+	"notice": faultStep(machineFaultParser(func(_ *arguments, duration units.Micros) machineFault { return interruptSpot{duration} })),
+}
+
+// partitionModes are the modes of a network partition between hosts, by their word.
+var partitionModes = map[string]partitionMode{
+	"drop": dropMessages,
+	"hold": delayRequests,
+	"deaf": dropInbound,
+	"mute": dropInboundRequests,
+}
+
+// twoWayModes are the modes of a network partition that has no direction.
+var twoWayModes = map[string]partitionMode{"drop": dropMessages, "hold": delayRequests}
+
+// priorities are the grades of jobs, by their word.
+var priorities = map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
+
+func parseCrash(args *arguments, duration units.Micros) step {
+	return crashControllers{names: strings.Split(args.word(0), ","), downtime: duration}
+}
+
+func parseRoll(args *arguments, duration units.Micros) step {
+	return restartInTurn{interval: args.duration("every", 20), downtime: duration}
+}
+
+func parseUpgrade(args *arguments, duration units.Micros) step {
+	return restartInTurn{interval: args.duration("every", 20), downtime: duration, upgrade: true}
+}
+
+func parseHostPartition(args *arguments, duration units.Micros) step {
+	return partitionHosts{host: args.word(0), peer: args.word(1), mode: choice(args, "mode", "drop", partitionModes), duration: duration}
+}
+
+func parseMachinePartition(args *arguments, duration units.Micros) step {
+	return partitionRandomMachines{count: args.count("n", 1), mode: choice(args, "mode", "drop", twoWayModes), duration: duration}
+}
+
+func parseZonePartition(args *arguments, duration units.Micros) step {
+	return partitionZone{zone: args.word(0), mode: choice(args, "mode", "drop", twoWayModes), duration: duration}
+}
+
+func parseDelayedAnswers(args *arguments, duration units.Micros) step {
+	return delayAnswers{most: args.duration("by", 3), duration: duration}
+}
+
+func parseDuplicateHeartbeats(args *arguments, duration units.Micros) step {
+	return duplicateHeartbeats{rate: args.number("share", 0.3), duration: duration}
+}
+
+func parseCancelRunning(args *arguments) (step, error) {
+	return cancelRunning{count: args.count("count", 8), hang: args.duration("hang", 0)}, nil
+}
+
+// machineFaultParser parses a fault and the machines that have it: one by its name, the busiest, or
+// some that are drawn.
+func machineFaultParser(parse func(args *arguments, duration units.Micros) machineFault) func(*arguments, units.Micros) step {
+	return func(args *arguments, duration units.Micros) step {
+		name := args.word(0)
+		return faultyMachines{name: name, random: name == "any", count: args.count("n", 1), fault: parse(args, duration)}
+	}
+}
+
+func parseSubmission(args *arguments) (step, error) {
+	first := args.word(0)
+	number, err := strconv.Atoi(strings.TrimPrefix(first, "j-"))
+	if err != nil {
+		return nil, fmt.Errorf("bad id %q", first)
+	}
+	return submitJobs{
+		firstNumber:  number,
+		count:        args.count("count", 1),
+		spec:         parseJob(args),
+		failing:      args.flag("broken"),
+		ignoresNeeds: args.flag("atonce"),
+	}, nil
+}
+
+// parseJob reads a job without its id.
+func parseJob(args *arguments) schema.Job {
+	service := choice(args, "kind", "array", map[string]bool{"array": false, "service": true})
+	defaultGrade := "standard"
+	if service {
+		defaultGrade = "production"
+	}
+	return schema.Job{
+		Class:                     args.text("class", "c"),
+		Team:                      args.text("team", "red"),
+		Service:                   service,
+		Priority:                  choice(args, "grade", defaultGrade, priorities),
+		Tasks:                     args.count("n", 1),
+		CPUs:                      args.number("cpus", 2),
+		GPUs:                      args.number("gpus", 0),
+		MemGB:                     args.number("mem", 4),
+		Types:                     args.list("types"),
+		Zone:                      args.text("zone", ""),
+		OneZone:                   args.flag("onezone"),
+		Spread:                    args.flag("spread"),
+		Spot:                      args.flag("spot"),
+		Image:                     args.text("image", "img"),
+		ImageGB:                   args.number("gb", 1),
+		EstimatedSeconds:          args.number("run", 20),
+		CheckpointIntervalSeconds: args.number("ckpt", 0),
+		CheckpointSeconds:         args.number("save", 0),
+		DeadlineSeconds:           args.number("due", 0),
+		Needs:                     args.list("needs"),
+	}
+}
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"maps"
+	"slices"
 	"sort"
 	"strings"
 
@@ -12,30 +14,39 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeStore is the state service.
+const (
+	storeTimeout      = 1500 * units.Millisecond
+	watchGrace        = 5 * units.Second // a watch's timeout, beyond how long it waits
+	leaseExpiryPeriod = 50 * units.Millisecond
+	listPageSize      = 20 // small, so that paging is exercised
+	bytesPerKB        = 1024
+)
+
+// fakeStore is the key-value store. It enforces the limits that the settings give.
 type fakeStore struct {
-	world            *World
-	rev              uint64
-	keys             map[string]*storedValue
-	leases           map[uint64]*lease
-	lastLease        uint64
-	log              []kv.Event
-	watches          []*watch
-	down             bool
-	unavailableUntil map[string]units.Micros // nodes that alone get 503, until when
-	requestBudget    tokenBucket
-	writeBudget      tokenBucket
-	txnsBeforeGate   map[*kv.Txn]bool // transactions that were first sent before the gate was raised
-	oversizedTxns    int              // of the others, how often one broke a limit of sizes
+	world     *World
+	revision  uint64
+	keys      map[string]*storedValue
+	leases    map[uint64]*storeLease
+	lastLease uint64
+
+	log           []kv.Event // the last changes, for watches
+	historyLength int        // how many of them are kept
+	compactedRev  uint64     // up to this revision they are not kept any more
+	watches       []*watch
 
-	historyLength int    // changes kept for watches
-	compactedRev  uint64 // revision up to which changes are no longer kept
+	limits        config.KVLimits
+	requestBudget tokenBucket
+	writeBudget   tokenBucket
 
-	limits config.KVLimits // sizes that it takes
+	txnsBeforeGate map[*kv.Txn]bool // those that were first sent before the format was raised
+	oversizedTxns  int              // how often one of the others broke a limit of sizes
 
-	lateCommitRate   float64                 // chance that a transaction gets no answer and is carried out late
-	maxDelay         units.Micros            // how much longer than usual each answer takes
-	watchesLostUntil map[string]units.Micros // nodes whose watches tell nothing, until when
+	down             bool
+	unavailableUntil map[string]units.Micros // by controller
+	watchesLostUntil map[string]units.Micros // by controller
+	lateCommitRate   float64                 // chance that a transaction gets no answer and is committed late
+	averageDelay     units.Micros            // how much longer than usual each answer takes
 }
 
 type storedValue struct {
@@ -44,297 +55,228 @@
 	lease    uint64
 }
 
-// textUnder is all values under a prefix.
-func (s *fakeStore) textUnder(prefix string) string {
-	var text strings.Builder
-	for key, stored := range s.keys {
-		if strings.HasPrefix(key, prefix) {
-			text.Write(schema.PlainJSON(stored.value))
-		}
-	}
-	return text.String()
-}
-
-type lease struct {
+type storeLease struct {
 	ttl       units.Micros
 	expiresAt units.Micros
 }
 
-type watch struct {
-	prefix  string
-	since   uint64
-	process string
-	answer  func(kv.Response)
-}
-
+// tokenBucket limits a rate; it keeps what a second leaves unused for the next.
 type tokenBucket struct {
 	rate, level float64
-	at          units.Micros
+	updatedAt   units.Micros
 }
 
-func (b *tokenBucket) take(now units.Micros, n float64) bool {
-	b.level = min(b.rate, b.level+b.rate*(now-b.at).Seconds())
-	b.at = now
-	if b.level < n {
+func (b *tokenBucket) take(now units.Micros, tokens float64) bool {
+	b.level = min(b.rate, b.level+b.rate*(now-b.updatedAt).Seconds())
+	b.updatedAt = now
+	if b.level < tokens {
 		return false
 	}
-	b.level -= n
+	b.level -= tokens
 	return true
 }
 
-func newStore(w *World) *fakeStore {
-	s := &fakeStore{world: w, keys: map[string]*storedValue{}, leases: map[uint64]*lease{}, unavailableUntil: map[string]units.Micros{}, watchesLostUntil: map[string]units.Micros{},
-		txnsBeforeGate: map[*kv.Txn]bool{},
-		requestBudget:  tokenBucket{rate: 250}, writeBudget: tokenBucket{rate: 25}, historyLength: 10000}
-	w.every(50*units.Millisecond, s.expire)
+func newStore(w *World, limits config.KVLimits, historyLength int) *fakeStore {
+	s := &fakeStore{
+		world:            w,
+		keys:             map[string]*storedValue{},
+		leases:           map[uint64]*storeLease{},
+		historyLength:    historyLength,
+		txnsBeforeGate:   map[*kv.Txn]bool{},
+		requestBudget:    tokenBucket{rate: limits.RPS},
+		unavailableUntil: map[string]units.Micros{},
+		watchesLostUntil: map[string]units.Micros{},
+	}
+	s.setLimits(limits)
+	w.every(leaseExpiryPeriod, s.expireLeases)
 	return s
 }
 
-// call serves one call of a node.
-func (s *fakeStore) call(caller string, request controller.StoreCall, done func(controller.StoreResult)) {
-	if request.Request.Kind == kv.Transact && !s.gateRaised() {
-		s.txnsBeforeGate[request.Request.Txn] = true
-	}
-	limit := 1500 * units.Millisecond
-	if request.Request.Kind == kv.Watch {
-		limit = units.Micros(request.Request.WaitMillis)*units.Millisecond + 5*units.Second
-	}
-	call(s.world, caller, "state", limit, func(answer func(kv.Response)) {
-		if request.Request.Kind == kv.Transact && s.lateCommitRate > 0 && s.world.rng.Float64() < s.lateCommitRate {
-			s.world.after(units.FromSeconds(2+10*s.world.rng.Float64()), func() { s.serve(caller, &request.Request, func(kv.Response) {}) })
-			return
+// setLimits puts limits of sizes and writes into force.
+func (s *fakeStore) setLimits(limits config.KVLimits) {
+	s.limits = limits
+	s.writeBudget.rate = limits.WriteRPS
+}
+
+// startOutage makes the store unavailable to all for a while. Afterwards each lease has its full time
+// again.
+func (s *fakeStore) startOutage(duration units.Micros) {
+	s.down = true
+	s.world.after(duration, func() {
+		s.down = false
+		for _, lease := range s.leases {
+			lease.expiresAt = s.world.now + lease.ttl
 		}
-		if s.maxDelay > 0 {
-			s.world.after(units.Micros(s.world.rng.Int64N(int64(2*s.maxDelay))), func() { s.serve(caller, &request.Request, answer) })
-			return
+		s.notifyWatches()
+	})
+}
+
+// refuse makes the store unavailable to one controller for a while.
+func (s *fakeStore) refuse(caller string, duration units.Micros) {
+	s.unavailableUntil[caller] = s.world.now + duration
+}
+
+// loseWatches makes a controller's watches tell nothing for a while.
+func (s *fakeStore) loseWatches(caller string, duration units.Micros) {
+	s.watchesLostUntil[caller] = s.world.now + duration
+}
+
+// commitLate leaves some transactions without an answer for a while, and commits them seconds later.
+func (s *fakeStore) commitLate(rate float64, duration units.Micros) {
+	s.lateCommitRate = rate
+	s.world.after(duration, func() { s.lateCommitRate = 0 })
+}
+
+// slowDown makes all answers take longer for a while.
+func (s *fakeStore) slowDown(averageDelay, duration units.Micros) {
+	s.averageDelay = averageDelay
+	s.world.after(duration, func() { s.averageDelay = 0 })
+}
+
+func (s *fakeStore) unavailable(caller string) bool {
+	return s.down || s.world.now < s.unavailableUntil[caller]
+}
+
+// sortedKeys lists all keys.
+func (s *fakeStore) sortedKeys() []string { return slices.Sorted(maps.Keys(s.keys)) }
+
+// textUnder is all values under a prefix, decompressed.
+func (s *fakeStore) textUnder(prefix string) string {
+	var text strings.Builder
+	for _, key := range s.sortedKeys() {
+		if strings.HasPrefix(key, prefix) {
+			text.Write(schema.PlainJSON(s.keys[key].value))
 		}
-		s.serve(caller, &request.Request, answer)
+	}
+	return text.String()
+}
+
+// call serves a controller's request across the network.
+func (s *fakeStore) call(caller string, storeCall controller.StoreCall, done func(controller.StoreResult)) {
+	request := &storeCall.Request
+	if request.Kind == kv.Transact && !s.formatRaised() {
+		s.txnsBeforeGate[request.Txn] = true
+	}
+	timeout := storeTimeout
+	if request.Kind == kv.Watch {
+		timeout = units.Micros(request.WaitMillis)*units.Millisecond + watchGrace
+	}
+	call(s.world, caller, storeHost, timeout, func(answer func(kv.Response)) {
+		s.receive(caller, request, answer)
 	}, func(response kv.Response, ok bool) {
 		if !ok {
 			response = kv.Response{}
 		}
-		done(controller.StoreResult{CallID: request.CallID, Response: response})
+		done(controller.StoreResult{CallID: storeCall.CallID, Response: response})
 	})
 }
 
-func (s *fakeStore) unavailable(caller string) bool {
-	return s.down || s.world.now < s.unavailableUntil[caller]
+// receive serves a request at once or, under a fault, later.
+func (s *fakeStore) receive(caller string, request *kv.Request, answer func(kv.Response)) {
+	w := s.world
+	switch {
+	case request.Kind == kv.Transact && s.lateCommitRate > 0 && w.rng.Float64() < s.lateCommitRate:
+		w.after(units.FromSeconds(2+10*w.rng.Float64()), func() { s.serve(caller, request, func(kv.Response) {}) })
+	case s.averageDelay > 0:
+		w.after(units.Micros(w.rng.Int64N(int64(2*s.averageDelay))), func() { s.serve(caller, request, answer) })
+	default:
+		s.serve(caller, request, answer)
+	}
 }
 
 func (s *fakeStore) serve(caller string, request *kv.Request, answer func(kv.Response)) {
-	now := s.world.now
 	if s.unavailable(caller) {
 		answer(kv.Response{Status: kv.StatusUnavailable})
 		return
 	}
-	if !s.requestBudget.take(now, 1) {
+	if !s.requestBudget.take(s.world.now, 1) {
 		answer(kv.Response{Status: kv.StatusThrottled})
 		return
 	}
 	switch request.Kind {
 	case kv.Get:
-		if stored := s.keys[request.Key]; stored != nil {
-			answer(kv.Response{Status: kv.StatusOK, Key: request.Key, Value: stored.value, ModRevision: stored.revision})
-		} else {
-			answer(kv.Response{Status: kv.StatusNotFound, Revision: s.rev})
-		}
+		answer(s.get(request.Key))
 	case kv.List:
 		answer(s.list(request))
 	case kv.Transact:
-		answer(s.commit(request.Txn))
+		answer(s.transact(request.Txn))
 	case kv.GrantLease:
-		s.lastLease++
-		ttl := units.Micros(request.TTLMillis) * units.Millisecond
-		s.leases[s.lastLease] = &lease{ttl, now + ttl}
-		answer(kv.Response{Status: kv.StatusOK, LeaseID: s.lastLease})
+		answer(s.grantLease(units.Micros(request.TTLMillis) * units.Millisecond))
 	case kv.RenewLease:
-		current := s.leases[request.LeaseID]
-		if current == nil {
-			answer(kv.Response{Status: kv.StatusNotFound})
-			return
-		}
-		current.expiresAt = now + current.ttl
-		answer(kv.Response{Status: kv.StatusOK})
+		answer(s.renewLease(request.LeaseID))
 	case kv.Watch:
-		if request.Revision < s.compactedRev {
-			answer(kv.Response{Status: kv.StatusCompacted})
-			return
-		}
-		target := &watch{request.Key, request.Revision, caller, answer}
-		s.watches = append(s.watches, target)
-		s.world.after(units.Micros(request.WaitMillis)*units.Millisecond, func() { s.answerWatch(target, true) })
-		s.notify()
+		s.watch(caller, request, answer)
 	}
 }
 
+func (s *fakeStore) get(key string) kv.Response {
+	stored := s.keys[key]
+	if stored == nil {
+		return kv.Response{Status: kv.StatusNotFound, Revision: s.revision}
+	}
+	return kv.Response{Status: kv.StatusOK, Key: key, Value: stored.value, ModRevision: stored.revision}
+}
+
+// list answers with one page of the keys under a prefix.
 func (s *fakeStore) list(request *kv.Request) kv.Response {
-	var names []string
+	var keys []string
 	for key := range s.keys {
 		if strings.HasPrefix(key, request.Key) && key > request.After {
-			names = append(names, key)
+			keys = append(keys, key)
 		}
 	}
-	sort.Strings(names)
-	response := kv.Response{Status: kv.StatusOK, Revision: s.rev}
-	if len(names) > 20 { // small pages, so that paging is exercised
-		names, response.Truncated = names[:20], true
+	sort.Strings(keys)
+	response := kv.Response{Status: kv.StatusOK, Revision: s.revision}
+	if len(keys) > listPageSize {
+		keys, response.Truncated = keys[:listPageSize], true
 	}
-	for _, key := range names {
+	for _, key := range keys {
 		response.Items = append(response.Items, kv.KeyValue{Key: key, Value: s.keys[key].value, ModRevision: s.keys[key].revision})
 	}
 	return response
 }
 
-// gateRaised reports whether the documents may have the present format: from then on nothing
-// may be larger than the announced limits.
-func (s *fakeStore) gateRaised() bool {
-	stored := s.keys[schema.LayoutKey]
-	var layout schema.Layout
-	return stored != nil && json.Unmarshal(stored.value, &layout) == nil && layout.Format >= schema.FormatDependencies
+func (s *fakeStore) grantLease(ttl units.Micros) kv.Response {
+	s.lastLease++
+	s.leases[s.lastLease] = &storeLease{ttl, s.world.now + ttl}
+	return kv.Response{Status: kv.StatusOK, LeaseID: s.lastLease}
 }
 
-// tooLarge reports whether a transaction breaks a limit of sizes.
-func (s *fakeStore) tooLarge(txn *kv.Txn) bool {
-	if len(txn.Operations) > s.limits.TxnOps || len(txn.Conditions) > 4*s.limits.TxnOps {
-		return true
+func (s *fakeStore) renewLease(id uint64) kv.Response {
+	lease := s.leases[id]
+	if lease == nil {
+		return kv.Response{Status: kv.StatusNotFound}
 	}
-	size := 0
-	for _, op := range txn.Operations {
-		size += len(op.Set) + len(op.Delete) + len(op.Value)
-		if float64(len(op.Value)) > s.limits.ValueKB*1024 {
-			return true
-		}
-	}
-	return size > maxTxnBytes
+	lease.expiresAt = s.world.now + lease.ttl
+	return kv.Response{Status: kv.StatusOK}
 }
 
-// maxTxnBytes is how large a transaction may be.
-const maxTxnBytes = 64 << 10
-
-func (s *fakeStore) commit(txn *kv.Txn) kv.Response {
-	if s.tooLarge(txn) {
-		if !s.txnsBeforeGate[txn] {
-			s.oversizedTxns++
-		}
-		return kv.Response{Status: kv.StatusMalformed}
-	}
-	if len(txn.Operations) > 0 && !s.writeBudget.take(s.world.now, float64(len(txn.Operations))) {
-		return kv.Response{Status: kv.StatusThrottled}
-	}
-	var failed []string
-	for _, condition := range txn.Conditions {
-		var revision uint64
-		if stored := s.keys[condition.Key]; stored != nil {
-			revision = stored.revision
-		}
-		if revision != condition.ModRevision {
-			failed = append(failed, condition.Key)
-		}
-	}
-	if len(failed) > 0 {
-		return kv.Response{Status: kv.StatusConflict, Revision: s.rev, FailedKeys: failed}
-	}
-	for _, op := range txn.Operations {
-		if op.Set != "" && op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
-			return kv.Response{Status: kv.StatusMalformed}
-		}
-	}
-	if len(txn.Operations) == 0 {
-		return kv.Response{Status: kv.StatusOK, Revision: s.rev}
-	}
-	s.rev++
-	for _, op := range txn.Operations {
-		if op.Set != "" {
-			s.keys[op.Set] = &storedValue{op.Value, s.rev, op.LeaseID}
-			s.log = append(s.log, kv.Event{Set: op.Set, Value: op.Value, ModRevision: s.rev})
-		} else if s.keys[op.Delete] != nil {
-			delete(s.keys, op.Delete)
-			s.log = append(s.log, kv.Event{Delete: op.Delete, ModRevision: s.rev})
-		}
-	}
-	if len(s.log) > s.historyLength {
-		s.compactedRev = s.log[len(s.log)-s.historyLength-1].ModRevision
-		s.log = append([]kv.Event{}, s.log[len(s.log)-s.historyLength:]...)
-	}
-	s.notify()
-	return kv.Response{Status: kv.StatusOK, Revision: s.rev}
-}
-
-// expire ends leases; after an outage each has its full time again.
-func (s *fakeStore) expire() {
+// expireLeases ends leases whose time is over, with their keys; none during an outage.
+func (s *fakeStore) expireLeases() {
 	if s.down {
 		return
 	}
-	for leaseID := uint64(1); leaseID <= s.lastLease; leaseID++ {
-		current := s.leases[leaseID]
-		if current == nil || s.world.now < current.expiresAt {
-			continue
-		}
-		delete(s.leases, leaseID)
-		var keys []string
-		for key, stored := range s.keys {
-			if stored.lease == leaseID {
-				keys = append(keys, key)
-			}
-		}
-		sort.Strings(keys)
-		for _, key := range keys {
-			s.rev++
-			delete(s.keys, key)
-			s.log = append(s.log, kv.Event{Delete: key, ModRevision: s.rev})
+	for id := uint64(1); id <= s.lastLease; id++ {
+		if lease := s.leases[id]; lease != nil && s.world.now >= lease.expiresAt {
+			delete(s.leases, id)
+			s.deleteKeysOf(id)
 		}
 	}
-	s.notify()
+	s.notifyWatches()
 }
 
-func (s *fakeStore) startOutage(duration units.Micros) {
-	s.down = true
-	s.world.after(duration, func() {
-		s.down = false
-		for _, lease := range s.leases {
-			lease.expiresAt = s.world.now + lease.ttl
-		}
-		s.notify()
-	})
-}
-
-func (s *fakeStore) notify() {
-	for _, target := range append([]*watch{}, s.watches...) {
-		s.answerWatch(target, false)
-	}
-}
-
-func (s *fakeStore) answerWatch(target *watch, timeUp bool) {
-	if s.unavailable(target.process) && !timeUp || s.world.now < s.watchesLostUntil[target.process] {
-		return // a blind node's watch is a connection that died without a sign
-	}
-	index := -1
-	for i, other := range s.watches {
-		if other == target {
-			index = i
-		}
-	}
-	if index < 0 {
-		return
-	}
-	response := kv.Response{Status: kv.StatusOK, Revision: s.rev}
-	if s.unavailable(target.process) {
-		response.Revision = target.since // nothing new is told
-	} else if target.since < s.compactedRev {
-		s.watches = append(s.watches[:index], s.watches[index+1:]...)
-		target.answer(kv.Response{Status: kv.StatusCompacted})
-		return
-	} else {
-		i := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > target.since })
-		for _, change := range s.log[i:] {
-			if strings.HasPrefix(change.Set+change.Delete, target.prefix) {
-				response.Events = append(response.Events, change)
-			}
+// deleteKeysOf removes the keys that were stored under a lease.
+func (s *fakeStore) deleteKeysOf(lease uint64) {
+	var keys []string
+	for key, stored := range s.keys {
+		if stored.lease == lease {
+			keys = append(keys, key)
 		}
 	}
-	if len(response.Events) == 0 && !timeUp {
-		return
+	sort.Strings(keys)
+	for _, key := range keys {
+		s.revision++
+		delete(s.keys, key)
+		s.log = append(s.log, kv.Event{Delete: key, ModRevision: s.revision})
 	}
-	s.watches = append(s.watches[:index], s.watches[index+1:]...)
-	target.answer(response)
 }
--- /dev/null
+++ b/internal/simulator/store_txn.go
@@ -0,0 +1,108 @@
+package simulator
+
+import (
+	"encoding/json"
+
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+)
+
+// maxTxnBytes is how large a transaction may be.
+const maxTxnBytes = 64 << 10
+
+// transact commits a transaction if its conditions hold and it keeps to the limits.
+func (s *fakeStore) transact(txn *kv.Txn) kv.Response {
+	if s.tooLarge(txn) {
+		if !s.txnsBeforeGate[txn] {
+			s.oversizedTxns++
+		}
+		return kv.Response{Status: kv.StatusMalformed}
+	}
+	if len(txn.Operations) > 0 && !s.writeBudget.take(s.world.now, float64(len(txn.Operations))) {
+		return kv.Response{Status: kv.StatusThrottled}
+	}
+	if failed := s.failedConditions(txn); len(failed) > 0 {
+		return kv.Response{Status: kv.StatusConflict, Revision: s.revision, FailedKeys: failed}
+	}
+	if s.namesExpiredLease(txn) {
+		return kv.Response{Status: kv.StatusMalformed}
+	}
+	if len(txn.Operations) > 0 {
+		s.commit(txn.Operations)
+	}
+	return kv.Response{Status: kv.StatusOK, Revision: s.revision}
+}
+
+// tooLarge reports whether a transaction breaks a limit of sizes.
+func (s *fakeStore) tooLarge(txn *kv.Txn) bool {
+	if len(txn.Operations) > s.limits.TxnOps || len(txn.Conditions) > 4*s.limits.TxnOps {
+		return true
+	}
+	size := 0
+	for i := range txn.Operations {
+		op := &txn.Operations[i]
+		size += len(op.Set) + len(op.Delete) + len(op.Value)
+		if float64(len(op.Value)) > s.limits.ValueKB*bytesPerKB {
+			return true
+		}
+	}
+	return size > maxTxnBytes
+}
+
+// failedConditions lists the keys whose revision is another than the transaction requires.
+func (s *fakeStore) failedConditions(txn *kv.Txn) []string {
+	var failed []string
+	for _, condition := range txn.Conditions {
+		var revision uint64
+		if stored := s.keys[condition.Key]; stored != nil {
+			revision = stored.revision
+		}
+		if revision != condition.ModRevision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// namesExpiredLease reports whether a transaction stores a key under a lease that is over.
+func (s *fakeStore) namesExpiredLease(txn *kv.Txn) bool {
+	for i := range txn.Operations {
+		if op := &txn.Operations[i]; op.Set != "" && op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
+			return true
+		}
+	}
+	return false
+}
+
+// commit applies operations at one new revision.
+func (s *fakeStore) commit(operations []kv.Operation) {
+	s.revision++
+	for _, op := range operations {
+		if op.Set != "" {
+			s.keys[op.Set] = &storedValue{op.Value, s.revision, op.LeaseID}
+			s.log = append(s.log, kv.Event{Set: op.Set, Value: op.Value, ModRevision: s.revision})
+		} else if s.keys[op.Delete] != nil {
+			delete(s.keys, op.Delete)
+			s.log = append(s.log, kv.Event{Delete: op.Delete, ModRevision: s.revision})
+		}
+	}
+	s.compactLog()
+	s.notifyWatches()
+}
+
+// compactLog forgets the oldest changes.
+func (s *fakeStore) compactLog() {
+	excess := len(s.log) - s.historyLength
+	if excess > 0 {
+		s.compactedRev = s.log[excess-1].ModRevision
+		s.log = append([]kv.Event{}, s.log[excess:]...)
+	}
+}
+
+// formatRaised reports whether the documents may have the present format: from then on nothing may be
+// larger than the announced limits.
+func (s *fakeStore) formatRaised() bool {
+	stored := s.keys[schema.LayoutKey]
+	var layout schema.Layout
+	return stored != nil && json.Unmarshal(stored.value, &layout) == nil && layout.Format >= schema.FormatDependencies
+}
--- /dev/null
+++ b/internal/simulator/store_watch.go
@@ -0,0 +1,76 @@
+package simulator
+
+import (
+	"slices"
+	"sort"
+	"strings"
+
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// watch is a request that waits for changes under a prefix.
+type watch struct {
+	prefix string
+	since  uint64 // the revision up to which the caller knows everything
+	caller string
+	answer func(kv.Response)
+}
+
+// watch answers at the next change under a prefix, or when the caller's time is up.
+func (s *fakeStore) watch(caller string, request *kv.Request, answer func(kv.Response)) {
+	if request.Revision < s.compactedRev {
+		answer(kv.Response{Status: kv.StatusCompacted})
+		return
+	}
+	waiting := &watch{request.Key, request.Revision, caller, answer}
+	s.watches = append(s.watches, waiting)
+	s.world.after(units.Micros(request.WaitMillis)*units.Millisecond, func() { s.answerWatch(waiting, true) })
+	s.notifyWatches()
+}
+
+// notifyWatches answers all watches for which there is news.
+func (s *fakeStore) notifyWatches() {
+	for _, waiting := range slices.Clone(s.watches) {
+		s.answerWatch(waiting, false)
+	}
+}
+
+// answerWatch answers a watch, unless it was answered before or there is nothing to tell yet.
+func (s *fakeStore) answerWatch(waiting *watch, timeUp bool) {
+	unavailable := s.unavailable(waiting.caller)
+	if unavailable && !timeUp || s.world.now < s.watchesLostUntil[waiting.caller] {
+		return // a lost watch is a connection that died without a sign
+	}
+	index := slices.Index(s.watches, waiting)
+	if index < 0 {
+		return
+	}
+	response := kv.Response{Status: kv.StatusOK, Revision: s.revision}
+	switch {
+	case unavailable:
+		response.Revision = waiting.since // nothing new is told
+	case waiting.since < s.compactedRev:
+		response = kv.Response{Status: kv.StatusCompacted}
+	default:
+		response.Events = s.changesFor(waiting)
+	}
+	if response.Status == kv.StatusOK && len(response.Events) == 0 && !timeUp {
+		return
+	}
+	s.watches = slices.Delete(s.watches, index, index+1)
+	waiting.answer(response)
+}
+
+// changesFor lists the changes that a watch has not told yet.
+func (s *fakeStore) changesFor(waiting *watch) []kv.Event {
+	var changes []kv.Event
+	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > waiting.since })
+	for i := first; i < len(s.log); i++ {
+		change := &s.log[i]
+		if strings.HasPrefix(change.Set+change.Delete, waiting.prefix) {
+			changes = append(changes, *change)
+		}
+	}
+	return changes
+}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -1,7 +1,9 @@
 package simulator
 
 import (
+	"errors"
 	"fmt"
+	"net/http"
 	"sort"
 
 	"frostdock.example/frostdock/internal/controller"
@@ -9,33 +11,65 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeUsers submit jobs, ask about them and cancel some.
+const (
+	submitTimeout      = 5 * units.Second
+	cancelTimeout      = 5 * units.Second
+	pollTimeout        = 2 * units.Second
+	connectFailureTime = 100 * units.Millisecond // until a user knows that no controller is healthy
+	retryDelay         = units.Second
+	submissionPatience = 60 * units.Second      // how long a user goes on submitting
+	dependencyDelay    = 20 * units.Millisecond // between looks at whether the jobs that one needs are accepted
+	minPollDelay       = 4 * units.Second
+	pollDelaySpread    = 2 * units.Second
+	pollDelayWhenOver  = 30 * units.Second // users may ask again at any later time
+)
+
+// errMalformed is what the controller is given in place of a body that can't be read.
+var errMalformed = errors.New("malformed")
+
+// statusNone stands for a request that got no answer.
+const statusNone = 0
+
+// fakeUsers submit jobs, poll them and cancel some.
 type fakeUsers struct {
 	world *World
-	jobs  map[string]*userJob
+	jobs  map[string]*userJob // by id
 
-	cancelAtEnd float64 // chance that a job is called off at the moment of its end
-	invalidJobs int
+	cancelAtEndRate float64 // chance that a job is cancelled at the moment of its end
+	invalidJobs     int     // submitted so far
 }
 
+// userJob is a job as its user knows it.
 type userJob struct {
 	spec            schema.Job
 	runSeconds      float64
-	failing         bool // submitted with a mistake: it fails everywhere
-	acceptedAt      units.Micros
-	doneAt          units.Micros
-	stage           string
-	rejectedStatus  int
+	failing         bool // its program has a mistake: it fails everywhere
+	ignoresNeeds    bool // it is submitted though the jobs that it needs are not known to be accepted
+	rejectReason    rejectReason
 	submittedAt     units.Micros // when it was last submitted
+	acceptedAt      units.Micros
+	rejectedStatus  int // with which it was refused for good; 0: it was not
 	cancelRequested bool
-	rejectReason    string // why it must not be accepted
-	ignoresNeeds    bool   // it is submitted though the jobs that it names are not known to be accepted
+	stage           string // the last that its user was told
+}
+
+// over reports whether the job's user was told that it has ended.
+func (j *userJob) over() bool { return j.stage == stageDone || j.stage == stageCancelled }
+
+// userAnswer is what a user gets for a request.
+type userAnswer struct {
+	status int
+	stage  string // of the job; empty: not told
+	// knownStage is what the user had been told when the request was sent: an answer may be overtaken
+	// by another on its way.
+	knownStage string
 }
 
 func newUsers(w *World) *fakeUsers { return &fakeUsers{world: w, jobs: map[string]*userJob{}} }
 
 func (u *fakeUsers) find(id string) *userJob { return u.jobs[id] }
 
+// job finds the job of a task that some machine has.
 func (u *fakeUsers) job(id string) *userJob {
 	job := u.jobs[id]
 	if job == nil {
@@ -44,94 +78,131 @@
 	return job
 }
 
-// request sends a request to a random healthy node; failures to connect are soon
-// known, everything else is waited for.
-func (u *fakeUsers) request(kind controller.UserRequestKind, id string, job *schema.Job, limit units.Micros, received func(status int, body any, knownStage string)) {
-	w := u.world
-	knownStage := w.Checker.LastStage(id)
+func (u *fakeUsers) sortedJobs() []*userJob {
+	var sorted []*userJob
+	for _, job := range u.jobs {
+		sorted = append(sorted, job)
+	}
+	sort.Slice(sorted, func(i, j int) bool { return sorted[i].spec.ID < sorted[j].spec.ID })
+	return sorted
+}
+
+// healthyProcess draws a controller to which the load balancer sends requests; nil: there is none.
+func (u *fakeUsers) healthyProcess() *controllerProcess {
 	var healthy []*controllerProcess
-	for _, process := range w.processes {
+	for _, process := range u.world.processes {
 		if process.running && process.healthy {
 			healthy = append(healthy, process)
 		}
 	}
 	if len(healthy) == 0 {
-		w.after(100*units.Millisecond, func() { received(0, nil, knownStage) })
+		return nil
+	}
+	return healthy[u.world.rng.IntN(len(healthy))]
+}
+
+// request sends a request to a random healthy controller. Failures to connect are soon known,
+// everything else is waited for.
+func (u *fakeUsers) request(kind controller.UserRequestKind, id string, job *schema.Job, timeout units.Micros, received func(userAnswer)) {
+	w := u.world
+	knownStage := w.checker.lastStage(id)
+	process := u.healthyProcess()
+	if process == nil {
+		w.after(connectFailureTime, func() { received(userAnswer{status: statusNone, knownStage: knownStage}) })
 		return
 	}
-	process := healthy[w.rng.IntN(len(healthy))]
-	call(w, "users", process.name, limit, func(answer func(controller.Reply)) {
-		var copied *schema.Job
-		if job != nil {
-			submitted := *job
-			copied = &submitted
-			if process.previousVersion {
-				copied.Needs = nil // it ignores what it doesn't know
-			}
-		}
-		process.request(func(to uint64) controller.Message {
-			request := controller.UserRequest{RequestID: to, Kind: kind, JobID: id, Job: copied}
-			if copied == nil && kind == controller.SubmitJob {
-				request.Malformed = fmt.Errorf("malformed")
-			}
-			return request
-		}, answer)
+	call(w, usersHost, process.name, timeout, func(answer func(controller.Reply)) {
+		process.requestForUser(kind, id, job, answer)
 	}, func(reply controller.Reply, ok bool) {
+		status := reply.Status
 		if !ok {
-			reply.Status = 0
+			status = statusNone
 		}
-		received(reply.Status, reply.Body, knownStage)
+		received(userAnswer{status: status, stage: replyStage(reply), knownStage: knownStage})
 	})
 }
 
-func replyStage(body any) string {
-	if status, ok := body.(*controller.JobStatus); ok && status != nil {
+// requestForUser gives the controller a user's request; a submission without a job is malformed.
+func (p *controllerProcess) requestForUser(kind controller.UserRequestKind, id string, job *schema.Job, answer func(controller.Reply)) {
+	request := controller.UserRequest{Kind: kind, JobID: id}
+	switch {
+	case job != nil:
+		submitted := *job
+		if p.previousVersion {
+			submitted.Needs = nil // it ignores what it doesn't know
+		}
+		request.Job = &submitted
+	case kind == controller.SubmitJob:
+		request.Malformed = errMalformed
+	}
+	p.request(func(requestID uint64) controller.Message {
+		request.RequestID = requestID
+		return request
+	}, answer)
+}
+
+func replyStage(reply controller.Reply) string {
+	if status, ok := reply.Body.(*controller.JobStatus); ok && status != nil {
 		return status.Stage
 	}
 	return ""
 }
 
-// submit sends a job until it is accepted or refused for good.
+// submit sends a job until it is accepted or refused for good: as soon as the jobs that it needs are
+// accepted, or at once.
 func (u *fakeUsers) submit(job *userJob) {
 	u.jobs[job.spec.ID] = job
-	u.world.Checker.Submitted(&job.spec)
+	u.world.checker.submitted(&job.spec)
 	if job.rejectReason != "" {
-		u.world.Checker.MustReject(job.spec.ID, job.rejectReason)
+		u.world.checker.mustReject(job.spec.ID, job.rejectReason)
 	}
-	spec := &job.spec
-	if job.rejectReason == "lacks a field" {
-		spec = nil
+	u.trySubmit(job, u.world.now)
+}
+
+// trySubmit submits a job again and again, for some time since its first submission.
+func (u *fakeUsers) trySubmit(job *userJob, first units.Micros) {
+	w := u.world
+	if !job.ignoresNeeds && !u.allAccepted(job.spec.Needs) {
+		w.after(dependencyDelay, func() { u.trySubmit(job, first) })
+		return
 	}
-	first := u.world.now
-	var attempt func()
-	attempt = func() {
-		if !job.ignoresNeeds && !u.allAccepted(job.spec.Needs) { // each as soon as those that it needs are accepted
-			u.world.after(20*units.Millisecond, attempt)
-			return
-		}
-		if len(job.spec.Needs) > 0 && job.submittedAt == 0 {
-			first = u.world.now
-		}
-		job.submittedAt = u.world.now
-		u.request(controller.SubmitJob, job.spec.ID, spec, 5*units.Second, func(status int, body any, knownStage string) {
-			u.world.Checker.Answered("submit", job.spec.ID, status, replyStage(body), knownStage)
-			switch status {
-			case 200, 201:
-				if job.acceptedAt == 0 {
-					job.acceptedAt = u.world.now
-				}
-				job.stage = replyStage(body)
-				u.world.after(u.pollDelay(), func() { u.poll(job) })
-			case 400, 422:
-				job.rejectedStatus = status
-			default:
-				if u.world.now-first < 60*units.Second {
-					u.world.after(units.Second, attempt)
-				}
+	if len(job.spec.Needs) > 0 && job.submittedAt == 0 {
+		first = w.now
+	}
+	job.submittedAt = w.now
+	u.sendSubmission(job, job.rejectReason == lacksField, func(answer userAnswer) {
+		switch answer.status {
+		case http.StatusOK, http.StatusCreated:
+			u.accepted(job, answer.stage)
+		case http.StatusBadRequest, http.StatusUnprocessableEntity:
+			job.rejectedStatus = answer.status
+		default:
+			if w.now-first < submissionPatience {
+				w.after(retryDelay, func() { u.trySubmit(job, first) })
 			}
-		})
+		}
+	})
+}
+
+// sendSubmission submits a job once, whole or malformed.
+func (u *fakeUsers) sendSubmission(job *userJob, malformed bool, received func(userAnswer)) {
+	id, spec := job.spec.ID, &job.spec
+	if malformed {
+		spec = nil
 	}
-	attempt()
+	u.request(controller.SubmitJob, id, spec, submitTimeout, func(answer userAnswer) {
+		u.world.checker.submissionAnswered(id, answer)
+		received(answer)
+	})
+}
+
+// accepted notes that a job is accepted, and begins to poll it.
+func (u *fakeUsers) accepted(job *userJob, stage string) {
+	if job.acceptedAt == 0 {
+		job.acceptedAt = u.world.now
+	}
+	job.stage = stage
+	u.world.after(u.pollDelay(), func() { u.poll(job) })
 }
 
 // allAccepted reports whether users know that all these jobs are accepted.
@@ -145,115 +216,62 @@
 }
 
 func (u *fakeUsers) pollDelay() units.Micros {
-	return 4*units.Second + units.Micros(u.world.rng.Int64N(int64(2*units.Second)))
+	return minPollDelay + units.Micros(u.world.rng.Int64N(int64(pollDelaySpread)))
 }
 
+// poll asks about a job, now and until the run ends.
 func (u *fakeUsers) poll(job *userJob) {
-	u.request(controller.QueryJob, job.spec.ID, nil, 2*units.Second, func(status int, body any, knownStage string) {
-		u.world.Checker.Answered("poll", job.spec.ID, status, replyStage(body), knownStage)
-		if status == 200 {
-			job.stage = replyStage(body)
-			if job.stage == controller.StageDone && job.doneAt == 0 {
-				job.doneAt = u.world.now
-			}
+	u.request(controller.QueryJob, job.spec.ID, nil, pollTimeout, func(answer userAnswer) {
+		u.world.checker.pollAnswered(job.spec.ID, answer)
+		if answer.status == http.StatusOK {
+			job.stage = answer.stage
 		}
-		next := u.pollDelay()
-		if job.stage == controller.StageDone || job.stage == controller.StageCancelled {
-			next = 30 * units.Second // they may ask again at any later time
+		delay := u.pollDelay()
+		if job.over() {
+			delay = pollDelayWhenOver
 		}
-		u.world.after(next, func() { u.poll(job) })
+		u.world.after(delay, func() { u.poll(job) })
 	})
 }
 
-// repeat submits a known job again, whole or malformed.
-func (u *fakeUsers) repeat(id string, broken bool) {
-	job := u.jobs[id]
-	spec := &job.spec
-	if broken {
-		spec = nil
-	}
-	u.request(controller.SubmitJob, id, spec, 5*units.Second, func(status int, body any, knownStage string) {
-		u.world.Checker.Answered("submit", id, status, replyStage(body), knownStage)
-	})
+// pollUnknownJob asks about a job that nobody submitted.
+func (u *fakeUsers) pollUnknownJob() {
+	id := fmt.Sprintf("j-%012d", 900000000000+u.world.rng.Int64N(1000))
+	u.request(controller.QueryJob, id, nil, pollTimeout, func(answer userAnswer) { u.world.checker.pollAnswered(id, answer) })
 }
 
-// sendInvalid sends what no user should send, until then: repeats of unfinished jobs, of
-// which some are malformed, cancellations of done ones, and jobs that can't run.
-func (u *fakeUsers) sendInvalid(until units.Micros) {
-	if u.world.now > until {
-		return
-	}
-	u.world.after(700*units.Millisecond, func() { u.sendInvalid(until) })
-	all := u.sortedJobs()
-	if len(all) == 0 {
-		return
-	}
-	job := all[u.world.rng.IntN(len(all))]
-	switch u.world.rng.IntN(4) {
-	case 0:
-		if job.acceptedAt > 0 {
-			u.repeat(job.spec.ID, u.world.rng.IntN(2) == 0)
-		}
-	case 1:
-		if job.stage == controller.StageDone && !job.cancelRequested {
-			u.cancel(job.spec.ID)
-		}
-	default:
-		u.invalidJobs++
-		invalid := &userJob{runSeconds: 10, spec: job.spec}
-		invalid.spec.ID = fmt.Sprintf("j-%06d", 700000+u.invalidJobs)
-		switch u.world.rng.IntN(4) {
-		case 0:
-			invalid.rejectReason, invalid.spec.CPUs = "fits no machine", 100000
-		case 1:
-			invalid.rejectReason, invalid.spec.Team = "has no team", "nobody"
-		case 2:
-			invalid.rejectReason, invalid.spec.Zone = "names no zone", "nowhere"
-		case 3:
-			invalid.rejectReason = "lacks a field"
-		}
-		u.submit(invalid)
-	}
+// repeat submits a known job again, whole or malformed.
+func (u *fakeUsers) repeat(id string, malformed bool) {
+	u.sendSubmission(u.jobs[id], malformed, func(userAnswer) {})
 }
 
-// jobCompleted may call a job off at the moment of its end.
-func (u *fakeUsers) jobCompleted(id string) {
-	if job := u.jobs[id]; u.cancelAtEnd > 0 && !job.cancelRequested && u.world.rng.Float64() < u.cancelAtEnd {
-		u.cancel(id)
-	}
+// cancel asks to cancel a job until that is answered.
+func (u *fakeUsers) cancel(id string) {
+	u.jobs[id].cancelRequested = true
+	u.world.checker.cancelRequested(id)
+	u.tryCancel(u.jobs[id])
 }
 
-// pollUnknownJob asks about a job that nobody submitted.
-func (u *fakeUsers) pollUnknownJob() {
-	id := fmt.Sprintf("j-%012d", 900000000000+u.world.rng.Int64N(1000))
-	u.request(controller.QueryJob, id, nil, 2*units.Second, func(status int, body any, knownStage string) {
-		u.world.Checker.Answered("poll", id, status, replyStage(body), knownStage)
+func (u *fakeUsers) tryCancel(job *userJob) {
+	u.request(controller.CancelJob, job.spec.ID, nil, cancelTimeout, func(answer userAnswer) {
+		u.world.checker.cancellationAnswered(job.spec.ID, answer)
+		if answer.status == http.StatusOK {
+			job.stage = answer.stage
+			return
+		}
+		u.world.after(retryDelay, func() { u.tryCancel(job) })
 	})
 }
 
-func (u *fakeUsers) cancel(id string) {
-	job := u.jobs[id]
-	job.cancelRequested = true
-	u.world.Checker.CancelRequested(id)
-	var attempt func()
-	attempt = func() {
-		u.request(controller.CancelJob, id, nil, 5*units.Second, func(status int, body any, knownStage string) {
-			u.world.Checker.Answered("abort", id, status, replyStage(body), knownStage)
-			if status == 200 {
-				job.stage = replyStage(body)
-				return
-			}
-			u.world.after(units.Second, attempt)
-		})
-	}
-	attempt()
+// cancelJobsAtEnd has users cancel some jobs at the moment of their end, for a while.
+func (u *fakeUsers) cancelJobsAtEnd(rate float64, duration units.Micros) {
+	u.cancelAtEndRate = rate
+	u.world.after(duration, func() { u.cancelAtEndRate = 0 })
 }
 
-func (u *fakeUsers) sortedJobs() []*userJob {
-	var out []*userJob
-	for _, job := range u.jobs {
-		out = append(out, job)
+// jobCompleted may cancel a job at the moment of its end.
+func (u *fakeUsers) jobCompleted(id string) {
+	if u.cancelAtEndRate > 0 && !u.jobs[id].cancelRequested && u.world.rng.Float64() < u.cancelAtEndRate {
+		u.cancel(id)
 	}
-	sort.Slice(out, func(a, b int) bool { return out[a].spec.ID < out[b].spec.ID })
-	return out
 }
--- a/internal/simulator/waiting_check.go
+++ b/internal/simulator/waiting_check.go
@@ -1,96 +1,73 @@
 package simulator
 
-import (
-	"frostdock.example/frostdock/internal/agent"
-	"frostdock.example/frostdock/internal/api"
-	"frostdock.example/frostdock/internal/schema"
-	"frostdock.example/frostdock/internal/units"
-)
+import "frostdock.example/frostdock/internal/agent"
 
-// freeCapacity is what a machine has left.
-type freeCapacity struct {
-	worker          *fakeAgent
-	cpus, gpus, mem float64
+// candidate is a machine that takes tasks, and what it has left.
+type candidate struct {
+	worker *fakeAgent
+	free   resources
 }
 
-// checkWaiting tells the checker which jobs wait beside a machine that has room for them.
+// checkWaiting tells the checker which jobs wait beside a machine that has free capacity for them.
 func (w *World) checkWaiting() {
-	if w.Checker.FaultsEndAt == 0 || w.now < w.Checker.FaultsEndAt {
+	if !w.checker.faultsOver() {
 		return
 	}
-	var candidates []freeCapacity
+	var candidates []candidate
 	placed := map[string]bool{} // tasks that are on some machine, or wait for their image there
-	for _, name := range w.workerNames {
-		worker := w.workers[name]
-		if worker == nil {
-			continue
-		}
-		left := freeCapacity{worker, worker.machineType.CPUs, worker.machineType.GPUs, worker.machineType.MemGB}
-		for _, running := range worker.sortedTasks() {
-			if running.state != agent.Ended {
-				spec := &w.users.job(running.jobID).spec
-				left.cpus, left.gpus, left.mem = left.cpus-spec.CPUs, left.gpus-spec.GPUs, left.mem-spec.MemGB
-				placed[running.id()] = true
+	for _, worker := range w.presentWorkers() {
+		for id, t := range worker.tasks {
+			if t.state != agent.Ended {
+				placed[id] = true
 			}
 		}
-		if worker.running && w.now >= worker.hungUntil && !worker.failsTasks && worker.spotNotice == nil {
-			candidates = append(candidates, left)
+		if worker.takesTasks() {
+			candidates = append(candidates, candidate{worker, worker.freeCapacity()})
 		}
 	}
 	for _, job := range w.users.sortedJobs() {
-		machine := w.machineWithCapacity(job, candidates, placed)
-		w.Checker.Waiting(job.spec.ID, machine, machine != "")
+		machine := w.machineFor(job, candidates, placed)
+		w.checker.waiting(job.spec.ID, machine, machine != "")
 	}
 }
 
-// machineWithCapacity names a machine that could take a task of the job that waits.
-func (w *World) machineWithCapacity(job *userJob, candidates []freeCapacity, placed map[string]bool) string {
-	spec := &job.spec
-	if history := w.Checker.jobs[spec.ID]; w.Checker.readyAt(history) < 0 || w.Checker.dependencyCancelledAt(history) > 0 {
-		return "" // it waits for other jobs, or is cancelled with one
-	}
-	if job.acceptedAt == 0 || job.cancelRequested || job.failing || job.rejectedStatus > 0 || !w.hasUnplacedTask(job, placed) {
+// takesTasks reports whether nothing is wrong with the machine.
+func (a *fakeAgent) takesTasks() bool {
+	return a.running && !a.hangs() && !a.failsTasks && a.spotNotice == nil
+}
+
+// machineFor names a machine that could take a task of the job that waits; empty: none could.
+func (w *World) machineFor(job *userJob, candidates []candidate, placed map[string]bool) string {
+	if !w.mayStart(job) || !w.hasUnplacedTask(job, placed) {
 		return ""
 	}
-	if usage := w.Checker.usage[spec.Team]; usage != nil {
-		if limit := w.Checker.cpuLimit[spec.Team]; limit > 0 && usage.cpus+spec.CPUs > limit+1e-6 {
-			return ""
-		}
-		if limit := w.Checker.gpuLimit[spec.Team]; limit > 0 && usage.gpus+spec.GPUs > limit+1e-6 {
-			return ""
-		}
-	}
-	for _, candidate := range candidates {
-		if candidate.cpus >= spec.CPUs && candidate.gpus >= spec.GPUs && candidate.mem >= spec.MemGB && api.AllowsType(spec, candidate.worker.listed.Type) &&
-			(spec.Spot || !candidate.worker.listed.Spot) && (spec.Zone == "" || spec.Zone == candidate.worker.listed.Zone) && w.zoneAllowed(spec, candidate.worker.listed.Zone) {
-			return candidate.worker.name
+	history := w.checker.jobs[job.spec.ID]
+	for _, c := range candidates {
+		listed := c.worker.listed
+		if c.free.covers(requestOf(&job.spec), 0) && mayBeOn(&job.spec, listed) && w.checker.anotherMayBeIn(history, listed.Zone) {
+			return c.worker.name
 		}
 	}
 	return ""
 }
 
-// hasUnplacedTask reports whether a task of the job is neither done nor on any machine.
-func (w *World) hasUnplacedTask(job *userJob, placed map[string]bool) bool {
-	for num := range job.spec.Tasks {
-		if taskID := (&task{jobID: job.spec.ID, num: num}).id(); !placed[taskID] && !w.Checker.IsCompleted(job.spec.ID, num) {
-			return true
-		}
+// mayStart reports whether a task of the job may start somewhere: it is accepted, wanted, waits for no
+// other job, and its team's quota allows one more.
+func (w *World) mayStart(job *userJob) bool {
+	if job.acceptedAt == 0 || job.cancelRequested || job.failing || job.rejectedStatus > 0 {
+		return false
 	}
-	return false
+	history := w.checker.jobs[job.spec.ID]
+	_, ready := w.checker.readyAt(history)
+	return ready && w.checker.dependencyCancelledAt(history) == 0 && w.checker.quotaAllows(&job.spec)
 }
 
-// zoneAllowed reports whether one more task of the job may be in the zone.
-func (w *World) zoneAllowed(spec *schema.Job, zone string) bool {
-	same := 0
-	for _, machine := range w.Checker.machinesOf(spec.ID) {
-		if w.Checker.machines[machine].Zone == zone {
-			same++
-		} else if spec.OneZone {
-			return false
+// hasUnplacedTask reports whether a task of the job has neither completed nor is on any machine.
+func (w *World) hasUnplacedTask(job *userJob, placed map[string]bool) bool {
+	for number := range job.spec.Tasks {
+		if !placed[taskID(job.spec.ID, number)] && !w.checker.isCompleted(job.spec.ID, number) {
+			return true
 		}
 	}
-	return !spec.Spread || same+1 <= (spec.Tasks+1)/2
+	return false
 }
-
-// waitCheckInterval is how often that is looked at.
-const waitCheckInterval = 5 * units.Second
