--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net/http"
+	"slices"
 	"testing"
 
 	"frostdock.example/frostdock/internal/cloud"
@@ -17,7 +18,7 @@
 
 // TestCheckerCatches breaks each rule once and sees that it is noticed.
 func TestCheckerCatches(t *testing.T) {
-	for _, tc := range append(placementBreaches(), answerBreaches()...) {
+	for _, tc := range slices.Concat(placementBreaches(), answerBreaches(), serviceBreaches()) {
 		c := NewChecker()
 		c.now = units.Second
 		c.setQuota("red", resources{cpus: 4})
@@ -31,7 +32,7 @@
 	}
 }
 
-// submission, poll and cancellation give the checker an answer that was not overtaken by another.
+// submission, poll and cancellationConfirmed give the checker an answer that was not overtaken by another.
 func submission(c *Checker, id string, status int, stage string) {
 	c.submissionAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
 }
@@ -40,8 +41,8 @@
 	c.pollAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
 }
 
-func cancellation(c *Checker, id string, status int, stage string) {
-	c.cancellationAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
+func cancellationConfirmed(c *Checker, id, stage string) {
+	c.cancellationAnswered(id, userAnswer{status: http.StatusOK, stage: stage, knownStage: c.lastStage(id)})
 }
 
 // placementBreaches are those of tasks: where and when they run.
@@ -61,26 +62,26 @@
 		{"ran_cancelled", func(c *Checker) {
 			c.taskStarted("m1", a, "j-1", 0)
 			c.cancelRequested("j-1")
-			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			cancellationConfirmed(c, "j-1", "cancelled")
 			c.now += c.cancelDeadline + 1
 			c.checkDeadlines()
 		}},
 		{"ran_cancelled", func(c *Checker) {
 			c.cancelRequested("j-1")
-			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			cancellationConfirmed(c, "j-1", "cancelled")
 			c.now += c.cancelDeadline + 1
 			c.taskStarted("m1", a, "j-1", 0)
 		}},
-		{"ran_cancelled", func(c *Checker) { // a start is ordered long after the confirmation
+		{"ran_cancelled", func(c *Checker) { // a start is commanded long after the confirmation
 			c.cancelRequested("j-1")
-			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			cancellationConfirmed(c, "j-1", "cancelled")
 			c.now += startDeadlineAfterCancel + 1
 			c.startCommanded("j-1", 0, "m1", c.now)
 		}},
 		{"ran_cancelled", func(c *Checker) { // it goes on after its machine hung
 			c.taskStarted("m1", a, "j-1", 0)
 			c.cancelRequested("j-1")
-			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			cancellationConfirmed(c, "j-1", "cancelled")
 			for range 20 {
 				c.now += c.cancelDeadline / 10
 				c.checkDeadlines()
@@ -102,9 +103,26 @@
 	}
 }
 
-// answerBreaches are those of what users are told, and of who is served.
-func answerBreaches() []breach {
+// serviceBreaches are those of which jobs are served.
+func serviceBreaches() []breach {
 	a := cloud.ListedMachine{Type: "big", Zone: "a"}
+	return []breach{
+		{"unserved", func(c *Checker) {
+			submission(c, "j-1", http.StatusCreated, "pending")
+			c.checkHalfStarted("team red", []*jobHistory{c.jobs["j-1"]})
+		}},
+		{"unserved", func(c *Checker) { // it began, but late
+			submission(c, "j-1", http.StatusCreated, "pending")
+			c.now += startDeadline + 1
+			c.taskStarted("m1", a, "j-1", 0)
+			c.Finish()
+		}},
+		{"nothing_ran", func(c *Checker) { c.Finish() }},
+	}
+}
+
+// answerBreaches are those of what users are told.
+func answerBreaches() []breach {
 	return []breach{
 		{"accepted_bad", func(c *Checker) {
 			c.mustReject("j-1", "lacks a field")
@@ -136,22 +154,12 @@
 				poll(c, "j-2", http.StatusServiceUnavailable, "")
 			}
 		}},
-		{"unserved", func(c *Checker) {
-			submission(c, "j-1", http.StatusCreated, "pending")
-			c.checkHalfStarted("team red", []*jobHistory{c.jobs["j-1"]})
-		}},
-		{"unserved", func(c *Checker) { // it began, but late
-			submission(c, "j-1", http.StatusCreated, "pending")
-			c.now += startDeadline + 1
-			c.taskStarted("m1", a, "j-1", 0)
-			c.Finish()
-		}},
 		{"orphaned", func(c *Checker) { // through another job
 			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-1"}})
 			c.submitted(&schema.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-4"}})
 			submission(c, "j-5", http.StatusCreated, "pending")
 			c.cancelRequested("j-1")
-			cancellation(c, "j-1", http.StatusOK, "cancelled")
+			cancellationConfirmed(c, "j-1", "cancelled")
 			c.now += c.cancelDeadline + 1
 			poll(c, "j-5", http.StatusOK, "pending")
 		}},
@@ -160,7 +168,7 @@
 			c.taskCompleted("j-2", 0)
 			c.taskCompleted("j-2", 1)
 			c.cancelRequested("j-2")
-			cancellation(c, "j-2", http.StatusOK, "done")
+			cancellationConfirmed(c, "j-2", "done")
 			poll(c, "j-4", http.StatusOK, "cancelled")
 		}},
 		{"invented", func(c *Checker) { poll(c, "j-77", http.StatusOK, "pending") }},
@@ -173,6 +181,5 @@
 			poll(c, "j-1", http.StatusOK, "running")
 		}},
 		{"went_back", func(c *Checker) { poll(c, "j-1", http.StatusOK, "cancelled") }},
-		{"nothing_ran", func(c *Checker) { c.Finish() }},
 	}
 }
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -16,7 +16,8 @@
 //   - network.go: delays, losses, network partitions
 //   - process.go, previous_version.go: controller processes, also of the previous version
 //   - store.go, store_txn.go, store_watch.go: the key-value store
-//   - cloud.go, agent.go, agent_commands.go, users.go, users_invalid.go: the other stand-ins
+//   - agent.go, agent_tasks.go, agent_heartbeat.go, agent_commands.go: the worker agents
+//   - cloud.go, users.go, users_invalid.go: the cloud and the users
 //   - checker.go, checker_tasks.go, checker_answers.go, checker_service.go: the rules
 //   - waiting_check.go: which jobs wait beside free capacity
 //   - scenario.go: a run from its begin to its verdict
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -28,7 +28,7 @@
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is part of heap.Interface.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) } //nolint:forcetypeassert // only next and at use the heap
 
 // Pop is part of heap.Interface.
 func (q *eventQueue) Pop() any {
@@ -37,6 +37,9 @@
 	return last
 }
 
+// next removes the next event.
+func (q *eventQueue) next() event { return heap.Pop(q).(event) } //nolint:forcetypeassert // Push takes nothing else
+
 // at schedules an action; one for a time that has passed runs next.
 func (w *World) at(when units.Micros, action func()) {
 	w.scheduled++
@@ -52,7 +55,7 @@
 // run plays all events until the given time.
 func (w *World) run(until units.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
-		next := heap.Pop(&w.queue).(event)
+		next := w.queue.next()
 		w.now = next.at
 		w.checker.now = w.now
 		next.action()
--- a/internal/simulator/parser.go
+++ b/internal/simulator/parser.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -141,7 +142,7 @@
 	seconds, err := strconv.ParseFloat(args.word(0), 64)
 	word := args.word(1)
 	if err != nil || word == "" {
-		return fmt.Errorf("at: needs a time and what happens")
+		return errors.New("at: needs a time and what happens")
 	}
 	parser, ok := stepParsers[word]
 	if !ok {
--- a/internal/simulator/previous_version.go
+++ b/internal/simulator/previous_version.go
@@ -9,11 +9,11 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// A controller of the version before drops from a document what it does not know, when it
-// reads it and when it writes it anew. Towards other processes it is simulated by a present
-// controller whose documents lose, in both directions, what is new.
+// A controller of the previous version drops from a document what it does not know, when it reads the
+// document and when it writes it anew. It is simulated by a present controller whose documents lose what
+// is new in both directions.
 
-// previousVersionCall is a call as the version before would make it.
+// previousVersionCall is a call as the previous version would make it.
 func previousVersionCall(call controller.StoreCall) controller.StoreCall {
 	if call.Request.Kind != kv.Transact || call.Request.Txn == nil {
 		return call
@@ -30,7 +30,7 @@
 	return call
 }
 
-// previousVersionResult is an answer as the version before reads it.
+// previousVersionResult is an answer as the previous version reads it.
 func previousVersionResult(result controller.StoreResult) controller.StoreResult {
 	if result.Response.Key != "" {
 		result.Response.Value = previousVersionDocument(result.Response.Key, result.Response.Value)
@@ -40,46 +40,47 @@
 		item.Value = previousVersionDocument(item.Key, item.Value)
 		items[i] = item
 	}
-	news := make([]kv.Event, len(result.Response.Events))
-	for i, updated := range result.Response.Events {
-		if updated.Set != "" {
-			updated.Value = previousVersionDocument(updated.Set, updated.Value)
+	events := make([]kv.Event, len(result.Response.Events))
+	for i, change := range result.Response.Events {
+		if change.Set != "" {
+			change.Value = previousVersionDocument(change.Set, change.Value)
 		}
-		news[i] = updated
+		events[i] = change
 	}
-	result.Response.Items, result.Response.Events = items, news
+	result.Response.Items, result.Response.Events = items, events
 	return result
 }
 
-// previousVersionDocument is a document without what the version before does not know.
-func previousVersionDocument(key string, val json.RawMessage) json.RawMessage {
+// previousVersionDocument is a document without what the previous version does not know.
+func previousVersionDocument(key string, value json.RawMessage) json.RawMessage {
 	switch {
 	case strings.HasPrefix(key, schema.RegistrationPrefix):
-		return rewriteDocument(val, func(registration *schema.Registration) { registration.Format = schema.FormatInitial })
+		return rewriteDocument(value, func(registration *schema.Registration) { registration.Format = schema.FormatInitial })
 	case strings.HasPrefix(key, schema.MachineShardPrefix):
-		return rewriteDocument(val, func(shard *schema.MachineShard) { shard.ShardCount = 0 })
+		return rewriteDocument(value, func(shard *schema.MachineShard) { shard.ShardCount = 0 })
 	case strings.HasPrefix(key, schema.JobShardPrefix):
-		return rewriteDocument(val, func(shard *schema.JobShard) {
+		return rewriteDocument(value, func(shard *schema.JobShard) {
 			shard.ShardCount = 0
 			for i := range shard.Jobs {
 				shard.Jobs[i].Needs = nil
 			}
 		})
 	case strings.HasPrefix(key, schema.OutcomePrefix):
-		return rewriteDocument(val, func(outcome *schema.Outcome) { outcome.RecordedAt, outcome.CancelledBy = 0, "" })
+		return rewriteDocument(value, func(outcome *schema.Outcome) { outcome.RecordedAt, outcome.CancelledBy = 0, "" })
 	}
-	return val
+	return value
 }
 
-func rewriteDocument[T any](val json.RawMessage, drop func(*T)) json.RawMessage {
+// rewriteDocument drops something from a document. One that can't be read stays as it is.
+func rewriteDocument[T any](value json.RawMessage, drop func(*T)) json.RawMessage {
 	var doc T
-	if json.Unmarshal(val, &doc) != nil {
-		return val
+	if json.Unmarshal(value, &doc) != nil {
+		return value
 	}
 	drop(&doc)
-	out, err := json.Marshal(doc)
+	rewritten, err := json.Marshal(doc)
 	if err != nil {
-		return val
+		return value
 	}
-	return out
+	return rewritten
 }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"errors"
 	"fmt"
 	"io"
 
@@ -98,8 +99,8 @@
 	return settings
 }
 
-// Run plays the scenario. It returns what went wrong: broken rules first, then expectations that
-// were not met.
+// Run plays the scenario. It returns what went wrong, broken rules first, then expectations that were not
+// met, and as an error the first step that could not be applied: the others still were.
 func (s *Scenario) Run(log io.Writer) ([]string, error) {
 	w := newWorld(&s.options, log, s.Trace)
 	for i := range s.options.controllers {
@@ -118,10 +119,8 @@
 		}
 	})
 	w.run(startOfTime + s.options.duration)
-	if failure != nil {
-		return nil, failure
-	}
-	return s.verdict(w)
+	problems, err := s.verdict(w)
+	return problems, errors.Join(failure, err)
 }
 
 // schedule plans the steps and the periodic checks. failed is called when a step can't be applied.
@@ -151,7 +150,7 @@
 	for _, planned := range s.expectations {
 		unmet, err := planned.expectation.check(w)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", planned.line, err)
+			return problems, fmt.Errorf("%s: %w", planned.line, err)
 		}
 		if unmet != "" {
 			problems = append(problems, planned.line+": "+unmet)
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -15,11 +15,12 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Trace digests everything that controllers send during a run: replies, requests to the state
-// service and the cloud, direct commands, heartbeats, each with its simulated time, its sender and
-// its place in the order. Two versions of the code whose traces are equal behave the same on that
-// run. Every effect is written field by field in the form that it has on the wire, so neither names
-// of Go types and fields nor log lines enter.
+// Trace digests everything that controllers send during a run: replies, requests to the key-value
+// store and the cloud, direct commands, heartbeats, each with its simulated time, its sender and its
+// place in the order. Two versions of the code whose traces are equal behave the same on that run.
+// Every effect is written field by field in the form that it has on the wire, so neither names of Go
+// types and fields nor log lines enter. The words of the lines must not change: digests are compared
+// across versions.
 type Trace struct {
 	digest  hash.Hash
 	effects int
@@ -45,12 +46,12 @@
 }
 
 // record adds one effect. A nil trace records nothing.
-func (t *Trace) record(now units.Micros, controller string, effect controller.Effect) {
+func (t *Trace) record(now units.Micros, sender string, effect controller.Effect) {
 	if t == nil {
 		return
 	}
 	t.effects++
-	line := fmt.Sprintf("%d %s %s\n", now, controller, t.line(effect))
+	line := fmt.Sprintf("%d %s %s\n", now, sender, t.line(effect))
 	io.WriteString(t.digest, line) //nolint:errcheck // a hash never fails
 	if t.lines != nil {
 		io.WriteString(t.lines, line) //nolint:errcheck // a lost line shows as a difference
@@ -75,36 +76,36 @@
 	panic(fmt.Sprintf("trace: unknown effect %T", effect)) // a fault of the program: a new effect is to be added here
 }
 
-func traceStoreRequest(r *kv.Request) string {
-	switch r.Kind {
+func traceStoreRequest(request *kv.Request) string {
+	switch request.Kind {
 	case kv.Get:
-		return "store get key=" + r.Key
+		return "store get key=" + request.Key
 	case kv.List:
-		return fmt.Sprintf("store list under=%s since=%s", r.Key, r.After)
+		return fmt.Sprintf("store list under=%s since=%s", request.Key, request.After)
 	case kv.Transact:
-		return "store txn " + traceJSON(r.Txn)
+		return "store txn " + traceJSON(request.Txn)
 	case kv.GrantLease:
-		return fmt.Sprintf("store grant ttl=%d", r.TTLMillis)
+		return fmt.Sprintf("store grant ttl=%d", request.TTLMillis)
 	case kv.RenewLease:
-		return fmt.Sprintf("store renew lease=%d", r.LeaseID)
+		return fmt.Sprintf("store renew lease=%d", request.LeaseID)
 	case kv.Watch:
-		return fmt.Sprintf("store watch under=%s since=%d hold=%d", r.Key, r.Revision, r.WaitMillis)
+		return fmt.Sprintf("store watch under=%s since=%d hold=%d", request.Key, request.Revision, request.WaitMillis)
 	}
-	panic(fmt.Sprintf("trace: unknown request %d", r.Kind))
+	panic(fmt.Sprintf("trace: unknown request %d", request.Kind))
 }
 
-func traceCloudRequest(e *controller.CloudCall) string {
-	switch e.Op {
+func traceCloudRequest(request *controller.CloudCall) string {
+	switch request.Op {
 	case controller.CloudCatalog:
 		return "cloud catalog"
 	case controller.CloudRent:
-		return "cloud rent " + traceJSON(e.Rental)
+		return "cloud rent " + traceJSON(request.Rental)
 	case controller.CloudDelete:
-		return "cloud delete " + traceJSON(e.Machines)
+		return "cloud delete " + traceJSON(request.Machines)
 	case controller.CloudList:
-		return "cloud list since=" + e.After
+		return "cloud list since=" + request.After
 	}
-	panic(fmt.Sprintf("trace: unknown call of the cloud %d", e.Op))
+	panic(fmt.Sprintf("trace: unknown call of the cloud %d", request.Op))
 }
 
 // wireHeartbeat has the fields of a heartbeat by the names that gob carries between controllers of
@@ -127,15 +128,15 @@
 
 // heartbeat takes a heartbeat through gob. Maps are written in the order of their keys, which gob
 // does not keep.
-func (t *Trace) heartbeat(beat peer.Heartbeat) string {
-	if err := t.encoder.Encode(&beat); err != nil {
+func (t *Trace) heartbeat(heartbeat peer.Heartbeat) string {
+	if err := t.encoder.Encode(&heartbeat); err != nil {
 		panic(fmt.Sprintf("trace: encode heartbeat: %v", err))
 	}
-	var read wireHeartbeat
-	if err := t.decoder.Decode(&read); err != nil {
+	var received wireHeartbeat
+	if err := t.decoder.Decode(&received); err != nil {
 		panic(fmt.Sprintf("trace: decode heartbeat: %v", err))
 	}
-	return traceJSON(read)
+	return traceJSON(received)
 }
 
 func traceJSON(value any) string {
