--- a/internal/simulator/parser.go
+++ b/internal/simulator/parser.go
@@ -170,6 +170,6 @@
 		return fmt.Errorf("unknown expectation %q", word)
 	}
 	args.words = args.words[1:]
-	s.expectations = append(s.expectations, plannedExpectation{line: args.line, expectation: parse(args)})
+	s.expectations = append(s.expectations, plannedExpectation{line: "expect " + args.line, expectation: parse(args)})
 	return nil
 }
--- a/internal/simulator/parser_arguments.go
+++ b/internal/simulator/parser_arguments.go
@@ -14,7 +14,7 @@
 // arguments are the words of a line after its first: positional ones, and name=value pairs. The
 // first mistake in them is kept in err.
 type arguments struct {
-	line    string
+	line    string // all of them
 	words   []string
 	options map[string]string
 	err     error
