--- a/internal/simulator/agent_tasks.go
+++ b/internal/simulator/agent_tasks.go
@@ -92,6 +92,7 @@
 			a.advanceRunning(t)
 		case agent.Checkpointing:
 			a.advanceCheckpointing(t)
+		case agent.Ended: // it stays until a controller has it removed
 		}
 	}
 }
--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -62,7 +62,7 @@
 // Checker watches every rule of the protocol. It is told what agents do and what users are told, and
 // keeps what was broken. It never changes anything in the region.
 type Checker struct {
-	now        units.Micros // the event loop keeps it up
+	now        units.Micros
 	Violations []Violation
 
 	cancelDeadline units.Micros
@@ -113,6 +113,9 @@
 	c.Violations = append(c.Violations, Violation{At: c.now, Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
+// advanceTo tells the time, before anything that happens then.
+func (c *Checker) advanceTo(now units.Micros) { c.now = now }
+
 // setQuota sets what a team may use; what is 0 is not limited.
 func (c *Checker) setQuota(team string, quota resources) { c.quota[team] = quota }
 
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -57,7 +57,7 @@
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		next := w.queue.next()
 		w.now = next.at
-		w.checker.now = w.now
+		w.checker.advanceTo(w.now)
 		next.action()
 	}
 	w.now = until
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -32,7 +32,9 @@
 func (f restartInTurn) apply(w *World) error {
 	for i, process := range w.processes {
 		w.after(units.Micros(i)*f.interval, func() {
-			process.previousVersion = process.previousVersion && !f.upgrade
+			if f.upgrade {
+				process.upgrade()
+			}
 			process.restartAfter(f.downtime)
 		})
 	}
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -86,6 +86,9 @@
 	p.world.after(downtime, p.start)
 }
 
+// upgrade gives the process the present version, which it runs from its next start on.
+func (p *controllerProcess) upgrade() { p.previousVersion = false }
+
 // pause makes the process stand still: it takes no step and loses nothing.
 func (p *controllerProcess) pause(duration units.Micros) { p.pausedUntil = p.world.now + duration }
 
