--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -97,8 +97,8 @@
 // capacityFor is how many tasks of a job so many machines of each type hold at once.
 func (c *Controller) capacityFor(j *job, machines map[string]int) int {
 	capacity := 0
-	for i := range c.cloud.types {
-		if t := &c.cloud.types[i]; machines[t.Name] > 0 && api.TaskFits(&j.spec, t) {
+	for i := range c.catalog.types {
+		if t := &c.catalog.types[i]; machines[t.Name] > 0 && api.TaskFits(&j.spec, t) {
 			capacity += machines[t.Name] * int(t.CPUs/j.spec.CPUs)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -36,15 +36,18 @@
 
 	jobShardSplits jobShardSplits
 
-	peers      *peerTable
-	facts      *factSource
-	agents     *agentGateway
-	quarantine *quarantineMonitor
-	fleet      *fleetMonitor
-	estimates  estimates
-	scheduling scheduling
-	cloud      cloudView
-	audit      *audit
+	peers        *peerTable
+	facts        *factSource
+	agents       *agentGateway
+	quarantine   *quarantineMonitor
+	fleet        *fleetMonitor
+	estimates    estimates
+	scheduling   scheduling
+	cloud        *cloudClient
+	catalog      *catalog
+	decommission *decommissioner
+	autoscaler   *autoscaler
+	audit        *audit
 
 	duties []duty
 }
@@ -58,13 +61,14 @@
 		peers:       newPeerTable(env),
 		estimates:   newEstimates(),
 		scheduling:  newScheduling(),
-		cloud:       newCloudView(),
 	}
 	c.wireReplication()
 	c.wireAuthority(incarnation)
 	c.wireAgents()
 	c.wireLeadership()
+	c.wireCloud()
 	c.wireFleet()
+	c.wireAutoscaler()
 	c.wireRequests()
 	c.duties = c.periodicDuties()
 	return c
@@ -129,7 +133,7 @@
 	env := c.environment
 	c.fleet = &fleetMonitor{
 		env: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
-		quarantine: c.quarantine, returns: c,
+		quarantine: c.quarantine, returns: c.decommission,
 		unheard: &unheardPartitions{
 			env: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
 			leaderships: c.leaderships, peers: c.peers,
@@ -151,12 +155,12 @@
 		budget: c.budget, commits: c.commits,
 	}
 	c.requests = &requestHandler{
-		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud,
+		environment: env, store: c.store, replica: c.replica, catalog: c.catalog,
 		users: c.users, statuses: statuses, outcomes: c.outcomeReads, accepts: c.accepts,
 		cancellations: &cancellations{environment: env, replica: c.replica, users: c.users, statuses: statuses, commits: c.commits},
 	}
 	c.readiness = &readiness{
-		environment: env, store: c.store, replica: c.replica, cloud: &c.cloud, membership: c.membership, peers: c.peers,
+		environment: env, store: c.store, replica: c.replica, catalog: c.catalog, membership: c.membership, peers: c.peers,
 	}
 	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c.peers}
 }
@@ -193,7 +197,7 @@
 	case StoreResult:
 		c.handleStoreResult(m)
 	case CloudResult:
-		c.handleCloudResult(m)
+		c.cloud.handleResult(m)
 	case AgentResult:
 		c.agents.handleResult(m)
 	case PeerHeartbeat:
--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -1,36 +1,100 @@
 package controller
 
-// decommission marks machines to be given back to the cloud; the next write of their machine shard says
-// so. Their tasks stay bound until the cloud has confirmed that they are gone.
-func (c *Controller) decommission(reason string, machines ...*machine) {
-	c.markForDecommission(reason, false, machines)
+import (
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// maxDeletions is how many machines one request may delete.
+const maxDeletions = 100
+
+// deletionRetryDelay is how long after a failed deletion of decommissioned machines the next one is sent.
+const deletionRetryDelay = 300 * units.Millisecond
+
+// decommissioner marks machines to be returned to the cloud. A mark is made once, by the first reason, and is
+// never taken back; it is forgotten with what this process knows of the machine's agent. It deletes
+// nothing and releases no task: plans write the mark down, the autoscaler deletes the machines.
+type decommissioner struct {
+	*environment
+	replica *replica
 }
 
-// giveUp gives machines back whose tasks wait to be placed anew. They are deleted without being marked
-// first: nothing is placed on a machine that is not heard, and what a controller that is behind still
-// enters there is dropped with it.
-func (c *Controller) giveUp(reason string, machines ...*machine) {
-	c.markForDecommission(reason, true, machines)
+// mark marks machines to be returned; the next write of their machine shard says so. Their tasks stay bound
+// until the cloud has confirmed that the machines are deleted.
+func (d *decommissioner) mark(reason string, machines ...*machine) {
+	for _, m := range machines {
+		d.markOne(m, reason, false)
+	}
 }
 
-// markForDecommission decides once for each machine; a later decision changes nothing.
-func (c *Controller) markForDecommission(reason string, atOnce bool, machines []*machine) {
+// giveUp marks machines whose tasks wait to be placed anew. They are deleted without the mark being
+// written down first: nothing is placed on a machine that is not heard, and what a controller that is
+// behind still enters there is dropped with it.
+func (d *decommissioner) giveUp(reason string, machines ...*machine) {
 	for _, m := range machines {
-		if m.agent == nil || !m.agent.decideDecommission(reason, atOnce) {
-			continue
-		}
-		c.planNeeded = true
-		c.log.Info("decommissioning machine", "machine", m.name, "reason", reason, "tasks", c.unfinishedTasks(m), "partition", m.shard.partition)
+		d.markOne(m, reason, true)
 	}
 }
 
-// unfinishedTasks counts the tasks entered on a machine that are not known to be done.
-func (c *Controller) unfinishedTasks(m *machine) int {
-	unfinished := 0
+func (d *decommissioner) markOne(m *machine, reason string, atOnce bool) {
+	if m.agent == nil || !m.agent.decideDecommission(reason, atOnce) {
+		return
+	}
+	d.planNeeded = true
+	d.log.Info("decommissioning machine", "machine", m.name, "reason", reason, "tasks", d.unfinishedTasks(m), "partition", m.shard.partition)
+}
+
+// unfinishedTasks counts the tasks bound to a machine that are not known to be done.
+func (d *decommissioner) unfinishedTasks(m *machine) int {
+	count := 0
 	for _, task := range m.doc.Tasks {
-		if c.replica.unfinishedJobOf(task) != nil {
-			unfinished++
+		if d.replica.unfinishedJobOf(task) != nil {
+			count++
+		}
+	}
+	return count
+}
+
+// deleteDecommissioned deletes the machines that are to be returned, in one request at a time. Their entries
+// go only when the cloud has confirmed it, which proves that nothing runs there any more.
+func (a *autoscaler) deleteDecommissioned() {
+	if a.deletionInFlight {
+		return
+	}
+	names := a.deletableMachines()
+	if len(names) == 0 {
+		return
+	}
+	a.deletionInFlight = true
+	a.cloud.call(CloudCall{Op: CloudDelete, Machines: cloud.MachineNames{Names: names}}, func(result CloudResult) {
+		if result.Status == cloud.StatusOK {
+			a.confirmDeletion(names)
+		} else {
+			a.after(deletionRetryDelay, func() { a.deletionInFlight = false })
+		}
+	})
+}
+
+// deletableMachines lists machines to be deleted of the partitions that this process leads.
+func (a *autoscaler) deletableMachines() []string {
+	var names []string
+	for _, m := range a.replica.sortedMachines() {
+		decided := m.doc.Decommissioned || m.agent != nil && m.agent.decommission.atOnce
+		if decided && !m.deleted && a.leadership.leads(m.shard.partition) && len(names) < maxDeletions {
+			names = append(names, m.name)
+		}
+	}
+	return names
+}
+
+// confirmDeletion notes that the cloud has deleted machines.
+func (a *autoscaler) confirmDeletion(names []string) {
+	a.deletionInFlight = false
+	a.log.Info("machines deleted", "machines", names)
+	a.planNeeded = true
+	for _, name := range names {
+		if m := a.replica.machines[name]; m != nil {
+			m.deleted = true // the next write of its machine shard drops it
 		}
 	}
-	return unfinished
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -15,7 +15,8 @@
 //   - authority: whether it may act, start tasks, lead a partition at this moment
 //   - writeBudget, committer: its part of the permitted changes, and transactions whose fate is told once
 //   - formatGate: when documents that the version before does not know may be written
+//   - cloudClient, catalog: requests to the cloud, and the machine types that it offers
 //
-// On these rest the duties proper: users' requests, agents, plans, the cloud, the fleet. What plans,
+// On these rest the duties proper: users' requests, agents, plans, the autoscaler, the fleet. What plans,
 // commands agents or starts tasks asks authority first.
 package controller
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -75,7 +75,7 @@
 
 func (c *Controller) runAutoscalerWhenSynced() {
 	if c.replica.synced {
-		c.runAutoscaler()
+		c.autoscaler.run()
 	}
 }
 
--- /dev/null
+++ b/internal/controller/offers.go
@@ -0,0 +1,89 @@
+package controller
+
+import (
+	"math"
+
+	"frostdock.example/frostdock/internal/cloud"
+)
+
+// What an offer's price leaves out.
+const (
+	spotRiskFactor       = 1.3   // a spot instance may be reclaimed
+	rentalHorizonSeconds = 300.0 // how long a rented machine is kept, roughly
+	imagesAfterBoot      = 3     // how many images it fetches before it has those that are asked for most
+)
+
+// offerSearch looks for the offer with the cheapest CPUs for the jobs that wait: for those that may use
+// spot instances, or for the others.
+type offerSearch struct {
+	autoscaler *autoscaler
+	unmet      []unmetDemand
+	spotJobs   bool
+	imageGB    float64 // of a waiting task, on average
+
+	best     *offer
+	bestCost float64
+}
+
+// bestOffer is the cheapest offer that a waiting job may use, nil if there is none. Of equally cheap ones the
+// first of the catalog counts.
+func (a *autoscaler) bestOffer(unmet []unmetDemand, spotJobs bool) *offer {
+	search := &offerSearch{
+		autoscaler: a, unmet: unmet, spotJobs: spotJobs,
+		imageGB: averageImageGB(unmet, spotJobs), bestCost: math.Inf(1),
+	}
+	for i := range a.catalog.types {
+		t := &a.catalog.types[i]
+		for _, zone := range t.Zones {
+			search.considerZone(t, zone)
+		}
+	}
+	return search.best
+}
+
+// considerZone considers the offers of a machine type in a zone. A zone that may be partitioned gets no
+// machines.
+func (s *offerSearch) considerZone(t *cloud.MachineType, zone string) {
+	if s.autoscaler.fleet.suspects(zone) || !s.autoscaler.demandFits(s.unmet, t, zone, s.spotJobs) {
+		return
+	}
+	s.consider(t, offer{t.Name, zone, false})
+	if s.spotJobs {
+		s.consider(t, offer{t.Name, zone, true})
+	}
+}
+
+func (s *offerSearch) consider(t *cloud.MachineType, candidate offer) {
+	if !s.autoscaler.rentals.available(candidate) {
+		return
+	}
+	cost := t.HourlyRate(candidate.spot) / t.CPUs * startupOverhead(t, s.imageGB)
+	if candidate.spot {
+		cost *= spotRiskFactor
+	}
+	if cost < s.bestCost {
+		s.bestCost, s.best = cost, &candidate
+	}
+}
+
+// startupOverhead is how much dearer a machine is than its price says, because it is paid for while it
+// boots and fetches its first images.
+func startupOverhead(t *cloud.MachineType, imageGB float64) float64 {
+	fetchSeconds := 0.0
+	if t.FetchGBPerSecond > 0 {
+		fetchSeconds = imagesAfterBoot * imageGB / t.FetchGBPerSecond
+	}
+	return 1 + (t.BootSeconds+fetchSeconds)/rentalHorizonSeconds
+}
+
+// averageImageGB is the size of the images of the tasks that wait, on average.
+func averageImageGB(unmet []unmetDemand, spotJobs bool) float64 {
+	sum, tasks := 0.0, 0.0
+	for _, demand := range unmet {
+		if demand.job.spec.Spot == spotJobs {
+			sum += demand.job.spec.ImageGB * float64(demand.tasks)
+			tasks += float64(demand.tasks)
+		}
+	}
+	return sum / max(tasks, 1)
+}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -67,7 +67,7 @@
 // stored are the machines told.
 func (c *Controller) planPartition(p int) {
 	o := c.partitions.led[p]
-	if o == nil || o.commitsInFlight > 0 || !c.leads(p) || c.store.failing || c.now < o.pausedUntil || c.replica.watchRevision < o.requiredRevision || c.budget.credit < 2 || len(c.cloud.types) == 0 {
+	if o == nil || o.commitsInFlight > 0 || !c.leads(p) || c.store.failing || c.now < o.pausedUntil || c.replica.watchRevision < o.requiredRevision || c.budget.credit < 2 || !c.catalog.known() {
 		return
 	}
 	// A plan looks at everything, so the larger the fleet, the rarer it is.
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -12,7 +12,7 @@
 	*environment
 	store      *storeClient
 	replica    *replica
-	cloud      *cloudView
+	catalog    *catalog
 	membership *membership
 	peers      *peerTable
 }
@@ -32,7 +32,7 @@
 // ready reports whether this controller serves users as well as any other. Alone without the store it
 // does not. If no controller reaches the store, staying in the balancer serves soonest when it returns.
 func (r *readiness) ready() bool {
-	if !r.replica.synced || len(r.cloud.types) == 0 || !r.membership.registered {
+	if !r.replica.synced || !r.catalog.known() || !r.membership.registered {
 		return false
 	}
 	storeLost := !r.store.healthy() && r.now-r.store.answeredAt > readinessGrace
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -17,7 +17,7 @@
 	*environment
 	store         *storeClient
 	replica       *replica
-	cloud         *cloudView
+	catalog       *catalog
 	users         *userRequests
 	statuses      *statusReader
 	outcomes      *outcomeReads
@@ -55,7 +55,7 @@
 // canAcceptUnproven reports whether a submission can be stored without a proof of freshness: it needs no
 // other job, and the conditions of the transaction find out whether the job exists already.
 func (h *requestHandler) canAcceptUnproven(request UserRequest) bool {
-	return request.Kind == SubmitJob && request.Job != nil && len(request.Job.Needs) == 0 && len(h.cloud.types) > 0 &&
+	return request.Kind == SubmitJob && request.Job != nil && len(request.Job.Needs) == 0 && h.catalog.known() &&
 		h.replica.jobs[request.JobID] == nil && h.checkFeasible(request.Job) == nil
 }
 
@@ -92,7 +92,7 @@
 		h.users.reject(request.RequestID, http.StatusNotFound, nil)
 	case request.Job == nil:
 		h.users.reject(request.RequestID, http.StatusBadRequest, request.Malformed)
-	case len(h.cloud.types) == 0: // whether the job fits a machine can't be told yet
+	case !h.catalog.known(): // whether the job fits a machine can't be told yet
 		h.users.askToRetry(request.RequestID)
 	default:
 		h.validate(request)
@@ -110,7 +110,7 @@
 
 // checkFeasible returns why a job can never run, or nil.
 func (h *requestHandler) checkFeasible(submission *schema.Job) error {
-	return api.CheckFeasible(submission, h.cfg.Settings.Teams, h.cloud.types)
+	return api.CheckFeasible(submission, h.cfg.Settings.Teams, h.catalog.types)
 }
 
 // resolveDependencies finds out what became of the jobs that a submission needs. Until all members know
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -35,7 +35,7 @@
 	if !c.replica.synced {
 		t.Fatal("not loaded")
 	}
-	c.cloud.types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, Zones: []string{"a"}}}
+	c.catalog.types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, Zones: []string{"a"}}}
 	return w
 }
 
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -9,142 +9,157 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// deleteDecommissioned returns the machines marked for it; their entries go only when
-// the cloud has confirmed it, which proves that nothing runs there any more.
-func (c *Controller) deleteDecommissioned() {
-	k := &c.cloud
-	if k.deletionInFlight {
-		return
-	}
-	var names []string
-	for _, m := range c.replica.sortedMachines() {
-		if (m.doc.Decommissioned || m.agent != nil && m.agent.decommission.atOnce) && !m.deleted && c.leads(m.shard.partition) && len(names) < maxDeletions {
-			names = append(names, m.name)
-		}
-	}
-	if len(names) == 0 {
-		return
+// Limits of scaling in: a few machines of a small fleet, a small part of a large one.
+const (
+	minDrainingTogether  = 2
+	drainingFleetDivisor = 20
+	minIdleReturned      = 1 // in one second
+	idleFleetDivisor     = 50
+)
+
+// What a machine must show to be drained, and what must stay free elsewhere.
+const (
+	maxDrainableUse    = 0.6 // of its CPUs
+	steadyBeforeDrain  = 30 * units.Second
+	minSpareCPUs       = 8 // free elsewhere, however small the fleet is
+	minIdlePeriod      = 30 * units.Second
+	idleHeartbeatLimit = 2 // heartbeat periods without a heartbeat after which a machine may be cut off
+)
+
+// idlePeriod is how long a machine may have nothing to do before it is returned: about as long as it would
+// take to get another.
+func (a *autoscaler) idlePeriod(t *cloud.MachineType) units.Micros {
+	return max(minIdlePeriod, units.FromSeconds(t.BootSeconds*a.policy.ScaleInIdleBoots))
+}
+
+// longestIdlePeriod is that of the type that takes longest to boot.
+func (a *autoscaler) longestIdlePeriod() units.Micros {
+	var longest units.Micros
+	for i := range a.catalog.types {
+		longest = max(longest, a.idlePeriod(&a.catalog.types[i]))
 	}
-	k.deletionInFlight = true
-	c.callCloud(CloudCall{Op: CloudDelete, Machines: cloud.MachineNames{Names: names}}, func(d CloudResult) {
-		if d.Status != cloud.StatusOK {
-			c.after(300*units.Millisecond, func() { k.deletionInFlight = false })
-			return
-		}
-		k.deletionInFlight = false
-		c.log.Info("machines deleted", "machines", names)
-		c.planNeeded = true
-		for _, n := range names {
-			if m := c.replica.machines[n]; m != nil {
-				m.deleted = true // the next write of its machine shard drops it
-			}
-		}
-	})
+	return longest
 }
 
-// maxDeletions is how many machines one request may return.
-const maxDeletions = 100
+// maxDraining is how many machines may be drained together.
+func (a *autoscaler) maxDraining() int {
+	return max(minDrainingTogether, len(a.replica.machines)/drainingFleetDivisor)
+}
 
-// idlePeriod is how long a rented machine may have nothing to do before it is
-// given back: about as long as it would take to get another.
-func (c *Controller) idlePeriod(t *cloud.MachineType) units.Micros {
-	return max(30*units.Second, units.FromSeconds(t.BootSeconds*c.policy.ScaleInIdleBoots))
+// maxIdleReturned is how many machines may be returned for being idle in one second.
+func (a *autoscaler) maxIdleReturned() int {
+	return max(minIdleReturned, len(a.replica.machines)/idleFleetDivisor)
 }
 
-// longestIdlePeriod is that of the type that takes longest to come up.
-func (c *Controller) longestIdlePeriod() units.Micros {
-	var most units.Micros
-	for i := range c.cloud.types {
-		most = max(most, c.idlePeriod(&c.cloud.types[i]))
-	}
-	return most
+// drainCandidate is a machine that may be drained.
+type drainCandidate struct {
+	machine     *machine
+	machineType *cloud.MachineType
+	usedCPUs    float64
+	waste       float64 // what its unused part costs, by the hour
 }
 
-// At most so many machines are emptied together, and returned for being idle in
-// one second: a few of a small fleet, a small part of a large one.
-func (c *Controller) maxDraining() int { return max(2, len(c.replica.machines)/20) }
+// drainSurvey is what one look at all machines shows of their use.
+type drainSurvey struct {
+	autoscaler *autoscaler
+	waiting    bool   // much waits: none may be drained
+	starving   []*job // whose tasks no machine that has capacity for them may be kept from
 
-func (c *Controller) maxIdleReturned() int { return max(1, len(c.replica.machines)/50) }
+	freeCPUs, usedCPUs float64
+	draining           int // machines that are drained already
+	candidates         []drainCandidate
+}
 
-// drainUnderused chooses machines that are little used to be emptied, as far
-// as the free room elsewhere takes what is on them and leaves some for newcomers.
-func (c *Controller) drainUnderused(waiting bool, starvingJobs []*job) {
-	type candidate struct {
-		m     *machine
-		t     *cloud.MachineType
-		used  float64
-		waste float64
-	}
-	var all []candidate
-	free, used := 0.0, 0.0
-	draining := 0
-	for _, m := range c.replica.sortedMachines() {
-		t := c.machineType(m.doc.Type)
-		if t == nil || m.part() < 0 {
-			continue
-		}
-		g := c.freeCapacity(m, t)
-		u := t.CPUs - g.cpus
-		used += u
-		if m.agent == nil {
-			if _, open := c.foreignMachineOpen(m); open {
-				free += t.CPUs - u
-			}
-			continue
-		}
-		wanted := c.hasRoomForAny(m, g, starvingJobs)
-		if waiting || wanted {
-			m.agent.stopDraining()
-		}
-		if m.agent.draining {
-			draining++
-			continue
-		}
-		if !c.acceptsTasks(m) {
-			continue
-		}
-		free += t.CPUs - u
-		// One that was out of reach until now is empty for that reason alone.
-		if u/t.CPUs < 0.6 && !wanted && c.now-m.agent.since > 30*units.Second && m.agent.responses.steady(c.now, c.cfg.Settings.HeartbeatPeriod(), 30*units.Second) {
-			all = append(all, candidate{m, t, u, t.HourlyRate(m.doc.Spot) * (1 - u/t.CPUs)})
+// drainUnderused chooses machines that are little used to be drained, as far as the free capacity elsewhere
+// takes what is on them and leaves some for new tasks. Those that waste most go first.
+func (a *autoscaler) drainUnderused(waiting bool, starving []*job) {
+	survey := &drainSurvey{autoscaler: a, waiting: waiting, starving: starving}
+	for _, m := range a.replica.sortedMachines() {
+		if t := a.catalog.machineType(m.doc.Type); t != nil && m.part() >= 0 {
+			survey.add(m, t)
 		}
 	}
 	if waiting {
 		return
 	}
-	slices.SortStableFunc(all, func(x, y candidate) int { return cmp.Compare(y.waste, x.waste) })
-	for _, k := range all {
-		free -= k.t.CPUs // its own free room, and what its tasks take elsewhere
-		if draining >= c.maxDraining() || free < max(8, c.policy.SpareCapacityShare*used) {
+	slices.SortStableFunc(survey.candidates, func(x, y drainCandidate) int { return cmp.Compare(y.waste, x.waste) })
+	free := survey.freeCPUs
+	for _, candidate := range survey.candidates {
+		free -= candidate.machineType.CPUs // its own free capacity, and what its tasks take elsewhere
+		if survey.draining >= a.maxDraining() || free < max(minSpareCPUs, a.policy.SpareCapacityShare*survey.usedCPUs) {
 			return
 		}
-		draining++
-		k.m.agent.startDraining()
-		c.log.Info("draining machine", "machine", k.m.name, "used_cpus", k.used, "free_elsewhere", free)
+		survey.draining++
+		candidate.machine.agent.startDraining()
+		a.log.Info("draining machine", "machine", candidate.machine.name, "used_cpus", candidate.usedCPUs, "free_elsewhere", free)
+	}
+}
+
+// add takes one machine into the survey. It ends the draining of a machine that is wanted again.
+func (s *drainSurvey) add(m *machine, t *cloud.MachineType) {
+	a := s.autoscaler
+	capacity := a.capacity.freeCapacity(m, t)
+	used := t.CPUs - capacity.cpus
+	s.usedCPUs += used
+	if m.agent == nil {
+		if _, open := a.capacity.foreignMachineOpen(m); open {
+			s.freeCPUs += t.CPUs - used
+		}
+		return
+	}
+	wanted := a.capacity.hasRoomForAny(m, capacity, s.starving)
+	if s.waiting || wanted {
+		m.agent.stopDraining()
+	}
+	if m.agent.draining {
+		s.draining++
+		return
+	}
+	if !a.capacity.acceptsTasks(m) {
+		return
+	}
+	s.freeCPUs += t.CPUs - used
+	if used/t.CPUs < maxDrainableUse && !wanted && a.reachedSteadily(m) {
+		s.candidates = append(s.candidates, drainCandidate{m, t, used, t.HourlyRate(m.doc.Spot) * (1 - used/t.CPUs)})
 	}
 }
 
-// scaleInIdle gives back machines that have nothing to do, the dearest first.
-func (c *Controller) scaleInIdle(waiting bool, starvingJobs []*job) {
+// reachedSteadily reports whether a machine has been within reach for some time. One that was not may be
+// empty for that reason alone.
+func (a *autoscaler) reachedSteadily(m *machine) bool {
+	return a.now-m.agent.since > steadyBeforeDrain && m.agent.responses.steady(a.now, a.cfg.Settings.HeartbeatPeriod(), steadyBeforeDrain)
+}
+
+// returnIdle returns machines that have nothing to do, the dearest first.
+func (a *autoscaler) returnIdle(waiting bool, starving []*job) {
 	var idle []*machine
-	price := func(m *machine) float64 { return c.machineType(m.doc.Type).HourlyRate(m.doc.Spot) }
-	for _, m := range c.replica.sortedMachines() {
-		t := c.machineType(m.doc.Type)
+	for _, m := range a.replica.sortedMachines() {
+		t := a.catalog.machineType(m.doc.Type)
 		if t == nil || m.agent == nil {
 			continue
 		}
-		used := slices.ContainsFunc(m.doc.Tasks, func(t schema.Task) bool { return c.replica.unstoredJobOf(t) != nil })
-		// One that is not heard may be cut off, and is not idle for sure.
-		if used || waiting || c.now-m.agent.heardAt > 2*c.cfg.Settings.HeartbeatPeriod() || len(starvingJobs) > 0 && c.hasRoomForAny(m, c.freeCapacity(m, t), starvingJobs) {
-			m.agent.noteUsed(c.now)
+		if waiting || !a.isIdle(m, t, starving) {
+			m.agent.noteUsed(a.now)
 			continue
 		}
-		if c.now-m.agent.idleSince >= c.idlePeriod(t) || m.agent.draining {
-			if !m.agent.command.inFlight() && !m.agent.decommission.decided() {
-				idle = append(idle, m)
-			}
+		idleLongEnough := a.now-m.agent.idleSince >= a.idlePeriod(t) || m.agent.draining
+		if idleLongEnough && !m.agent.command.inFlight() && !m.agent.decommission.decided() {
+			idle = append(idle, m)
 		}
 	}
+	price := func(m *machine) float64 { return a.catalog.machineType(m.doc.Type).HourlyRate(m.doc.Spot) }
 	slices.SortStableFunc(idle, func(x, y *machine) int { return cmp.Compare(price(y), price(x)) })
-	c.decommission("idle", idle[:min(len(idle), c.maxIdleReturned())]...)
+	a.decommission.mark("idle", idle[:min(len(idle), a.maxIdleReturned())]...)
+}
+
+// isIdle reports whether a machine has nothing to do, and nothing to wait for. One that is not heard may be
+// cut off, and is not idle for sure.
+func (a *autoscaler) isIdle(m *machine, t *cloud.MachineType, starving []*job) bool {
+	if slices.ContainsFunc(m.doc.Tasks, func(task schema.Task) bool { return a.replica.unstoredJobOf(task) != nil }) {
+		return false
+	}
+	if a.now-m.agent.heardAt > idleHeartbeatLimit*a.cfg.Settings.HeartbeatPeriod() {
+		return false
+	}
+	return len(starving) == 0 || !a.capacity.hasRoomForAny(m, a.capacity.freeCapacity(m, t), starving)
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -1,10 +1,8 @@
 package controller
 
 import (
-	"maps"
 	"math"
 	"slices"
-	"strconv"
 
 	"frostdock.example/frostdock/internal/api"
 	"frostdock.example/frostdock/internal/cloud"
@@ -13,164 +11,130 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// rentalRequest is a rental under way: asked for, or granted and not yet reporting.
-type rentalRequest struct {
-	request         cloud.RentalRequest
-	sent            bool
-	granted         bool
-	grantedAt       units.Micros
-	pendingMachines map[string]bool
-}
+// Limits of renting.
+const (
+	minRentalCalls       = 2  // rental requests a second, however few calls are allowed: that many are, for a while
+	rentalCallsDivisor   = 2  // the part of the calls allowed a second that rentals may take
+	maxMachinesPerRental = 50 // machines that one request may ask for
+	maxFleetShareDivisor = 8  // a request asks for at most this part of the fleet, so that one price or one zone does not take all
+	rentalRounds         = 4  // and, when that is more, at most this part of what is lacking in one second
+	maxRentalsPending    = 40 // requests not yet answered, or whose machines have not registered yet
+)
 
-// settleRentals forgets rentals whose machines report, or are overdue.
-func (c *Controller) settleRentals() {
-	k := &c.cloud
-	for _, name := range slices.Sorted(maps.Keys(k.rentals)) {
-		h := k.rentals[name]
-		if !h.granted {
-			if !h.sent {
-				c.sendRental(h)
-			}
-			continue
-		}
-		for n := range h.pendingMachines {
-			if c.replica.machines[n] != nil {
-				delete(h.pendingMachines, n)
-			}
-		}
-		t := c.machineType(h.request.Type)
-		if len(h.pendingMachines) == 0 || t != nil && c.now-h.grantedAt > units.FromSeconds(t.BootSeconds*2.5+10) {
-			delete(k.rentals, name)
-		}
-	}
+// What a new leader waits for before it rents: its predecessor's machines appear in the list within so
+// many times the list's lag, and a margin.
+const (
+	handoverLagFactor = 2
+	handoverMargin    = 2 * units.Second
+)
+
+// firstLeaderWithin is how soon after the start of its process a leader must lead to be taken for the first
+// of all: nobody has rented before it.
+const firstLeaderWithin = 3 * units.Second
+
+// unmetCapacity is the CPUs that waiting tasks lack.
+type unmetCapacity struct {
+	onDemandOnly float64 // of jobs that may not use spot instances
+	spotAllowed  float64 // of the others
 }
 
-// sendRental sends a rental until it is answered, always under its own name.
-func (c *Controller) sendRental(h *rentalRequest) {
-	k := &c.cloud
-	h.sent = true
-	c.callCloud(CloudCall{Op: CloudRent, Rental: h.request}, func(d CloudResult) {
-		switch {
-		case d.Status == cloud.StatusOK:
-			h.granted, h.grantedAt = true, c.now
-			h.pendingMachines = map[string]bool{}
-			for _, n := range d.Machines.Names {
-				h.pendingMachines[n] = true
-			}
-			c.recordFirstRented(d.Machines.Names)
-			c.log.Info("machines rented", "request", h.request.Name, "type", h.request.Type, "zone", h.request.Zone, "spot", h.request.Spot, "machines", d.Machines.Names)
-			if len(d.Machines.Names) < h.request.Count {
-				k.offerNotBefore[offerKeyOf(h.request)] = c.now + 15*units.Second
-			}
-		case d.Status == cloud.StatusRefused:
-			c.log.Debug("rental refused", "request", h.request.Name, "type", h.request.Type, "zone", h.request.Zone, "spot", h.request.Spot)
-			k.offerNotBefore[offerKeyOf(h.request)] = c.now + 15*units.Second
-			delete(k.rentals, h.request.Name)
-		default:
-			h.sent = false // the next round repeats it
+// scaleOut asks for machines for the tasks that no machine has capacity for, in several requests a round
+// when much is lacking, each for the offer that is best then.
+func (a *autoscaler) scaleOut(unmet []unmetDemand) {
+	if !a.knowsFleet() {
+		return
+	}
+	lacking := a.capacityLacking(unmet)
+	permitted := int(a.cfg.Settings.Cloud.RPS / rentalCallsDivisor)
+	for calls := max(minRentalCalls, permitted); calls > 0 && len(a.rentals.underWay) < maxRentalsPending; calls-- {
+		best, cpus := a.chooseOffer(unmet, &lacking)
+		if best == nil {
+			return
 		}
-	})
+		a.rent(*best, cpus, permitted)
+	}
 }
 
-func offerKeyOf(h cloud.RentalRequest) string {
-	return h.Type + "/" + h.Zone + "/" + strconv.FormatBool(h.Spot)
+// knowsFleet reports whether this process can tell what its predecessor rented, and has seen a list:
+// machines that are up and have not registered yet are seen there only.
+func (a *autoscaler) knowsFleet() bool {
+	settled := units.FromSeconds(handoverLagFactor*a.cfg.Settings.Cloud.ListLagS) + handoverMargin
+	first := a.rentsSince <= firstLeaderWithin || len(a.replica.machines) == 0
+	return (first || a.now-a.rentsSince >= settled) && a.machineList.askedAt > 0
 }
 
-// capacityComing is the room, in CPUs, of machines that are rented or listed and do not
-// report yet: ordinary ones and spot ones.
-func (c *Controller) capacityComing() (ordinary, spot float64) {
-	add := func(typ string, isSpot bool, n int) {
-		t := c.machineType(typ)
-		switch {
-		case t == nil:
-		case isSpot:
-			spot += t.CPUs * float64(n)
-		default:
-			ordinary += t.CPUs * float64(n)
+// chooseOffer is the best offer for what is lacking, nil if there is none, and the kind of CPUs that it is
+// for.
+func (a *autoscaler) chooseOffer(unmet []unmetDemand, lacking *unmetCapacity) (best *offer, cpus *float64) {
+	if lacking.onDemandOnly > 0 {
+		if best = a.bestOffer(unmet, false); best != nil {
+			return best, &lacking.onDemandOnly
 		}
 	}
-	for _, h := range c.cloud.rentals {
-		if n := h.request.Count; h.granted {
-			add(h.request.Type, h.request.Spot, len(h.pendingMachines))
-		} else {
-			add(h.request.Type, h.request.Spot, n)
-		}
-	}
-	for name, l := range c.cloud.listed { // rented by a predecessor, or there from the start
-		if _, late := c.cloud.strayingSince[name]; !late && l.State != cloud.Failed && !c.replica.everSeen[name] && !c.rentalPending(name) {
-			add(l.Type, l.Spot, 1)
-		}
+	if lacking.spotAllowed > 0 {
+		return a.bestOffer(unmet, true), &lacking.spotAllowed
 	}
-	return ordinary, spot
+	return nil, nil
 }
 
-// capacityDemand is room that waiting tasks lack, in CPUs.
-type capacityDemand struct {
-	onDemandOnly float64 // of jobs that may not use spot machines
-	spotAllowed  float64 // of the others
+// rent asks for machines of an offer and takes them off the CPUs that are lacking. Where few calls are
+// allowed each asks for more, so that a fleet that is wanted at once comes at once.
+func (a *autoscaler) rent(wanted offer, lackingCPUs *float64, permitted int) {
+	cpus := a.catalog.machineType(wanted.machineType).CPUs
+	machines := int(math.Ceil(*lackingCPUs / cpus))
+	perRequest := max(a.policy.MaxLaunchBatch, len(a.replica.machines)/maxFleetShareDivisor, machines/(rentalRounds*max(1, permitted)))
+	request := cloud.RentalRequest{
+		Name: a.rentals.newName(a.leadership.currentIncarnation()),
+		Type: wanted.machineType, Zone: wanted.zone, Spot: wanted.spot,
+		Count: min(machines, maxMachinesPerRental, perRequest),
+	}
+	a.log.Info("renting machines", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "unmet_cpus", *lackingCPUs)
+	*lackingCPUs -= float64(request.Count) * cpus
+	a.rentals.begin(request)
 }
 
-// unmetCapacity is what no free room and no coming machine can take.
-func (c *Controller) unmetCapacity(short []unmetDemand) capacityDemand {
-	var d capacityDemand
-	for _, s := range short {
-		if cpus := float64(s.tasks) * s.job.spec.CPUs; s.job.spec.Spot && c.policy.UseSpot {
-			d.spotAllowed += cpus
+// capacityLacking is what neither free capacity nor a coming machine can take.
+func (a *autoscaler) capacityLacking(unmet []unmetDemand) unmetCapacity {
+	var lacking unmetCapacity
+	for _, demand := range unmet {
+		cpus := float64(demand.tasks) * demand.job.spec.CPUs
+		if a.mayUseSpot(demand.job) {
+			lacking.spotAllowed += cpus
 		} else {
-			d.onDemandOnly += cpus
+			lacking.onDemandOnly += cpus
 		}
 	}
-	// Work that may use spot machines and runs on others gives way to what may
-	// not: it is room for the former that is lacking then.
-	moved := 0.0
-	if c.policy.UseSpot {
-		moved = min(d.onDemandOnly, c.displaceable())
+	// Tasks that may use spot instances and run on other machines give way to those that may not: it is
+	// capacity for the former that is lacking then.
+	displaced := 0.0
+	if a.policy.UseSpot {
+		displaced = min(lacking.onDemandOnly, a.displaceableCPUs())
 	}
-	d.onDemandOnly -= moved
-	d.spotAllowed += moved
-	d.spotAllowed -= c.endingSoon()
-	ordinary, spot := c.capacityComing()
-	d.spotAllowed -= spot
-	d.onDemandOnly -= ordinary
-	if d.onDemandOnly < 0 { // what is left of ordinary machines serves the others
-		d.spotAllowed += d.onDemandOnly
-		d.onDemandOnly = 0
+	lacking.onDemandOnly -= displaced
+	lacking.spotAllowed += displaced
+	lacking.spotAllowed -= a.cpusEndingSoon()
+	onDemand, spot := a.comingCPUs()
+	lacking.spotAllowed -= spot
+	lacking.onDemandOnly -= onDemand
+	if lacking.onDemandOnly < 0 { // what is left of on-demand machines serves the others
+		lacking.spotAllowed += lacking.onDemandOnly
+		lacking.onDemandOnly = 0
 	}
-	d.spotAllowed = max(0, d.spotAllowed)
-	return d
+	lacking.spotAllowed = max(0, lacking.spotAllowed)
+	return lacking
 }
 
-// endingSoon is the room of array tasks that are expected to end before a machine
-// rented now would be up: what waits for so little need not be rented for.
-func (c *Controller) endingSoon() float64 {
-	boot := math.Inf(1)
-	for i := range c.cloud.types {
-		boot = min(boot, c.cloud.types[i].BootSeconds)
-	}
-	sum := 0.0
-	for _, j := range c.replica.sortedJobs() {
-		if j.spec.Service || j.cancelled() {
-			continue
-		}
-		avg, _ := j.average()
-		if avg == 0 {
-			avg = defaultTaskTime
-		}
-		sum += float64(j.active()) * j.spec.CPUs * min(1, boot/avg.Seconds())
-	}
-	return sum
-}
+func (a *autoscaler) mayUseSpot(j *job) bool { return j.spec.Spot && a.policy.UseSpot }
 
-// displaceable is the room on ordinary machines of work that could as well be on
-// spot machines.
-func (c *Controller) displaceable() float64 {
+// displaceableCPUs is what tasks use on on-demand machines that could as well run on spot instances.
+func (a *autoscaler) displaceableCPUs() float64 {
 	sum := 0.0
-	for _, m := range c.replica.machines {
+	for _, m := range a.replica.sortedMachines() {
 		if m.doc.Spot || m.doc.Decommissioned {
 			continue
 		}
-		for _, t := range m.doc.Tasks {
-			if j := c.replica.unstoredJobOf(t); j != nil && j.spec.Spot && !j.spec.Service {
+		for _, task := range m.doc.Tasks {
+			if j := a.replica.unstoredJobOf(task); j != nil && j.spec.Spot && !j.spec.Service {
 				sum += j.spec.CPUs
 			}
 		}
@@ -178,144 +142,70 @@
 	return sum
 }
 
-// scaleOut asks for machines for the tasks that find no room, in several requests a
-// round when much is wanted, each for the offer that is best then.
-func (c *Controller) scaleOut(short []unmetDemand) {
-	k := &c.cloud
-	settle := units.FromSeconds(2*c.cfg.Settings.Cloud.ListLagS) + 2*units.Second
-	// A new keeper first learns what its predecessor rented.
-	if c.now-k.autoscalerSince < settle && k.autoscalerSince > 3*units.Second && len(c.replica.machines) > 0 {
-		return
-	}
-	if k.listedAt == 0 {
-		return // machines that are up and have not reported yet are seen in the list only
-	}
-	want := c.unmetCapacity(short)
-	permitted := int(c.cfg.Settings.Cloud.RPS / 2)
-	for calls := max(minRentalCalls, permitted); calls > 0 && len(k.rentals) < maxRentalsPending; calls-- {
-		var h *cloud.RentalRequest
-		need := &want.onDemandOnly
-		if want.onDemandOnly > 0 {
-			h = c.bestOffer(short, false)
+// cpusEndingSoon is what array tasks use that are expected to end before a machine rented now would be up:
+// for tasks that wait for so little nothing need be rented.
+func (a *autoscaler) cpusEndingSoon() float64 {
+	boot := a.catalog.shortestBootSeconds()
+	sum := 0.0
+	for _, j := range a.replica.sortedJobs() {
+		if j.spec.Service || j.cancelled() {
+			continue
 		}
-		if h == nil && want.spotAllowed > 0 {
-			need = &want.spotAllowed
-			h = c.bestOffer(short, true)
+		average, _ := j.average()
+		if average == 0 {
+			average = defaultTaskTime
 		}
-		if h == nil {
-			return
-		}
-		cpus := c.machineType(h.Type).CPUs
-		lack := int(math.Ceil(*need / cpus))
-		// Where few calls are allowed each asks for more: four machines a second took
-		// most of a minute to rent a fleet that was wanted at once.
-		h.Count = min(lack, maxMachinesPerRental, max(c.policy.MaxLaunchBatch, len(c.replica.machines)/maxFleetShareDivisor, lack/(rentalRounds*max(1, permitted))))
-		k.rentalsSent++
-		h.Name = "r-" + c.membership.incarnation + "-" + strconv.Itoa(k.rentalsSent)
-		c.log.Info("renting machines", "request", h.Name, "type", h.Type, "zone", h.Zone, "spot", h.Spot, "count", h.Count, "unmet_cpus", *need)
-		*need -= float64(h.Count) * cpus
-		k.rentals[h.Name] = &rentalRequest{request: *h, grantedAt: c.now}
-		c.sendRental(k.rentals[h.Name])
+		sum += float64(j.active()) * j.spec.CPUs * min(1, boot/average.Seconds())
 	}
+	return sum
 }
 
-const (
-	minRentalCalls       = 2  // rental requests a second, however few calls are allowed: that many are, for a while
-	maxMachinesPerRental = 50 // machines that one request may ask for
-	maxFleetShareDivisor = 8  // a request asks for at most this part of the fleet, so that one price or one zone does not take all
-	rentalRounds         = 4  // and, when that is more, at most this part of what is lacking in one second
-	maxRentalsPending    = 40 // requests not yet answered, or whose machines are not yet up
-)
-
-// bestOffer is the cheapest room for the jobs that wait: for those that may use
-// spot machines, or for the others.
-func (c *Controller) bestOffer(short []unmetDemand, spotJobs bool) *cloud.RentalRequest {
-	var pick *cloud.RentalRequest
-	bestCost := math.Inf(1)
-	image := averageImageGB(short, spotJobs)
-	for i := range c.cloud.types {
-		t := &c.cloud.types[i]
-		for _, z := range t.Zones {
-			if c.fleet.suspects(z) || !c.demandIn(short, t, z, spotJobs) {
-				continue
-			}
-			for _, spot := range []bool{false, true} {
-				h := cloud.RentalRequest{Type: t.Name, Zone: z, Spot: spot}
-				if spot && !spotJobs || c.now < c.cloud.offerNotBefore[offerKeyOf(h)] {
-					continue
-				}
-				cost := t.HourlyRate(spot) / t.CPUs * c.startupOverhead(t, image)
-				if spot {
-					cost *= 1.3 // it may be taken back
-				}
-				if cost < bestCost {
-					bestCost, pick = cost, &h
-				}
-			}
+// comingCPUs is the capacity of machines that are rented or listed and have not registered yet.
+func (a *autoscaler) comingCPUs() (onDemand, spot float64) {
+	add := func(machineType string, isSpot bool, machines int) {
+		t := a.catalog.machineType(machineType)
+		switch {
+		case t == nil:
+		case isSpot:
+			spot += t.CPUs * float64(machines)
+		default:
+			onDemand += t.CPUs * float64(machines)
 		}
 	}
-	return pick
-}
-
-// rentedFor is how long a rented machine is kept, roughly, and freshImages how
-// many images it fetches before it has those that are asked for most.
-const (
-	rentalHorizonSeconds = 300.0 // seconds
-	imagesAfterBoot      = 3
-)
-
-// startupOverhead is how much dearer a machine is than its price says, because it is
-// paid for while it boots and fetches its first images.
-func (c *Controller) startupOverhead(t *cloud.MachineType, imageGB float64) float64 {
-	fetch := 0.0
-	if t.FetchGBPerSecond > 0 {
-		fetch = imagesAfterBoot * imageGB / t.FetchGBPerSecond
+	for _, name := range a.rentals.names() {
+		each := a.rentals.underWay[name]
+		add(each.request.Type, each.request.Spot, each.comingMachines())
 	}
-	return 1 + (t.BootSeconds+fetch)/rentalHorizonSeconds
-}
-
-// averageImageGB is the size of the images of the tasks that wait, on average.
-func averageImageGB(short []unmetDemand, spotJobs bool) float64 {
-	sum, n := 0.0, 0.0
-	for _, s := range short {
-		if s.job.spec.Spot == spotJobs {
-			sum += s.job.spec.ImageGB * float64(s.tasks)
-			n += float64(s.tasks)
+	for _, name := range a.machineList.names { // rented by a predecessor, or there from the start
+		listed, ok := a.machineList.machines[name]
+		if ok && listed.State != cloud.Failed && !a.strays.has(name) && !a.replica.everSeen[name] && !a.rentals.pending(name) {
+			add(listed.Type, listed.Spot, 1)
 		}
 	}
-	return sum / max(n, 1)
+	return onDemand, spot
 }
 
-// demandIn reports whether a waiting job fits the type in the zone.
-func (c *Controller) demandIn(short []unmetDemand, t *cloud.MachineType, zone string, spotJobs bool) bool {
-	return slices.ContainsFunc(short, func(s unmetDemand) bool {
-		spec := &s.job.spec
-		return (spec.Spot && c.policy.UseSpot) == spotJobs && api.TaskFits(spec, t) && (spec.Zone == "" || spec.Zone == zone) &&
-			(!spec.Spread && !spec.OneZone || zoneAllowed(s.job, zone))
-	})
-}
-
-// recordFirstRented notes, once and for all, the first machine that was rented: those
-// before it were there from the start, and services go there first.
-func (c *Controller) recordFirstRented(names []string) {
-	if c.replica.firstRented != nil || len(names) == 0 {
+// recordFirstRented notes in the store, once and for all, the first machine that was rented: those before
+// it were there from the start, and services are placed there first.
+func (a *autoscaler) recordFirstRented(machines []string) {
+	if a.replica.firstRented != nil || len(machines) == 0 {
 		return
 	}
-	doc := schema.FirstMachine{Name: slices.Min(names), WriteTag: c.commits.newWriteTag()}
-	txn := &kv.Txn{Conditions: []kv.Condition{{Key: schema.FirstMachineKey}}, Operations: []kv.Operation{{Set: schema.FirstMachineKey, Value: encode(doc)}}}
-	c.commits.commit(txn, doc.WriteTag, func(commitOutcome, uint64, []string) {})
-}
-
-// rented reports whether the machine was rented by this service.
-func (c *Controller) rented(name string) bool {
-	return c.replica.firstRented != nil && name >= c.replica.firstRented.Name
+	first := schema.FirstMachine{Name: slices.Min(machines), WriteTag: a.commits.newWriteTag()}
+	txn := &kv.Txn{
+		Conditions: []kv.Condition{{Key: schema.FirstMachineKey}},
+		Operations: []kv.Operation{{Set: schema.FirstMachineKey, Value: encode(first)}},
+	}
+	// A commit that fails is not repeated: the next rental's tries again.
+	a.commits.commit(txn, first.WriteTag, func(commitOutcome, uint64, []string) {})
 }
 
-func (c *Controller) rentalPending(name string) bool {
-	for _, h := range c.cloud.rentals {
-		if h.pendingMachines[name] {
-			return true
-		}
-	}
-	return false
+// demandFits reports whether a waiting job may use a machine of the type in the zone.
+func (a *autoscaler) demandFits(unmet []unmetDemand, t *cloud.MachineType, zone string, spotJobs bool) bool {
+	return slices.ContainsFunc(unmet, func(demand unmetDemand) bool {
+		spec := &demand.job.spec
+		return a.mayUseSpot(demand.job) == spotJobs && api.TaskFits(spec, t) &&
+			(spec.Zone == "" || spec.Zone == zone) &&
+			(!spec.Spread && !spec.OneZone || zoneAllowed(demand.job, zone))
+	})
 }
