--- /dev/null
+++ b/internal/controller/decommission_test.go
@@ -0,0 +1,53 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+
+	"frostdock.example/frostdock/internal/cloud"
+)
+
+// TestDeletionIsConfirmed deletes a decommissioned machine: it counts as deleted only when the cloud says
+// so, and until then the request is repeated.
+func TestDeletionIsConfirmed(t *testing.T) {
+	rig := newAutoscalerRig(t)
+	mine, other := rig.addMachine("m-1", 0), rig.addMachine("m-2", 1)
+	rig.addMachine("m-3", 0)
+	rig.decommission.mark("idle", mine)
+	rig.deleteDecommissioned()
+	if calls := rig.sent(CloudDelete); len(calls) != 0 {
+		t.Fatalf("deleted before the mark is stored: %+v", calls)
+	}
+	mine.doc.Decommissioned, other.doc.Decommissioned = true, true
+	for _, status := range []cloud.Status{cloud.StatusUnknown, cloud.StatusRefused} {
+		rig.deleteDecommissioned()
+		call := rig.sentOne(CloudDelete)
+		if !slices.Equal(call.Machines.Names, []string{"m-1"}) {
+			t.Errorf("deleted %v", call.Machines.Names)
+		}
+		rig.deleteDecommissioned() // one request at a time
+		rig.answer(call, CloudResult{Status: status})
+		if rig.deleteDecommissioned(); len(rig.effects) > 0 || mine.deleted {
+			t.Errorf("status %d: repeated at once, or deleted %v", status, mine.deleted)
+		}
+		rig.now += deletionRetryDelay
+		rig.runTimers()
+	}
+	rig.deleteDecommissioned()
+	rig.answer(rig.sentOne(CloudDelete), CloudResult{Status: cloud.StatusOK})
+	if !mine.deleted || other.deleted {
+		t.Errorf("deleted %v, another leader's %v", mine.deleted, other.deleted)
+	}
+}
+
+// TestGivenUpAtOnce deletes a machine that was given up without waiting for the stored mark; the first
+// reason stays.
+func TestGivenUpAtOnce(t *testing.T) {
+	rig := newAutoscalerRig(t)
+	m := rig.addMachine("m-1", 0)
+	rig.decommission.giveUp("silent", m)
+	rig.decommission.mark("idle", m)
+	if rig.deleteDecommissioned(); !slices.Equal(rig.sentOne(CloudDelete).Machines.Names, []string{"m-1"}) || !rig.planNeeded {
+		t.Errorf("not deleted, or no plan asked for: %v", rig.planNeeded)
+	}
+}
--- a/internal/controller/offers.go
+++ b/internal/controller/offers.go
@@ -2,7 +2,9 @@
 
 import (
 	"math"
+	"slices"
 
+	"frostdock.example/frostdock/internal/api"
 	"frostdock.example/frostdock/internal/cloud"
 )
 
@@ -66,6 +68,16 @@
 	}
 }
 
+// demandFits reports whether a waiting job may use a machine of the type in the zone.
+func (a *autoscaler) demandFits(unmet []unmetDemand, t *cloud.MachineType, zone string, spotJobs bool) bool {
+	return slices.ContainsFunc(unmet, func(demand unmetDemand) bool {
+		spec := &demand.job.spec
+		return a.mayUseSpot(demand.job) == spotJobs && api.TaskFits(spec, t) &&
+			(spec.Zone == "" || spec.Zone == zone) &&
+			(!spec.Spread && !spec.OneZone || zoneAllowed(demand.job, zone))
+	})
+}
+
 // startupOverhead is how much dearer a machine is than its price says, because it is paid for while it
 // boots and fetches its first images.
 func startupOverhead(t *cloud.MachineType, imageGB float64) float64 {
--- /dev/null
+++ b/internal/controller/scalein_test.go
@@ -0,0 +1,92 @@
+package controller
+
+import (
+	"slices"
+	"testing"
+
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// TestReturnIdle lists which machines are returned for having nothing to do.
+func TestReturnIdle(t *testing.T) {
+	task := schema.Task{Job: "j", Index: 1}
+	for name, tc := range map[string]struct {
+		change   func(*autoscalerRig, *machine)
+		waiting  bool
+		after    units.Micros
+		returned bool
+	}{
+		"idle":             {after: 120 * units.Second, returned: true},
+		"idle for a while": {after: units.Second},
+		"drained":          {after: units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.draining = true }, returned: true},
+		"demand waits":     {after: 120 * units.Second, waiting: true},
+		"not heard":        {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.heardAt = 0 }},
+		"has a task": {after: 120 * units.Second, change: func(r *autoscalerRig, m *machine) {
+			m.doc.Tasks, r.cluster.placed = schema.Tasks{task}, map[schema.Task]*job{task: waitingJob(nil)}
+		}},
+		"command in flight": {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.commandsInFlight = 1 }},
+		"another's machine": {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent = nil }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			rig := newAutoscalerRig(t)
+			m := rig.addMachine("m-1", 0)
+			rig.now += tc.after
+			m.agent.heardAt = rig.now
+			if tc.change != nil {
+				tc.change(rig, m)
+			}
+			rig.returnIdle(tc.waiting, nil)
+			if returned := m.agent != nil && m.agent.decommissionReason == "idle"; returned != tc.returned {
+				t.Errorf("returned %v, want %v", returned, tc.returned)
+			}
+		})
+	}
+}
+
+// TestDrainUnderused drains few machines at once, those with the least use first, while enough stays free.
+func TestDrainUnderused(t *testing.T) {
+	task := schema.Task{Job: "j", Index: 1}
+	for name, tc := range map[string]struct {
+		machines int
+		change   func(*autoscalerRig)
+		want     []string
+	}{
+		"one machine, nothing free elsewhere": {machines: 1},
+		"two of four":                         {machines: 4, want: []string{"m-1", "m-2"}},
+		"the used one last": {machines: 3, want: []string{"m-2", "m-3"}, change: func(r *autoscalerRig) {
+			r.replica.machines["m-1"].doc.Tasks = schema.Tasks{task}
+			r.cluster.placed = map[schema.Task]*job{task: waitingJob(nil)}
+		}},
+		"not steadily within reach": {machines: 4, change: func(r *autoscalerRig) { r.cluster.steady = false }},
+	} {
+		t.Run(name, func(t *testing.T) {
+			rig := newAutoscalerRig(t)
+			for i := range tc.machines {
+				rig.addMachine("m-"+string(rune('1'+i)), 0)
+			}
+			if tc.change != nil {
+				tc.change(rig)
+			}
+			rig.now += steadyBeforeDrain + 1
+			rig.drainUnderused(false, nil)
+			if draining := rig.drainingMachines(); !slices.Equal(draining, tc.want) {
+				t.Errorf("draining %v, want %v", draining, tc.want)
+			}
+			rig.drainUnderused(true, nil) // demand waits again
+			if draining := rig.drainingMachines(); len(draining) > 0 {
+				t.Errorf("still draining %v", draining)
+			}
+		})
+	}
+}
+
+func (r *autoscalerRig) drainingMachines() []string {
+	var draining []string
+	for _, m := range r.replica.sortedMachines() {
+		if m.agent.draining {
+			draining = append(draining, m.name)
+		}
+	}
+	return draining
+}
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -4,7 +4,6 @@
 	"math"
 	"slices"
 
-	"frostdock.example/frostdock/internal/api"
 	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/schema"
@@ -199,13 +198,3 @@
 	// A commit that fails is not repeated: the next rental's tries again.
 	a.commits.commit(txn, first.WriteTag, func(commitOutcome, uint64, []string) {})
 }
-
-// demandFits reports whether a waiting job may use a machine of the type in the zone.
-func (a *autoscaler) demandFits(unmet []unmetDemand, t *cloud.MachineType, zone string, spotJobs bool) bool {
-	return slices.ContainsFunc(unmet, func(demand unmetDemand) bool {
-		spec := &demand.job.spec
-		return a.mayUseSpot(demand.job) == spotJobs && api.TaskFits(spec, t) &&
-			(spec.Zone == "" || spec.Zone == zone) &&
-			(!spec.Spread && !spec.OneZone || zoneAllowed(demand.job, zone))
-	})
-}
