--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -18,10 +18,9 @@
 	led            map[int]bool
 	unmet          []unmetDemand
 	suspectedZones map[string]bool
-	heard          map[string]bool
+	heardHere      map[string]bool
+	heardByPeers   map[string]bool
 	silence        bool
-	steady         bool
-	placed         map[schema.Task]*job
 	firstRented    []string // documents written of the first rented machine
 }
 
@@ -38,23 +37,15 @@
 func (f *fakeCluster) acceptsTasks(m *machine) bool                    { return m.agent != nil && !m.agent.draining }
 func (f *fakeCluster) foreignMachineOpen(*machine) ([]string, bool)    { return nil, true }
 func (f *fakeCluster) hasRoomForAny(*machine, *resources, []*job) bool { return false }
-func (f *fakeCluster) unstoredJobOf(task schema.Task) *job             { return f.placed[task] }
-func (f *fakeCluster) unfinishedJobOf(task schema.Task) *job           { return f.placed[task] }
 
 func (f *fakeCluster) freeCapacity(m *machine, t *cloud.MachineType) *resources {
-	free := &resources{t.CPUs, t.GPUs, t.MemGB}
-	for _, task := range m.doc.Tasks {
-		if j := f.placed[task]; j != nil {
-			free.reserve(&j.spec, 1)
-		}
-	}
-	return free
+	return &resources{t.CPUs - float64(len(m.doc.Tasks)), t.GPUs, t.MemGB} // tasks have one CPU
 }
 
 func (f *fakeCluster) silenceSuspectedWithin(units.Micros) bool           { return f.silence }
-func (f *fakeCluster) zoneSuspected(zone string) bool                     { return f.suspectedZones[zone] }
-func (f *fakeCluster) heardRecently(name string) bool                     { return f.heard[name] }
-func (f *fakeCluster) answeredSteadily(_ *machine, _ units.Micros) bool   { return f.steady }
+func (f *fakeCluster) suspects(zone string) bool                          { return f.suspectedZones[zone] }
+func (f *fakeCluster) heardWithin(name string, _ units.Micros) bool       { return f.heardHere[name] }
+func (f *fakeCluster) anyHeardWithin(name string, _ units.Micros) bool    { return f.heardByPeers[name] }
 func (f *fakeCluster) newWriteTag() string                                { return "tag" }
 func (f *fakeCluster) commit(txn *kv.Txn, _ string, _ commitContinuation) { f.noteFirst(txn) }
 
@@ -79,7 +70,7 @@
 	cfg.Settings.Workers.HeartbeatS = 2
 	cfg.Settings.Cloud.RPS, cfg.Settings.Cloud.ListLagS = 10, 8
 	env := &environment{cfg: cfg, policy: policy.Default(), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: units.Second}
-	cluster := &fakeCluster{led: map[int]bool{scalingPartition: true}, steady: true}
+	cluster := &fakeCluster{led: map[int]bool{scalingPartition: true}}
 	client := newCloudClient(env)
 	types := newCatalog(env, client)
 	types.types = []cloud.MachineType{
@@ -90,8 +81,8 @@
 	copied := &replica{env: env, machines: map[string]*machine{}, everSeen: map[string]bool{}, jobs: map[string]*job{}}
 	return &autoscalerRig{t: t, cluster: cluster, autoscaler: newAutoscaler(env, autoscalerDependencies{
 		replica: copied, cloud: client, catalog: types,
-		decommission: &decommissioner{environment: env, tasks: cluster},
-		leadership:   cluster, demand: cluster, capacity: cluster, fleet: cluster, commits: cluster,
+		decommission: &decommissioner{environment: env, replica: copied},
+		leadership:   cluster, demand: cluster, capacity: cluster, fleet: cluster, agents: cluster, peers: cluster, commits: cluster,
 	})}
 }
 
--- a/internal/controller/machinelist_test.go
+++ b/internal/controller/machinelist_test.go
@@ -57,16 +57,18 @@
 func TestStrays(t *testing.T) {
 	const overdue = 106 // three boot times of 30 s, 15 s, and one more
 	for name, tc := range map[string]struct {
-		listed  cloud.ListedMachine
-		heard   bool
-		follows bool // this process does not rent
-		again   units.Micros
-		deleted bool
+		listed      cloud.ListedMachine
+		heard       bool
+		heardByPeer bool
+		follows     bool // this process does not rent
+		again       units.Micros
+		deleted     bool
 	}{
 		"booting":                 {listed: cloud.ListedMachine{Type: "big", AgeSeconds: 20}, again: 17 * units.Second},
 		"never up":                {listed: cloud.ListedMachine{Type: "big", AgeSeconds: overdue}, again: 17 * units.Second, deleted: true},
 		"never up, seen once":     {listed: cloud.ListedMachine{Type: "big", AgeSeconds: overdue}, again: 16 * units.Second},
 		"up, not registered":      {listed: cloud.ListedMachine{Type: "big", AgeSeconds: overdue}, heard: true, again: 17 * units.Second},
+		"up, heard by a peer":     {listed: cloud.ListedMachine{Type: "big", AgeSeconds: overdue}, heardByPeer: true, again: 17 * units.Second},
 		"unknown type, booting":   {listed: cloud.ListedMachine{Type: "new", AgeSeconds: overdue}, again: 17 * units.Second},
 		"unknown type, never up":  {listed: cloud.ListedMachine{Type: "new", AgeSeconds: 196}, again: 17 * units.Second, deleted: true},
 		"failed":                  {listed: cloud.ListedMachine{Type: "big", State: cloud.Failed}, deleted: true},
@@ -76,7 +78,8 @@
 			rig := newAutoscalerRig(t)
 			rig.noteRole(!tc.follows)
 			tc.listed.Name = "m-1"
-			rig.cluster.heard = map[string]bool{"m-1": tc.heard}
+			rig.cluster.heardHere = map[string]bool{"m-1": tc.heard}
+			rig.cluster.heardByPeers = map[string]bool{"m-1": tc.heardByPeer}
 			for _, at := range []units.Micros{rig.now, rig.now + tc.again} {
 				rig.now, rig.effects = at, nil
 				rig.applyMachineList(&machineListRead{askedAt: at, machines: map[string]cloud.ListedMachine{"m-1": tc.listed}})
@@ -87,3 +90,35 @@
 		})
 	}
 }
+
+// TestWhoReadsTheList lists which processes read the machine list, and how often.
+func TestWhoReadsTheList(t *testing.T) {
+	for name, tc := range map[string]struct {
+		rents, silence bool
+		reads          bool
+	}{
+		"rents":                          {rents: true, reads: true},
+		"does not rent":                  {},
+		"does not rent, machines silent": {silence: true, reads: true},
+		"rents, and machines are silent": {rents: true, silence: true, reads: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			rig := newAutoscalerRig(t)
+			rig.cluster.silence = tc.silence
+			for _, step := range []struct {
+				wait units.Micros
+				due  bool
+			}{{0, true}, {machineListPeriod - 1, false}, {1, true}} {
+				rig.now += step.wait
+				rig.readMachineListWhenDue(tc.rents)
+				calls := rig.sent(CloudList)
+				if reads := len(calls) == 1; reads != (tc.reads && step.due) {
+					t.Errorf("reads %v after %v", reads, step.wait)
+				}
+				for _, call := range calls {
+					rig.answer(call, CloudResult{Status: cloud.StatusOK})
+				}
+			}
+		})
+	}
+}
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -19,13 +19,13 @@
 	}{
 		"idle":             {after: 120 * units.Second, returned: true},
 		"idle for a while": {after: units.Second},
-		"drained":          {after: units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.draining = true }, returned: true},
+		"drained":          {after: units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.startDraining() }, returned: true},
 		"demand waits":     {after: 120 * units.Second, waiting: true},
 		"not heard":        {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.heardAt = 0 }},
 		"has a task": {after: 120 * units.Second, change: func(r *autoscalerRig, m *machine) {
-			m.doc.Tasks, r.cluster.placed = schema.Tasks{task}, map[schema.Task]*job{task: waitingJob(nil)}
+			r.place(m, task)
 		}},
-		"command in flight": {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.commandsInFlight = 1 }},
+		"command in flight": {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.command.send(1, 1) }},
 		"another's machine": {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent = nil }},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -37,7 +37,7 @@
 				tc.change(rig, m)
 			}
 			rig.returnIdle(tc.waiting, nil)
-			if returned := m.agent != nil && m.agent.decommissionReason == "idle"; returned != tc.returned {
+			if returned := m.agent != nil && m.agent.decommission.reason == "idle"; returned != tc.returned {
 				t.Errorf("returned %v, want %v", returned, tc.returned)
 			}
 		})
@@ -55,10 +55,13 @@
 		"one machine, nothing free elsewhere": {machines: 1},
 		"two of four":                         {machines: 4, want: []string{"m-1", "m-2"}},
 		"the used one last": {machines: 3, want: []string{"m-2", "m-3"}, change: func(r *autoscalerRig) {
-			r.replica.machines["m-1"].doc.Tasks = schema.Tasks{task}
-			r.cluster.placed = map[schema.Task]*job{task: waitingJob(nil)}
+			r.place(r.replica.machines["m-1"], task)
+		}},
+		"not steadily within reach": {machines: 4, change: func(r *autoscalerRig) {
+			for _, m := range r.replica.machines {
+				m.agent.responses.givenSince = r.now + 1
+			}
 		}},
-		"not steadily within reach": {machines: 4, change: func(r *autoscalerRig) { r.cluster.steady = false }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := newAutoscalerRig(t)
@@ -69,6 +72,9 @@
 				tc.change(rig)
 			}
 			rig.now += steadyBeforeDrain + 1
+			for _, m := range rig.replica.machines {
+				m.agent.responses.givenAt = rig.now
+			}
 			rig.drainUnderused(false, nil)
 			if draining := rig.drainingMachines(); !slices.Equal(draining, tc.want) {
 				t.Errorf("draining %v, want %v", draining, tc.want)
@@ -90,3 +96,11 @@
 	}
 	return draining
 }
+
+// place enters a task of an accepted job on a machine.
+func (r *autoscalerRig) place(m *machine, task schema.Task) {
+	j := waitingJob(nil)
+	j.id, j.accepted = task.Job, true
+	r.replica.jobs[j.id] = j
+	m.doc.Tasks = append(m.doc.Tasks, task)
+}
