--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -179,33 +179,28 @@
 }
 
 // auditReleases takes back releases that nothing proves, and counts the others.
-func (gd *stagedShard) auditReleases() {
-	if !gd.ownShard {
+func (s *stagedShard) auditReleases() {
+	if !s.ownShard {
 		return
 	}
-	for _, staged := range gd.machines {
-		m := staged.machine
-		releasesNone := len(staged.kept) == len(m.doc.Tasks) && !m.deleted
-		if releasesNone || m.agent == nil && !m.deleted {
-			continue
+	for _, m := range s.machines {
+		deleted := m.machine.deleted
+		if deleted || m.machine.agent != nil && m.releasesEntries() {
+			m.auditReleases()
 		}
-		gd.c.audit.checkReleasesOf(staged)
 	}
 }
 
-// checkReleasesOf takes back releases of one machine that nothing proves, and counts the others.
-func (a *audit) checkReleasesOf(staged *stagedMachine) {
-	m := staged.machine
-	kept := make(map[taskKey]bool, len(staged.kept))
-	for _, task := range staged.kept {
-		kept[keyOf(task)] = true
-	}
-	for _, task := range m.doc.Tasks {
-		if kept[keyOf(task)] && !m.deleted {
+// auditReleases takes back releases of one machine's entries that nothing proves; all of them go with
+// a deleted machine.
+func (m *stagedMachine) auditReleases() {
+	kept := m.keptKeys()
+	for _, task := range m.machine.doc.Tasks {
+		if kept[keyOf(task)] && !m.machine.deleted {
 			continue
 		}
-		if !a.checkRelease(m, task) {
-			staged.kept = append(slices.Clone(staged.kept), task)
+		if !m.shard.planner.audit.checkRelease(m.machine, task) {
+			m.keepEntry(task)
 		}
 	}
 }
@@ -224,28 +219,28 @@
 	return true
 }
 
-// auditForgotten refuses to clear away jobs whose outcome is neither stored nor written in the same
+// auditForgotten refuses to remove jobs whose outcome is neither stored nor written in the same
 // transaction.
-func (b *plan) auditForgotten() {
-	for _, shard := range b.c.replica.jobShards {
-		for _, id := range slices.Sorted(maps.Keys(b.cleared[shard])) {
-			if !b.outcomeIsSafe(id) {
-				b.c.audit.reportViolation(invariantForget, "job", id)
-				delete(b.cleared[shard], id)
+func (p *plan) auditForgotten() {
+	for _, shard := range p.replica.jobShards {
+		for _, id := range slices.Sorted(maps.Keys(p.joint.removedJobs[shard])) {
+			if !p.outcomeIsSafe(id) {
+				p.audit.reportViolation(invariantForget, "job", id)
+				delete(p.joint.removedJobs[shard], id)
 			}
 		}
 	}
 }
 
 // outcomeIsSafe reports whether a job's outcome is stored, or is written by this plan's transaction.
-func (b *plan) outcomeIsSafe(id string) bool {
-	if _, stored := b.c.replica.outcomes.get(id); stored {
+func (p *plan) outcomeIsSafe(id string) bool {
+	if _, stored := p.replica.outcomes.get(id); stored {
 		return true
 	}
-	if j := b.c.replica.jobs[id]; j != nil && j.cancellationShown { // the outcome was written with it
+	if j := p.replica.jobs[id]; j != nil && j.cancellationShown { // the outcome was written with it
 		return true
 	}
-	return slices.ContainsFunc(b.jointOps, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
+	return slices.ContainsFunc(p.joint.operations, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
 }
 
 // checkAnswer looks at an answer to a user. What was found before the job's outcome was shown gives way
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -41,20 +41,22 @@
 	}
 	fired(invariantStart, true)
 
-	gd := &stagedShard{c: c, shard: m.shard, ownShard: true, transferTo: -1, machines: []*stagedMachine{{machine: m}}}
+	shard := newStagedShard(c.planner, m.shard, true, "")
+	shard.machines = []*stagedMachine{{machine: m, shard: shard}}
 	m.agent.tasks[keyOf(entry)] = agent.TaskStatus{Task: "j-000001/0", Attempt: entry.Attempt, State: agent.Running}
-	gd.auditReleases()
-	if len(gd.machines[0].kept) != 1 {
+	shard.auditReleases()
+	if len(shard.machines[0].kept) != 1 {
 		t.Error("an entry is freed while its task runs")
 	}
 	fired(invariantRelease, true)
 
-	b := &plan{c: c, cleared: map[*jobShard]map[string]bool{c.replica.jobShardOf("j-000001"): {"j-000001": true}}}
-	b.auditForgotten()
+	p := newPlan(c.planner, c.partitions.led[0])
+	p.joint.removedJobs[c.replica.jobShardOf("j-000001")] = map[string]bool{"j-000001": true}
+	p.auditForgotten()
 	fired(invariantForget, false) // it is marked, so its end is stored
 	c.replica.jobs["j-000001"].cancellationShown = false
-	b.auditForgotten()
-	if b.cleared[c.replica.jobShardOf("j-000001")]["j-000001"] {
+	p.auditForgotten()
+	if p.joint.removedJobs[c.replica.jobShardOf("j-000001")]["j-000001"] {
 		t.Error("a job without an end is cleared away")
 	}
 	fired(invariantForget, true)
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -114,16 +114,3 @@
 type cancellationDocument struct {
 	WriteTag string `json:"w"`
 }
-
-// storeDerivedCancellation stores the outcome of a job that is cancelled because of another, when there is
-// time for it, and removes the job. It never had a task.
-func (b *plan) storeDerivedCancellation(j *job) {
-	b.removeJob(j)
-	if _, stored := b.c.replica.outcomes.get(j.id); stored {
-		return // accepted as cancelled by another controller, beside this entry
-	}
-	outcome := schema.Outcome{
-		State: StageCancelled, RecordedAt: int64(b.c.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: b.writeTag,
-	}
-	b.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
-}
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -1,43 +1,85 @@
 package controller
 
 import (
+	"slices"
+
 	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// resources is free room.
+// resources are CPUs, GPUs and memory that are free, or taken.
 type resources struct{ cpus, gpus, memoryGB float64 }
 
-// hasRoomFor reports whether there is room for a task.
-func (g *resources) hasRoomFor(s *schema.Job) bool {
-	return g.cpus >= s.CPUs-1e-9 && g.gpus >= s.GPUs-1e-9 && g.memoryGB >= s.MemGB-1e-9
+// canFit reports whether a task fits.
+func (r *resources) canFit(spec *schema.Job) bool {
+	return r.cpus >= spec.CPUs-roundingTolerance && r.gpus >= spec.GPUs-roundingTolerance && r.memoryGB >= spec.MemGB-roundingTolerance
 }
 
-// reserve takes the room of so many tasks, or gives it back when n is negative.
-func (g *resources) reserve(s *schema.Job, n float64) {
-	g.cpus, g.gpus, g.memoryGB = g.cpus-n*s.CPUs, g.gpus-n*s.GPUs, g.memoryGB-n*s.MemGB
+// reserve takes what so many tasks need, or gives it back when their number is negative.
+func (r *resources) reserve(spec *schema.Job, tasks float64) {
+	r.cpus, r.gpus, r.memoryGB = r.cpus-tasks*spec.CPUs, r.gpus-tasks*spec.GPUs, r.memoryGB-tasks*spec.MemGB
 }
 
-// tryReserve uses room for a task if there is enough.
-func (g *resources) tryReserve(s *schema.Job) bool {
-	if !g.hasRoomFor(s) {
+// tryReserve takes what a task needs if it fits.
+func (r *resources) tryReserve(spec *schema.Job) bool {
+	if !r.canFit(spec) {
 		return false
 	}
-	g.reserve(s, 1)
+	r.reserve(spec, 1)
 	return true
 }
 
-// reportedFreeCapacity is the room that no reported task takes.
+// reportedFreeCapacity is what no task takes that the machine's agent has reported.
 func (c *Controller) reportedFreeCapacity(m *machine) *resources {
-	t := c.machineType(m.doc.Type)
+	t := c.catalog.machineType(m.doc.Type)
 	if t == nil {
 		return &resources{}
 	}
-	g := &resources{t.CPUs, t.GPUs, t.MemGB}
-	for k, p := range m.agent.tasks {
-		if j := c.replica.jobs[k.job]; p.State != agent.Ended && j != nil && j.accepted {
-			g.reserve(&j.spec, 1)
+	free := &resources{t.CPUs, t.GPUs, t.MemGB}
+	for key, status := range m.agent.tasks {
+		if j := c.replica.jobs[key.job]; status.State != agent.Ended && j != nil && j.accepted {
+			free.reserve(&j.spec, 1)
 		}
 	}
-	return g
+	return free
+}
+
+// freeCapacity is what the tasks bound to a machine leave of it.
+func (c *Controller) freeCapacity(m *machine, t *cloud.MachineType) *resources {
+	free := &resources{t.CPUs, t.GPUs, t.MemGB}
+	for _, task := range m.doc.Tasks {
+		if j := c.replica.unfinishedJobOf(task); j != nil {
+			free.reserve(&j.spec, 1)
+		}
+	}
+	return free
+}
+
+// hasRoomForAny reports whether one of the jobs could have a task on the machine now.
+func (c *Controller) hasRoomForAny(m *machine, free *resources, jobs []*job) bool {
+	return slices.ContainsFunc(jobs, func(j *job) bool { return free.canFit(&j.spec) && placementAllowed(j, m) })
+}
+
+// acceptsTasks reports whether a machine that this controller commands may be given tasks.
+func (c *Controller) acceptsTasks(m *machine) bool {
+	a := m.agent
+	heard := a.heardAt > 0 && c.now-a.heardAt < silenceAfter(c.cfg.Settings.HeartbeatPeriod())
+	return heard && a.takesNewTasks() && a.responses.lost < maxLostResponses &&
+		a.tokenSeen == c.replica.fencingToken(m) && !a.command.unclear() && !c.fleet.unreachableInbound(m)
+}
+
+// foreignMachineOpen reports whether the leader of another partition's machine says that it takes work,
+// and which images are there.
+func (c *Controller) foreignMachineOpen(m *machine) ([]string, bool) {
+	partition := c.replica.partitions[m.shard.partition]
+	if partition == nil {
+		return nil, false
+	}
+	heartbeat, ok := c.peers.heartbeatOf(partition.doc.Member, partition.doc.Incarnation)
+	if !ok {
+		return nil, false
+	}
+	images, ok := heartbeat.Open[m.name]
+	return images, ok
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -34,15 +34,16 @@
 	readiness    *readiness
 	completions  *completionExchange
 
-	jobShardSplits jobShardSplits
+	splits         *documentSplitter
+	jobShardSplits *jobShardSplitter
 
 	peers        *peerTable
 	facts        *factSource
 	agents       *agentGateway
 	quarantine   *quarantineMonitor
 	fleet        *fleetMonitor
-	estimates    estimates
-	scheduling   scheduling
+	demand       *demandFinder
+	planner      *planner
 	cloud        *cloudClient
 	catalog      *catalog
 	decommission *decommissioner
@@ -59,8 +60,6 @@
 	c := &Controller{
 		environment: env,
 		peers:       newPeerTable(env),
-		estimates:   newEstimates(),
-		scheduling:  newScheduling(),
 	}
 	c.wireReplication()
 	c.wireAuthority(incarnation)
@@ -68,8 +67,10 @@
 	c.wireLeadership()
 	c.wireCloud()
 	c.wireFleet()
+	c.wireDemand()
 	c.wireAutoscaler()
 	c.wireRequests()
+	c.wirePlanner()
 	c.duties = c.periodicDuties()
 	return c
 }
@@ -165,6 +166,14 @@
 	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c.peers}
 }
 
+// wirePlanner connects what plans.
+func (c *Controller) wirePlanner() {
+	env := c.environment
+	c.splits = &documentSplitter{environment: env, store: c.store, replica: c.replica, writes: c.budget}
+	c.jobShardSplits = &jobShardSplitter{documentSplitter: c.splits, authority: c.authority, commits: c.commits}
+	c.planner = newPlanner(c)
+}
+
 // Step takes what happened since the last step and returns what to do.
 func (c *Controller) Step(now, timeOfDay units.Micros, messages []Message) []Effect {
 	first := c.now == 0
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -17,6 +17,16 @@
 	return true
 }
 
+// periodOf is the period of a key, begun when it is first asked for.
+func periodOf[K comparable](periods map[K]*period, key K) *period {
+	p := periods[key]
+	if p == nil {
+		p = &period{}
+		periods[key] = p
+	}
+	return p
+}
+
 // duty is something that a controller does without being asked.
 type duty struct {
 	name   string
@@ -46,12 +56,12 @@
 		{name: "leadership", every: leadershipPeriod, run: c.superviseLeadership},
 		{name: "agent registrations", run: c.agents.finishRegistrations},
 		{name: "outcome reads", run: c.outcomeReads.readMissing},
-		{name: "job shard splits", run: c.splitJobShards},
+		{name: "job shard splits", run: c.jobShardSplits.run},
 		{name: "heartbeat", every: heartbeatPeriod, run: c.sendHeartbeat},
 		{name: "decision log", every: decisionLogPeriod, run: c.audit.logDecisions},
 		{name: "summary", every: summaryPeriod, run: c.logSummary},
 		{name: "autoscaler", run: c.runAutoscalerWhenSynced},
-		{name: "plans", run: c.planWhenNeeded},
+		{name: "plans", run: c.planner.planWhenNeeded},
 	}
 }
 
@@ -78,14 +88,3 @@
 		c.autoscaler.run()
 	}
 }
-
-// planWhenNeeded plans for the led partitions when something has changed, and now and then.
-func (c *Controller) planWhenNeeded() {
-	if !c.replica.synced || !c.planNeeded && !c.scheduling.planPeriod.due(c.now, planPeriod) {
-		return
-	}
-	c.planNeeded = false
-	for _, p := range c.partitions.ledPartitions() {
-		c.planPartition(p)
-	}
-}
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -2,33 +2,49 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// classAveragePeriod is how often the averages of the classes are worked out anew.
-const classAveragePeriod = units.Second
-
-// updateClassAverages works out the average task time of each class of jobs, as the
-// mean over its jobs whose own average is known. A class keeps its last average while
-// none of its jobs is known.
-func (c *Controller) updateClassAverages() {
-	if !c.estimates.period.due(c.now, classAveragePeriod) {
+const (
+	minTaskTime     = units.Second
+	defaultTaskTime = 30 * units.Second // average task time while no job has shown any
+
+	// classAveragePeriod is how often the averages of the classes are worked out anew.
+	classAveragePeriod = units.Second
+
+	// observePeriod is how often all running tasks of a job are looked at.
+	observePeriod = 2 * units.Second
+)
+
+// estimates are what is known of task times beyond a single job. They order jobs and never decide what
+// may run.
+type estimates struct {
+	classAverages map[string]units.Micros // average task time by class of jobs, as last known
+	period        period
+}
+
+func newEstimates() estimates { return estimates{classAverages: map[string]units.Micros{}} }
+
+// update works out the average task time of each class of jobs, as the mean over its jobs whose own
+// average is known. A class keeps its last average while none of its jobs is known.
+func (e *estimates) update(now units.Micros, jobs []*job) {
+	if !e.period.due(now, classAveragePeriod) {
 		return
 	}
 	sum, known := map[string]units.Micros{}, map[string]units.Micros{}
-	for _, j := range c.replica.sortedJobs() {
+	for _, j := range jobs {
 		if average, _ := j.average(); average > 0 && !j.cancelled() {
 			sum[j.spec.Class] += average
 			known[j.spec.Class]++
 		}
 	}
-	for class, n := range known {
-		c.estimates.classAverages[class] = sum[class] / n
+	for class, count := range known {
+		e.classAverages[class] = sum[class] / count
 	}
 }
 
-// borrowedAverage is the task time that a job is taken to have while none of its tasks
-// has completed: that of its class, or else its owner's estimate. The average over all
-// jobs would put a new job of short tasks behind those of long ones.
-func (c *Controller) borrowedAverage(j *job) units.Micros {
-	if average := c.estimates.classAverages[j.spec.Class]; average > 0 {
+// borrowedAverage is the task time that a job is taken to have while none of its tasks has completed:
+// that of its class, or else its user's estimate. The average over all jobs would put a new job of
+// short tasks behind those of long ones.
+func (e *estimates) borrowedAverage(j *job) units.Micros {
+	if average := e.classAverages[j.spec.Class]; average > 0 {
 		return average
 	}
 	if j.spec.EstimatedSeconds > 0 {
@@ -37,10 +53,43 @@
 	return defaultTaskTime
 }
 
-// estimates are what is known of task times beyond a single job.
-type estimates struct {
-	classAverages map[string]units.Micros // average task time by class of jobs, as last known
-	period        period
+// forgetRuns takes lengths of tasks that are now part of the stored average from those that are not.
+func (j *job) forgetRuns(sum units.Micros, count int) {
+	j.runSum -= sum
+	j.runCount -= count
 }
 
-func newEstimates() estimates { return estimates{classAverages: map[string]units.Micros{}} }
+// average is the mean time of the job's done tasks, and of how many; zero if none is known.
+func (j *job) average() (average units.Micros, samples int) {
+	samples = j.storedAverageCount + j.runCount
+	if samples == 0 {
+		return 0, 0
+	}
+	return max(minTaskTime, (j.storedAverage*units.Micros(j.storedAverageCount)+j.runSum)/units.Micros(samples)), samples
+}
+
+// observedAverage is the mean time of a job's tasks: done ones, with the elapsed time of running ones as
+// a lower bound. Zero if none is done.
+func (j *job) observedAverage(now units.Micros) units.Micros {
+	average, _ := j.average()
+	if average == 0 {
+		return 0
+	}
+	if j.observedAt > 0 && now-j.observedAt < observePeriod {
+		return max(average, j.observed)
+	}
+	var excess, late units.Micros // of running tasks that have taken longer than the average
+	for index, bound := range j.bindings {
+		if bound.machine.agent == nil {
+			continue
+		}
+		run, runs := bound.machine.agent.runningSince[taskKey{j.id, index, bound.attempt}]
+		if elapsed := now - run.at; runs && elapsed > average {
+			excess += elapsed - average
+			late++
+		}
+	}
+	// The late ones count with what they have taken so far, as if they ended now.
+	j.observed, j.observedAt = average+excess/(units.Micros(j.doneCount())+late+1), now
+	return j.observed
+}
--- a/internal/controller/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -25,7 +25,7 @@
 	add("j-2", "long", 0, 70)
 	short := add("j-3", "short", 0, 5)
 	c.replica.jobsByAge = nil
-	c.updateClassAverages()
+	c.planner.estimates.update(c.now, c.replica.sortedJobs())
 	for _, tc := range []struct {
 		j    *job
 		want units.Micros
@@ -35,15 +35,15 @@
 		{add("j-6", "unseen", 9, 0), 9 * units.Second},
 		{add("j-7", "unseen", 0, 0), defaultTaskTime},
 	} {
-		if got := c.borrowedAverage(tc.j); got != tc.want {
+		if got := c.planner.estimates.borrowedAverage(tc.j); got != tc.want {
 			t.Errorf("%s of class %s: %v, want %v", tc.j.id, tc.j.spec.Class, got, tc.want)
 		}
 	}
 	short.accepted = false
 	c.replica.jobsByAge = nil
 	c.now += 2 * classAveragePeriod
-	c.updateClassAverages()
-	if got := c.borrowedAverage(c.replica.job("j-5")); got != 5*units.Second {
+	c.planner.estimates.update(c.now, c.replica.sortedJobs())
+	if got := c.planner.estimates.borrowedAverage(c.replica.job("j-5")); got != 5*units.Second {
 		t.Errorf("the class's last average is forgotten: %v", got)
 	}
 }
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -66,12 +66,12 @@
 			known[name] = m
 		}
 		var docs []splitDocument
-		gd := &stagedShard{c: c, shard: c.replica.machineShards[3], transferTo: -1}
+		shard := newStagedShard(c.planner, c.replica.machineShards[3], false, "")
 		for _, m := range c.replica.machineShards[3].machines {
-			gd.machines = append(gd.machines, &stagedMachine{machine: m, shard: gd, kept: m.doc.Tasks})
+			shard.machines = append(shard.machines, &stagedMachine{machine: m, shard: shard, kept: m.doc.Tasks})
 		}
-		docs = append(docs, gd.split(3)...)
-		docs = append(docs, c.splitJobShard(c.replica.jobShards[5], 2, "mark")...)
+		docs = append(docs, shard.split(3)...)
+		docs = append(docs, c.jobShardSplits.split(c.replica.jobShards[5], 2, "mark")...)
 		for i := range docs {
 			d := docs[i]
 			if !parentFirst {
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -6,50 +6,52 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// job is all that is known of a job that is not over. An entry also exists for
-// tasks on machines whose job is gone, until those machines are cleared.
+// job is all that is known of a job that is not over. An entry also exists for tasks on machines whose
+// job is gone, until those machines release them.
 type job struct {
 	id                 string
 	accepted           bool
 	spec               schema.Job
-	done               schema.TaskSet
+	done               schema.TaskSet   // tasks whose completion is stored
+	storedRanges       string           // these, as they are stored
 	progressSegment    *progressSegment // where its progress is stored, if any is
-	storedAverage      units.Micros     // stored average of finished tasks
+	storedAverage      units.Micros     // stored average time of done tasks
 	storedAverageCount int              // and of how many
-	cancellationShown  bool             // a mark says that it is cancelled
-	bindings           map[int]binding  // by task number: where it may be
-	activeCount        int              // of bound, those not known to be done; -1 when that must be counted
-	unstoredCount      int              // of bound, those whose end is not stored; counted with live
-	recordedInEntry    map[int]bool     // of bound, those whose end stands beside them in their machine's entry
+	cancellationShown  bool             // its cancellation is stored
 	partition          int
 	dependency         *dag.Node // which jobs it waits for; nil: none was ever named
 	maxGaps            *int      // gaps that its stored progress may have; nil: the usual number
 
-	// The owner's own knowledge, lost with it.
+	bindings        map[int]binding // by task number: where it may be
+	activeCount     int             // of bound, those not known to be done; -1 when that must be counted
+	unstoredCount   int             // of bound, those whose completion is not stored; counted with activeCount
+	recordedInEntry map[int]bool    // of bound, those whose completion stands in their machine's entry
+
+	// What only this controller knows, lost with it.
 	unstoredCompletions map[int]bool   // known to be done, not yet stored
 	allDone             schema.TaskSet // done, and what is not stored yet
-	runSum              units.Micros   // lengths of those
+	runSum              units.Micros   // task times that are not part of the stored average yet
 	runCount            int
-	share               float64
-	failures            int
-	failedAt            units.Micros    // when it last failed
-	failedOn            map[string]bool // machines of this node on which it failed
+	share               float64 // in CPUs, as fairshare allocated it last
+	failures            int     // in a row
+	failedAt            units.Micros
+	failedOn            map[string]bool // machines that this controller commands, on which it failed
 	succeeded           bool            // one of its tasks completed
-	retryAt             units.Micros
-	observed            units.Micros // average with what running tasks have taken, and when it was worked out
-	observedAt          units.Micros
-	progressWrittenAt   units.Micros // when its progress was last written
-	storedRanges        string       // done, as it is stored
+	retryAt             units.Micros    // nothing of it is placed before
+	observed            units.Micros    // average with what running tasks have taken
+	observedAt          units.Micros    // when that was worked out
+	progressWrittenAt   units.Micros
 	waitingSince        units.Micros // since when tasks of it wait and none was placed; 0: none waits
 }
 
+// binding is where a task may be, and under which attempt.
 type binding struct {
 	machine *machine
 	attempt uint64
 }
 
-// cancelled reports whether the job is known to be cancelled: by its mark, by its own stored end,
-// or by that of a job that it needs, directly or through others.
+// cancelled reports whether the job is known to be cancelled: by its stored cancellation, by its own
+// outcome, or by that of a job that it depends on, directly or through others.
 func (j *job) cancelled() bool { return j.cancellationShown || j.dependency.Cancelled() }
 
 // active counts the tasks that may be running.
@@ -58,11 +60,11 @@
 	return j.activeCount
 }
 
-// quotaHeld counts the tasks that take room of their team's limit: all whose end is
-// not stored. An end that only this process knows is lost with it, and if the
-// machine's lease ends too the task is started once more, beside those that took its
-// place: a team was over its limit that way, and could be in two zones.
-func (j *job) quotaHeld() int {
+// countedForQuota counts the tasks that count for their team's quota: all whose completion is not
+// stored. A completion that only this process knows is lost with it, and if the machine's lease expires
+// too the task is started once more, beside those that took its place: counted by what is known here
+// only, a team could exceed its quota that way, and a job be in two zones.
+func (j *job) countedForQuota() int {
 	j.countBindings()
 	return j.unstoredCount
 }
@@ -111,16 +113,6 @@
 	}
 }
 
-// average is the job's mean task time as observed, and of how many tasks; zero
-// if nothing is known.
-func (j *job) average() (units.Micros, int) {
-	n := j.storedAverageCount + j.runCount
-	if n == 0 {
-		return 0, 0
-	}
-	return max(minTaskTime, (j.storedAverage*units.Micros(j.storedAverageCount)+j.runSum)/units.Micros(n)), n
-}
-
 func (j *job) doneCount() int {
 	return j.done.Len() + len(j.unstoredCompletions)
 }
@@ -133,8 +125,8 @@
 	}
 	last := j.spec.Tasks
 	if most := j.maxProgressGaps(); max(j.done.RangeCount(), j.allDone.RangeCount()) > most {
-		// What is stored must not become much longer; but filling gaps makes it shorter in
-		// the end, and without that a job with too many of them would never go on.
+		// What is stored must not become much longer; but filling gaps makes it shorter in the end, and
+		// without that a job with too many of them could not go on.
 		if j.active() >= most/4 {
 			return -1
 		}
@@ -149,34 +141,6 @@
 	return -1
 }
 
-// observedAverage is a job's average task time: finished tasks, with running ones'
-// elapsed time as a lower bound.
-func (c *Controller) observedAverage(j *job) units.Micros {
-	avg, _ := j.average()
-	if avg == 0 {
-		return 0
-	}
-	if j.observedAt > 0 && c.now-j.observedAt < observeEvery {
-		return max(avg, j.observed)
-	}
-	var over, late units.Micros
-	for n, b := range j.bindings {
-		if b.machine.agent == nil {
-			continue
-		}
-		if run, ok := b.machine.agent.runningSince[taskKey{j.id, n, b.attempt}]; ok && c.now-run.at > avg {
-			over += c.now - run.at - avg
-			late++
-		}
-	}
-	// The late ones count with what they have taken so far, as if they ended now.
-	j.observed, j.observedAt = avg+over/(units.Micros(j.doneCount())+late+1), c.now
-	return j.observed
-}
-
-// observeEvery is how often all running tasks of a job are looked at.
-const observeEvery = 2 * units.Second
-
 // maxProgressGaps is how many gaps the stored progress may have.
 func (j *job) maxProgressGaps() int {
 	if j.maxGaps == nil {
@@ -201,21 +165,21 @@
 	return max(0, j.spec.Tasks-j.doneCount()-j.active())
 }
 
-// addBinding notes where a task may be. Of two entries the one with the later attempt is
-// the true one: while a copy is loaded, documents that were read late stand beside
-// earlier changes of others, and those are shown once more. An earlier entry that
-// came and went that way once made a running task look free.
-func (j *job) addBinding(n int, b binding) {
-	if was, ok := j.bindings[n]; ok && was.attempt > b.attempt {
+// addBinding notes where a task may be. Of two entries the one with the later attempt is the true one:
+// while a replica is loaded, documents that are read late stand beside earlier changes of others, and
+// those are shown once more. An earlier entry that comes and goes that way must not make a running task
+// look free.
+func (j *job) addBinding(index int, bound binding) {
+	if known, ok := j.bindings[index]; ok && known.attempt > bound.attempt {
 		return
 	}
-	j.bindings[n], j.activeCount = b, -1
-	delete(j.recordedInEntry, n)
+	j.bindings[index], j.activeCount = bound, -1
+	delete(j.recordedInEntry, index)
 }
 
 // forgetOccupancies drops what is kept of the machines on which the job may run.
 func (j *job) forgetOccupancies() {
-	for _, b := range j.bindings {
-		b.machine.forgetOccupancy()
+	for _, bound := range j.bindings {
+		bound.machine.forgetOccupancy()
 	}
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -61,7 +61,7 @@
 
 // begin begins to lead a partition, anew if it was led by an earlier revision of its document.
 func (l *leadershipManager) begin(partition int, p *partitionDoc) {
-	own := &leadership{partition: partition, revision: p.revision, term: p.doc.Term, since: l.now, reservations: map[string]reservation{}}
+	own := &leadership{partition: partition, revision: p.revision, term: p.doc.Term, since: l.now, planning: planningState{reservations: newReservationTable()}}
 	l.partitions.lead(own)
 	l.log.Info("leadership acquired", append(l.freshness.logAttrs(), "partition", partition, "term", own.term, "leadership_revision", own.revision)...)
 	for _, m := range l.replica.sortedMachines() {
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -39,25 +39,12 @@
 // leadership is a partition that this process leads, by one document of the partition: another revision
 // of the document is another leadership.
 type leadership struct {
-	partition        int
-	revision         uint64 // of the partition's document, a condition of every write
-	term             uint64
-	since            units.Micros
-	commitsInFlight  int // commits of this partition that are outstanding
-	plansPlaced      uint64
-	sharesResetAt    units.Micros
-	pausedUntil      units.Micros
-	nextPlanAt       units.Micros           // not before
-	reservations     map[string]reservation // machines kept free
-	reserveNotBefore units.Micros           // none is kept free before
-	splitNotBefore   units.Micros           // no machine shard is split before
-	requiredRevision uint64                 // no planning before the replica has come this far
-}
-
-// reservation is for which job a machine is kept free, and since when.
-type reservation struct {
-	job   string
-	since units.Micros
+	partition       int
+	revision        uint64 // of the partition's document, a condition of every write
+	term            uint64
+	since           units.Micros
+	commitsInFlight int // commits of this partition that are outstanding
+	planning        planningState
 }
 
 // partitionTable knows which partitions this process leads, as far as its replica shows. Whether it may
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -7,24 +7,24 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// placementAllowed checks type, kind and zone, given where the job's other tasks may
-// be; those in doubt count as well.
-func (c *Controller) placementAllowed(j *job, m *machine) bool {
-	s := &j.spec
-	if !api.AllowsType(s, m.doc.Type) || m.doc.Spot && !s.Spot || s.Zone != "" && s.Zone != m.doc.Zone {
+// placementAllowed checks type, kind and zone of a machine, given where the job's other tasks may be;
+// those in doubt count as well.
+func placementAllowed(j *job, m *machine) bool {
+	spec := &j.spec
+	if !api.AllowsType(spec, m.doc.Type) || m.doc.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != m.doc.Zone {
 		return false
 	}
-	return !s.OneZone && !s.Spread || zoneAllowed(j, m.doc.Zone)
+	return !spec.OneZone && !spec.Spread || zoneAllowed(j, m.doc.Zone)
 }
 
 // zoneAllowed reports whether one more task of j may be in the zone.
 func zoneAllowed(j *job, zone string) bool {
 	same := 0
-	for n, o := range j.bindings {
-		if j.completionStored(n) {
+	for index, bound := range j.bindings {
+		if j.completionStored(index) {
 			continue
 		}
-		if o.machine.doc.Zone == zone {
+		if bound.machine.doc.Zone == zone {
 			same++
 		} else if j.spec.OneZone {
 			return false
@@ -33,105 +33,102 @@
 	return !j.spec.Spread || same+1 <= (j.spec.Tasks+1)/2
 }
 
-func (d *stagedMachine) fits(j *job) bool {
-	return d.hasRoomFor(&j.spec) && d.shard.bytesLeft >= taskEntryBytes
-}
-
 // chooseMachine finds the best machine for a task of j, or none.
-func (b *plan) chooseMachine(j *job) *stagedMachine {
+func (p *plan) chooseMachine(j *job) *stagedMachine {
 	var best *stagedMachine
 	bestScore := math.Inf(-1)
-	starving, passed := b.c.starving(j), b.c.overlooked(j)
-	for _, d := range b.machines {
-		if !d.fits(j) || !b.fitsShard(d.shard) || !b.c.placementAllowed(j, d.machine) {
+	starving, overlooked := j.starving(p.now), j.overlooked(p.now)
+	for _, m := range p.machines {
+		if !m.fits(j) || !p.fitsShard(m.shard) || !placementAllowed(j, m.machine) {
 			continue
 		}
-		if !j.spec.Service && !starving && b.withheldFrom(j, d, passed) {
+		if !j.spec.Service && !starving && p.withheldFrom(j, m, overlooked) {
 			continue
 		}
-		if score := b.score(j, d); score > bestScore {
-			best, bestScore = d, score
+		if score := p.score(j, m); score > bestScore {
+			best, bestScore = m, score
 		}
 	}
 	return best
 }
 
-// withheldFrom reports whether the room on a machine is not for this array now: its machine shard is
-// not among those of this batch, the jobs of its own partition wait for the room, or the
-// machine is kept free for another job.
-func (b *plan) withheldFrom(j *job, d *stagedMachine, passed bool) bool {
-	if b.shardsPicked && !passed && !d.shard.picked && !d.shard.changed || b.reservedForLeader(d.shard) {
+// withheldFrom reports whether the capacity of a machine is not for this array now: its shard is not
+// among those that this plan picked, the jobs of its own partition wait for it, or it is reserved
+// for another job.
+func (p *plan) withheldFrom(j *job, m *stagedMachine, overlooked bool) bool {
+	if p.shardsPicked && !overlooked && !m.shard.picked && !m.shard.changed || p.reservedForLeader(m.shard) {
 		return true
 	}
-	reservedFor := b.leadership.reservations[d.machine.name].job
-	return reservedFor != "" && reservedFor != j.id
+	return p.leadership.planning.reservations.forAnother(m.machine.name, j)
 }
 
-// What speaks for a machine, in CPUs of free room that would weigh as much.
+// What speaks for a machine, in CPUs of free capacity that would weigh as much.
 const (
 	scoreServiceImage = 1000.0 // it has the service's image: a start must not wait for a fetch
 	scoreArrayImage   = 120.0
 	scoreOwn          = 70.0 // this controller commands it
-	scoreShardWritten = 50.0 // its machine shard is written by this batch anyway
+	scoreShardWritten = 50.0 // its machine shard is written by this plan anyway
 	scoreLasting      = 300.0
 	scoreRented       = 150.0
 	scoreSpot         = 100.0
 )
 
-// score says how well a machine suits a task of j: the fuller the better, so that large
-// gaps stay whole.
-func (b *plan) score(j *job, d *stagedMachine) float64 {
-	score := -d.cpus
-	if d.hasImage(j.spec.Image) && j.spec.Service {
+// score says how well a machine suits a task of j. It packs bins: the fuller the better, so that large
+// free capacities stay whole.
+func (p *plan) score(j *job, m *stagedMachine) float64 {
+	score := -m.cpus
+	if m.hasImage(j.spec.Image) && j.spec.Service {
 		score += scoreServiceImage
-	} else if d.hasImage(j.spec.Image) {
+	} else if m.hasImage(j.spec.Image) {
 		score += scoreArrayImage
 	}
-	if d.shard.ownShard {
+	if m.shard.ownShard {
 		score += scoreOwn
 	}
-	// What lasts goes on machines that stay, so that rented ones fall idle
-	// and can be given back; what ends soon leaves the others free.
-	rented := b.c.rented(d.machine.name)
+	// What lasts goes on machines that stay, so that rented ones fall idle and can be given back;
+	// what ends soon leaves the others free.
+	rented := p.replica.rented(m.machine.name)
 	switch {
 	case j.spec.Service && !rented:
 		score += scoreLasting
-	case !j.spec.Service && d.machine.doc.Spot && j.spec.CheckpointIntervalSeconds > 0:
+	case !j.spec.Service && m.machine.doc.Spot && j.spec.CheckpointIntervalSeconds > 0:
 		score += scoreLasting // it loses little when the machine is taken back
-	case !j.spec.Service && d.machine.doc.Spot:
+	case !j.spec.Service && m.machine.doc.Spot:
 		score += scoreSpot
 	case !j.spec.Service && rented:
 		score += scoreRented
 	}
-	if d.shard.changed {
+	if m.shard.changed {
 		score += scoreShardWritten
 	}
 	return score
 }
 
-// place binds task n of j to d in this batch.
-func (b *plan) place(d *stagedMachine, j *job, n int) {
+// place binds a task of j to a machine in this plan. The binding is taken back if the plan is not
+// stored.
+func (p *plan) place(m *stagedMachine, j *job, index int) {
 	if !j.dependency.Ready() { // whoever asks: nothing starts before what it needs is done
-		b.c.log.Error("refused to place blocked job", "job", j.id)
+		p.log.Error("refused to place blocked job", "job", j.id)
 		return
 	}
-	b.writeShard(d.shard)
-	// Attempts only grow: the epoch does with every take-over, the count within
-	// one. All tasks of a batch share theirs, so that neighbours are written as
-	// one range; an attempt must differ only from others of the same task.
-	if b.attempt == 0 {
-		b.leadership.plansPlaced++
-		b.attempt = b.leadership.term<<28 | b.leadership.plansPlaced
+	p.writeShard(m.shard)
+	if p.attempt == 0 {
+		p.attempt = p.leadership.nextAttempt()
 	}
-	t := schema.Task{Job: j.id, Index: n, Attempt: b.attempt}
-	d.added = append(d.added, t)
-	d.resources.reserve(&j.spec, 1)
-	d.shard.bytesLeft -= taskEntryBytes
-	d.active++
-	b.bytesLeft -= taskEntryBytes
-	addUse(b.usage, &j.spec, 1)
-	j.addBinding(n, binding{d.machine, t.Attempt}) // taken back if the batch is not stored
-	// Only here: an entry that is read once more, because something else on its machine has
-	// changed, is no new place, and a job beside it waited for minutes.
-	j.waitingSince = 0
+	m.add(schema.Task{Job: j.id, Index: index, Attempt: p.attempt}, &j.spec)
+	p.budget.takeBytes(taskEntryBytes)
+	p.usage.add(&j.spec, 1)
+	j.addBinding(index, binding{m.machine, p.attempt})
+	j.notePlaced()
+}
+
+// attemptTermShift leaves the low bits of an attempt to the plans of one term.
+const attemptTermShift = 28
+
+// nextAttempt is the attempt of the tasks that the next plan places. Attempts only grow: the term does
+// with every change of leadership, the count within one. All tasks of a plan share theirs, so that
+// neighbours are written as one range; an attempt must differ only from others of the same task.
+func (l *leadership) nextAttempt() uint64 {
+	l.planning.plansPlaced++
+	return l.term<<attemptTermShift | l.planning.plansPlaced
 }
--- /dev/null
+++ b/internal/controller/plan_outcomes.go
@@ -0,0 +1,161 @@
+package controller
+
+import (
+	"slices"
+
+	"frostdock.example/frostdock/internal/guard"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// progressFlushPeriod is how long a job's progress may wait for others while changes are scarce, or
+// while tasks wait for a place. No entry is released before its task's completion is stored, so nothing
+// is lost.
+const progressFlushPeriod = 20 * units.Second
+
+// finishJobs stores outcomes and progress of the partition's jobs, and removes the cancelled ones.
+func (p *plan) finishJobs(jobs []*job) {
+	least := p.budget.jointLeft() - p.budget.jointLeft()/2 // the rest is for what waits to start
+	p.removeFinished(jobs, least)
+	p.storeProgressOf(jobs, least)
+}
+
+// removeFinished removes the jobs that may be forgotten, each together with its outcome. Those that are
+// cancelled because of others leave so many joint changes.
+func (p *plan) removeFinished(jobs []*job, least int) {
+	for _, j := range jobs {
+		if p.commits.keysInFlight[schema.OutcomePrefix+j.id] {
+			continue
+		}
+		outcome, _ := p.replica.outcomes.get(j.id)
+		reason := j.facts(outcome).MayForget()
+		if reason == guard.KeepJob || !p.canRemoveJob(j) || reason == guard.ForgetCancelledByDependency && p.budget.jointLeft() <= least {
+			continue
+		}
+		p.audit.countForgotten(reason)
+		switch reason {
+		case guard.ForgetCancelled:
+			p.removeCancelled(j)
+		case guard.ForgetCancelledByDependency:
+			p.storeDerivedCancellation(j)
+		case guard.KeepJob: // passed over above
+		case guard.ForgetCompleted:
+			p.storeCompletion(j)
+		}
+	}
+}
+
+// removeCancelled removes a job, and the cancellation that was written with its outcome.
+func (p *plan) removeCancelled(j *job) {
+	key := schema.CancellationPrefix + j.id
+	p.removeJob(j)
+	p.addJoint(kv.Operation{Delete: key}, p.replica.revisions[key])
+}
+
+// storeCompletion stores that all tasks of a job are done, and removes the job. Whoever writes the
+// outcome first decides between done and cancelled.
+func (p *plan) storeCompletion(j *job) {
+	outcome := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(p.timeOfDay), WriteTag: p.writeTag}
+	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
+	p.removeJob(j)
+}
+
+// storeDerivedCancellation stores the outcome of a job that is cancelled because of another, when there is
+// time for it, and removes the job. It never had a task.
+func (p *plan) storeDerivedCancellation(j *job) {
+	p.removeJob(j)
+	if _, stored := p.replica.outcomes.get(j.id); stored {
+		return // accepted as cancelled by another controller, beside this entry
+	}
+	outcome := schema.Outcome{
+		State: StageCancelled, RecordedAt: int64(p.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: p.writeTag,
+	}
+	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
+}
+
+// canRemoveJob reports whether what removes a job fits into the plan.
+func (p *plan) canRemoveJob(j *job) bool {
+	const outcomeBytes = 300 // an upper estimate
+	shard := p.replica.jobShardOf(j.id)
+	changes, bytes := 1, outcomeBytes
+	if p.joint.removedJobs[shard] == nil {
+		changes++
+		bytes += shard.size
+	}
+	return p.budget.jointLeft() >= changes && p.budget.bytes >= bytes &&
+		!p.commits.keysInFlight[shard.key] && shard.size <= p.store.limits.maxValueBytes()
+}
+
+// removeJob removes a job from its job shard; its outcome is stored, or goes with it. Its progress goes
+// when its segment is next written; while changes are plentiful, at once.
+func (p *plan) removeJob(j *job) {
+	shard := p.replica.jobShardOf(j.id)
+	if p.joint.removedJobs[shard] == nil {
+		p.joint.removedJobs[shard] = map[string]bool{}
+		p.budget.takeJoint()
+		p.budget.takeBytes(shard.size)
+	}
+	p.joint.removedJobs[shard][j.id] = true
+	if p.mayRemoveProgress(j) {
+		p.progress.remove(j)
+	}
+}
+
+// mayRemoveProgress reports whether the progress of a removed job can go at once.
+func (p *plan) mayRemoveProgress(j *job) bool {
+	segment := j.progressSegment
+	if segment == nil || p.commits.keysInFlight[segment.key] || p.oversized(segment) {
+		return false
+	}
+	return p.progress.written(j) ||
+		p.budget.jointLeft() > 2 && p.budget.hasBytesFor(segment.size) && p.writes.plentiful()
+}
+
+// storeProgressOf stores the progress of the jobs that have waited for long enough, while more than so
+// many joint changes are left, and of those whose segment is written anyway.
+func (p *plan) storeProgressOf(jobs []*job, least int) {
+	every := progressFlushPeriod
+	if p.writes.plentiful() && !anyWaiting(p.replica.sortedJobs()) {
+		every = 0
+	}
+	var unstored []*job
+	for _, j := range jobs {
+		if len(j.unstoredCompletions) == 0 || j.cancelled() || j.doneCount() == j.spec.Tasks {
+			continue
+		}
+		if j.progressWrittenAt == 0 {
+			j.progressWrittenAt = p.now
+		}
+		unstored = append(unstored, j)
+		if p.now-j.progressWrittenAt >= every && !p.progress.written(j) && p.budget.jointLeft() > least {
+			p.storeProgress(j)
+		}
+	}
+	for _, j := range unstored {
+		if p.progress.written(j) && j.progressWrittenAt < p.now {
+			p.storeProgress(j)
+		}
+	}
+}
+
+// storeProgress stores a job's progress, if the plan has space for it.
+func (p *plan) storeProgress(j *job) {
+	done := j.done.Union(j.allDone)
+	average, samples := j.average()
+	if !p.progress.put(j, schema.JobProgress{DoneRanges: done.String(), AverageSeconds: average.Seconds(), Samples: samples}) {
+		return
+	}
+	j.progressWrittenAt = p.now
+	p.joint.savedRuns = append(p.joint.savedRuns, savedRuntime{j, j.runSum, j.runCount})
+}
+
+// anyWaiting reports whether tasks of the jobs wait for a place: each change that stores progress is one
+// less that gives the places of completed tasks to the next ones, of this controller or of another,
+// which may use what is left. With short tasks progress would take most of all changes.
+func anyWaiting(jobs []*job) bool {
+	return slices.ContainsFunc(jobs, func(j *job) bool { return !j.cancelled() && j.waiting() > 0 })
+}
+
+// plentiful reports whether changes are not scarce at the moment.
+func (b *writeBudget) plentiful() bool { return b.credit > b.maxCredit/2 }
--- /dev/null
+++ b/internal/controller/plan_test.go
@@ -0,0 +1,211 @@
+package controller
+
+import (
+	"strings"
+	"testing"
+
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/schema"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// planOn gives a plan of a controller that leads the only partition, with nothing staged.
+func planOn(t *testing.T) (*Controller, *plan) {
+	t.Helper()
+	cfg := &config.Config{Member: "a"}
+	cfg.Settings.Size = 1
+	cfg.Settings.Teams = []config.Team{{Name: "red", QuotaCPUs: 16, GuaranteedCPUs: 8}, {Name: "blue"}}
+	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
+	c := quietController(cfg)
+	c.now = 1000 * units.Second
+	c.budget.credit = 30
+	led := &leadership{term: 3, planning: planningState{reservations: newReservationTable()}}
+	c.partitions.led[0] = led
+	return c, newPlan(c.planner, led)
+}
+
+// acceptJob enters a job as the replica would.
+func acceptJob(c *Controller, spec schema.Job) *job {
+	j := c.replica.job(spec.ID)
+	j.accepted, j.spec = true, spec
+	c.replica.jobsByAge = nil
+	return j
+}
+
+func TestPlanBudget(t *testing.T) {
+	for name, tc := range map[string]struct {
+		ops              int
+		credit           float64
+		changes, jointly int
+	}{
+		"one is kept back":                    {32, 10.9, 9, 9},
+		"many changes, few in a transaction":  {4, 100, planChanges, 4},
+		"as many as one transaction may have": {32, 100, 32, 32},
+	} {
+		budget := newPlanBudget(tc.ops, tc.credit)
+		if budget.changes != tc.changes || budget.jointLeft() != tc.jointly {
+			t.Errorf("%s: %d changes, %d of them jointly, want %d, %d", name, budget.changes, budget.jointLeft(), tc.changes, tc.jointly)
+		}
+		budget.takeJoint()
+		budget.takeChanges(2)
+		if budget.changes != tc.changes-3 || budget.jointChanges != tc.ops-1 {
+			t.Errorf("%s: %d changes, %d joint ones are left", name, budget.changes, budget.jointChanges)
+		}
+		budget.limitChanges(1)
+		if budget.changes != 1 || budget.jointLeft() != 1 {
+			t.Errorf("%s: limited to %d changes", name, budget.changes)
+		}
+	}
+}
+
+func TestNextAttemptGrows(t *testing.T) {
+	led := &leadership{term: 2}
+	first, second := led.nextAttempt(), led.nextAttempt()
+	next := (&leadership{term: 3}).nextAttempt()
+	if first >= second || second >= next {
+		t.Errorf("attempts %d, %d, then %d in the next term", first, second, next)
+	}
+}
+
+// TestProgressWriter has progress of a job put into its segment, into another when that is full, and
+// refused when nothing is left of the plan's budget.
+func TestProgressWriter(t *testing.T) {
+	c, p := planOn(t)
+	j := acceptJob(c, schema.Job{ID: "j-000001", Tasks: 100})
+	short := schema.JobProgress{DoneRanges: "0-3", Samples: 4}
+	if !p.progress.put(j, short) || len(p.progress.changedKeys()) != 1 {
+		t.Fatalf("first progress is in %v", p.progress.changedKeys())
+	}
+	key := p.progress.changedKeys()[0]
+	if got := p.progress.document(key); got.Jobs[j.id] != short || got.WriteTag != p.writeTag {
+		t.Errorf("written: %+v", got)
+	}
+	if p.budget.jointChanges != 11 {
+		t.Errorf("%d joint changes are left of 12", p.budget.jointChanges)
+	}
+	longer := schema.JobProgress{DoneRanges: "0-3,9", Samples: 5}
+	if !p.progress.put(j, longer) || p.progress.document(key).Jobs[j.id] != longer || p.budget.jointChanges != 11 {
+		t.Error("newer progress of the same job is not written in its place")
+	}
+	tooLong := schema.JobProgress{DoneRanges: strings.Repeat("1,", c.maxValueBytes())}
+	if p.progress.put(j, tooLong) || p.progress.document(key).Jobs[j.id] != longer {
+		t.Error("progress that makes the segment too long is written")
+	}
+
+	full := &progressSegment{key: schema.ProgressKey(0, 7), size: c.maxValueBytes() - 20, jobs: map[string]schema.JobProgress{"j-000002": short}}
+	c.replica.progressSegments[full.key] = full
+	other := acceptJob(c, schema.Job{ID: "j-000002", Tasks: 100})
+	other.progressSegment = full
+	if !p.progress.put(other, longer) || p.progress.document(key).Jobs[other.id] != longer {
+		t.Error("progress does not leave a full segment for one that is written anyway")
+	}
+	if _, left := p.progress.document(full.key).Jobs[other.id]; left {
+		t.Error("it stands in both")
+	}
+
+	p.budget.jointChanges = 0
+	third := acceptJob(c, schema.Job{ID: "j-000003", Tasks: 100})
+	third.progressSegment = &progressSegment{key: schema.ProgressKey(0, 8), jobs: map[string]schema.JobProgress{}}
+	if p.progress.put(third, short) {
+		t.Error("a segment is written without a change left for it")
+	}
+}
+
+// TestPreemption has the cheapest tasks stopped, and none that the rule spares.
+func TestPreemption(t *testing.T) {
+	c, p := planOn(t)
+	began := map[string]units.Micros{"j-000001": 50 * units.Second, "j-000002": 5 * units.Second, "j-000003": 20 * units.Second}
+	m := &machine{name: "n-000001", agent: &agentState{runningSince: map[taskKey]runStart{}, images: map[string]units.Micros{"image": 1}}}
+	for id, ago := range began {
+		acceptJob(c, schema.Job{ID: id, Team: "blue", Tasks: 1, CPUs: 4, MemGB: 1}).bindings[0] = binding{m, 1}
+		m.agent.runningSince[taskKey{id, 0, 1}] = runStart{at: c.now - ago}
+	}
+	staged := &stagedMachine{machine: m, shard: &stagedShard{ownShard: true, changed: true, bytesLeft: 1000}, usable: true}
+	for _, id := range []string{"j-000001", "j-000002", "j-000003"} {
+		staged.kept = append(staged.kept, schema.Task{Job: id, Index: 0, Attempt: 1})
+	}
+	staged.resources = resources{cpus: 0, memoryGB: 100}
+	wants := func(cpus float64) *job {
+		return &job{id: "j-000009", spec: schema.Job{ID: "j-000009", Team: "red", CPUs: cpus, MemGB: 1, Image: "image"}}
+	}
+	anyTask := func(*job) bool { return true }
+	for name, tc := range map[string]struct {
+		cpus    float64
+		rule    preemptionRule
+		victims []string // nil: there is not enough
+	}{
+		"one that has just begun":           {4, preemptionRule{eligible: anyTask}, []string{"j-000002"}},
+		"two, the cheapest first":           {8, preemptionRule{eligible: anyTask}, []string{"j-000002", "j-000003"}},
+		"not those that lose too much":      {8, preemptionRule{eligible: anyTask, maxLoss: 10 * units.Second}, nil},
+		"not those that are not eligible":   {4, preemptionRule{eligible: func(j *job) bool { return j.id == "j-000001" }}, []string{"j-000001"}},
+		"not more than the machine can run": {16, preemptionRule{eligible: anyTask}, nil},
+	} {
+		found := p.preemptionOn(staged, wants(tc.cpus), tc.rule)
+		if enough := found.cost < 1e9; enough != (tc.victims != nil) {
+			t.Errorf("%s: cost %v", name, found.cost)
+			continue
+		}
+		for i, id := range tc.victims {
+			if i >= len(found.victims) || found.victims[i].job != id || len(found.victims) != len(tc.victims) {
+				t.Errorf("%s: stops %v, want %v", name, found.victims, tc.victims)
+				break
+			}
+		}
+	}
+}
+
+func TestQuotaAndGuarantee(t *testing.T) {
+	c, p := planOn(t)
+	j := acceptJob(c, schema.Job{ID: "j-000001", Team: "red", Tasks: 10, CPUs: 4})
+	for _, tc := range []struct {
+		tasks                       int // of the team, that may run
+		underQuota, withinGuarantee bool
+		allowed                     int
+	}{
+		{0, true, true, 4},
+		{1, true, true, 3},
+		{2, true, false, 2},
+		{3, true, false, 1},
+		{4, false, false, 0},
+	} {
+		p.usage = usageByTeam{}
+		p.usage.add(&j.spec, tc.tasks)
+		if got := p.underQuota(j); got != tc.underQuota {
+			t.Errorf("%d tasks: under quota: %v", tc.tasks, got)
+		}
+		if got := p.withinGuarantee("red", j.spec.CPUs, 0); got != tc.withinGuarantee {
+			t.Errorf("%d tasks: within guarantee: %v", tc.tasks, got)
+		}
+		if got := p.tasksWithinQuota(j, p.usage); got != tc.allowed {
+			t.Errorf("%d tasks: %d more are allowed, want %d", tc.tasks, got, tc.allowed)
+		}
+	}
+	if p.underQuota(&job{spec: schema.Job{Team: "gone"}}) {
+		t.Error("a team that is not in the settings may run tasks")
+	}
+}
+
+func TestOccupancy(t *testing.T) {
+	c, p := planOn(t)
+	m := &machine{name: "n-000001", shard: c.replica.machineShards[0]}
+	stored := acceptJob(c, schema.Job{ID: "j-000001", Team: "red", Tasks: 4, CPUs: 2, MemGB: 1})
+	stored.done = stored.done.With(0)
+	m.doc.Tasks = schema.Tasks{
+		{Job: stored.id, Index: 0, Attempt: 1},                // its completion is stored
+		{Job: stored.id, Index: 1, Attempt: 1},                // may be active
+		{Job: stored.id, Index: 2, Attempt: 1, DoneTenths: 7}, // who commands the machine has seen it complete
+		{Job: "j-000002", Index: 0, Attempt: 1},               // its job is over
+	}
+	o := p.occupancyOf(m, false)
+	if len(o.kept) != 4 || o.active != 1 || o.used != (resources{2, 0, 1}) {
+		t.Errorf("of another controller's machine: %d kept, %d active, %+v used", len(o.kept), o.active, o.used)
+	}
+	m.agent = &agentState{leaseEnd: c.now + units.Second}
+	o = p.occupancyOf(m, true)
+	if len(o.kept) != 2 || o.active != 2 || o.used != (resources{4, 0, 2}) {
+		t.Errorf("of an own machine: %d kept, %d active, %+v used", len(o.kept), o.active, o.used)
+	}
+	if o.validUntil != m.agent.leaseEnd+1 {
+		t.Errorf("valid until %v, lease ends %v", o.validUntil, m.agent.leaseEnd)
+	}
+}
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -4,244 +4,214 @@
 	"maps"
 	"slices"
 
-	"frostdock.example/frostdock/internal/guard"
 	"frostdock.example/frostdock/internal/kv"
 	"frostdock.example/frostdock/internal/schema"
-	"frostdock.example/frostdock/internal/units"
 )
 
-// progressFlushPeriod is how long a job's progress may wait for others while changes are scarce,
-// or while tasks wait for a place. Nothing is reaped before its end is stored, so nothing
-// is lost.
-const progressFlushPeriod = 20 * units.Second
-
-// finishJobs stores ends and progress of the partition's jobs, and clears away
-// the cancelled ones.
-func (c *Controller) finishJobs(b *plan, jobs []*job) {
-	least := b.jointRoom() - b.jointRoom()/2 // the rest is for what waits to start
-	for _, j := range jobs {
-		if c.commits.keysInFlight[schema.OutcomePrefix+j.id] {
-			continue
-		}
-		final, _ := c.replica.outcomes.get(j.id)
-		reason := j.facts(final).MayForget()
-		if reason == guard.KeepJob || !b.canRemoveJob(j) || reason == guard.ForgetCancelledByDependency && b.jointRoom() <= least {
-			continue
-		}
-		c.audit.countForgotten(reason)
-		switch reason {
-		case guard.ForgetCancelled:
-			key := schema.CancellationPrefix + j.id
-			b.removeJob(j)
-			b.addJoint(kv.Operation{Delete: key}, c.replica.revisions[key])
-		case guard.ForgetCancelledByDependency:
-			b.storeDerivedCancellation(j)
-		case guard.ForgetCompleted:
-			f := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(c.timeOfDay), WriteTag: b.writeTag}
-			// Whoever writes the end first decides between done and cancelled.
-			b.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(f)}, 0)
-			b.removeJob(j)
-		}
-	}
-	every := progressFlushPeriod
-	if c.changesPlentiful() && !anyWaiting(c.replica.sortedJobs()) {
-		every = 0
-	}
-	var open []*job
-	for _, j := range jobs {
-		if len(j.unstoredCompletions) == 0 || j.cancelled() || j.doneCount() == j.spec.Tasks {
-			continue
-		}
-		if j.progressWrittenAt == 0 {
-			j.progressWrittenAt = c.now
-		}
-		open = append(open, j)
-		if c.now-j.progressWrittenAt >= every && !b.progress.written(j) && b.jointRoom() > least {
-			b.storeProgress(j)
-		}
-	}
-	for _, j := range open { // what stands in the same documents goes with them
-		if b.progress.written(j) && j.progressWrittenAt < c.now {
-			b.storeProgress(j)
-		}
-	}
-}
+// maxProgressGaps is how many gaps the stored progress of a job may have, unless values are short.
+const maxProgressGaps = 200
 
-// anyWaiting reports whether tasks of the jobs wait for a place: each change that stores
-// progress is one less that gives the places of ended tasks to the next ones, of this
-// controller or of another, which may use what is left. With tasks of a few seconds two
-// thirds of all changes went into progress.
-func anyWaiting(jobs []*job) bool {
-	return slices.ContainsFunc(jobs, func(j *job) bool { return !j.cancelled() && j.waiting() > 0 })
-}
+// jobProgressBytes is an upper estimate of a job's progress without its id and its ranges.
+const jobProgressBytes = 60
 
-// changesPlentiful reports whether changes are not scarce at the moment.
-func (c *Controller) changesPlentiful() bool { return c.budget.credit > c.budget.maxCredit/2 }
+// progressWriter stages the progress segments that a plan writes. Only the partition's leader writes
+// them, so a job may stand in any of them; what it stages is written whole with the joint changes, and
+// takes its part of the plan's budget at once.
+type progressWriter struct {
+	plan     *plan
+	segments map[string]*stagedSegment // by key
+	movedTo  map[string]string         // jobs that this plan has put into another segment, and its key
+}
 
-// storeProgress stores a job's progress.
-func (b *plan) storeProgress(j *job) {
-	set := j.done.Union(j.allDone)
-	avg, of := j.average()
-	if !b.progress.put(j, schema.JobProgress{DoneRanges: set.String(), AverageSeconds: avg.Seconds(), Samples: of}) {
-		return
-	}
-	j.progressWrittenAt = b.c.now
-	b.savedRuns = append(b.savedRuns, savedRuntime{j, j.runSum, j.runCount})
+// stagedSegment is a progress segment as it is to be written.
+type stagedSegment struct {
+	jobs map[string]schema.JobProgress
+	size int // an upper estimate
 }
 
-func (b *plan) addJoint(op kv.Operation, stamp uint64) {
-	b.jointOps = append(b.jointOps, op)
-	b.jointConditions = append(b.jointConditions, kv.Condition{Key: op.Set + op.Delete, ModRevision: stamp})
-	b.takeJoint(1)
-	b.bytesLeft -= len(op.Value) + 100
+func newProgressWriter(p *plan) *progressWriter {
+	return &progressWriter{plan: p, segments: map[string]*stagedSegment{}, movedTo: map[string]string{}}
 }
 
-// canRemoveJob reports whether what clears a job away fits into the batch.
-func (b *plan) canRemoveJob(j *job) bool {
-	s := b.c.replica.jobShardOf(j.id)
-	need, bytes := 1, 300
-	if b.cleared[s] == nil {
-		need++
-		bytes += s.size
-	}
-	return b.jointRoom() >= need && b.bytesLeft >= bytes && !b.c.commits.keysInFlight[s.key] && s.size <= b.c.maxValueBytes()
+// written reports whether the segment of the job's progress is written anyway.
+func (w *progressWriter) written(j *job) bool {
+	return j.progressSegment != nil && w.segments[j.progressSegment.key] != nil
 }
 
-// removeJob removes a job that is over from its job shard. Its progress goes when its
-// document is next written; while changes are plenty, at once.
-func (b *plan) removeJob(j *job) {
-	s := b.c.replica.jobShardOf(j.id)
-	if b.cleared[s] == nil {
-		b.cleared[s] = map[string]bool{}
-		b.takeJoint(1)
-		b.bytesLeft -= s.size
-	}
-	b.cleared[s][j.id] = true
-	if j.progressSegment != nil && !b.c.commits.keysInFlight[j.progressSegment.key] && !b.c.oversized(j.progressSegment) && (b.progress.written(j) || b.jointRoom() > 2 && b.bytesLeft > j.progressSegment.size+documentOverheadBytes && b.c.changesPlentiful()) {
-		delete(b.progress.segment(j.progressSegment.key), j.id)
+// segment gives a segment to be changed, without the jobs that are over.
+func (w *progressWriter) segment(key string) *stagedSegment {
+	if staged := w.segments[key]; staged != nil {
+		return staged
+	}
+	staged := &stagedSegment{jobs: map[string]schema.JobProgress{}}
+	if stored := w.plan.replica.progressSegments[key]; stored != nil {
+		staged.size = stored.size
+		for id, progress := range stored.jobs {
+			if j := w.plan.replica.jobs[id]; j != nil && j.accepted {
+				staged.jobs[id] = progress
+			} else {
+				staged.size -= len(id) + len(progress.DoneRanges)
+			}
+		}
 	}
+	w.segments[key] = staged
+	w.plan.budget.takeJoint()
+	w.plan.budget.takeBytes(staged.size + documentOverheadBytes)
+	return staged
 }
 
-// progressWriter changes the documents that hold the progress of a partition's jobs.
-// Only the partition's owner writes them, so a job may stand in any of them.
-type progressWriter struct {
-	plan     *plan
-	segments map[string]map[string]schema.JobProgress
-	sizes    map[string]int
-	movedTo  map[string]string // jobs that were entered in another document, and in which
+// enter enters a job's progress into a segment, which makes it longer by so much.
+func (w *progressWriter) enter(staged *stagedSegment, id string, progress schema.JobProgress, growth int) {
+	staged.jobs[id] = progress
+	staged.size += growth
+	w.plan.budget.takeBytes(growth)
 }
 
-func newProgressWriter(b *plan) *progressWriter {
-	return &progressWriter{plan: b, segments: map[string]map[string]schema.JobProgress{}, sizes: map[string]int{}, movedTo: map[string]string{}}
-}
+// remove takes a job's progress out of its segment.
+func (w *progressWriter) remove(j *job) { delete(w.segment(j.progressSegment.key).jobs, j.id) }
 
-// written reports whether the document of the job's progress is written anyway.
-func (p *progressWriter) written(j *job) bool {
-	return j.progressSegment != nil && p.segments[j.progressSegment.key] != nil
+// put enters a job's progress, into another segment than before if that one is full. It reports whether
+// the plan had space for it.
+func (w *progressWriter) put(j *job, progress schema.JobProgress) bool {
+	if key, moved := w.movedTo[j.id]; moved {
+		return w.putAgain(w.segments[key], j, progress)
+	}
+	cost := len(progress.DoneRanges) + len(j.id) + jobProgressBytes
+	segment := j.progressSegment
+	if segment == nil || w.plan.oversized(segment) { // which must not be written any more
+		return w.putElsewhere(j, progress, cost, nil)
+	}
+	if !w.mayWrite(segment, cost) {
+		return false
+	}
+	if w.putInPlace(j, progress, cost) {
+		return true
+	}
+	if w.plan.budget.jointLeft() < 2 && w.segments[segment.key] == nil {
+		return false
+	}
+	return w.putElsewhere(j, progress, cost, segment)
 }
 
-// segment gives the contents of a document to be changed.
-func (p *progressWriter) segment(key string) map[string]schema.JobProgress {
-	if e := p.segments[key]; e != nil {
-		return e
+// putAgain enters newer progress of a job that this plan has moved into a segment already.
+func (w *progressWriter) putAgain(staged *stagedSegment, j *job, progress schema.JobProgress) bool {
+	growth := len(progress.DoneRanges) - len(staged.jobs[j.id].DoneRanges)
+	if staged.size+growth >= w.plan.store.limits.maxValueBytes() {
+		return false
 	}
-	e := map[string]schema.JobProgress{}
-	if old := p.plan.c.replica.progressSegments[key]; old != nil {
-		p.sizes[key] = old.size
-		for id, d := range old.jobs {
-			if j := p.plan.c.replica.jobs[id]; j != nil && j.accepted {
-				e[id] = d
-			} else { // over
-				p.sizes[key] -= len(id) + len(d.DoneRanges)
-			}
-		}
+	w.enter(staged, j.id, progress, growth)
+	return true
+}
+
+// mayWrite reports whether a stored segment can be written by this plan, with so much more in it.
+func (w *progressWriter) mayWrite(segment *progressSegment, cost int) bool {
+	if w.plan.commits.keysInFlight[segment.key] {
+		return false
 	}
-	p.segments[key] = e
-	p.plan.takeJoint(1)
-	p.plan.bytesLeft -= p.sizes[key] + documentOverheadBytes
-	return e
+	budget := &w.plan.budget
+	return w.segments[segment.key] != nil || budget.jointLeft() >= 1 && budget.bytes >= segment.size+documentOverheadBytes+cost
 }
 
-// put enters a job's progress, in another document than before if that one is
-// full. It reports whether the batch had room for it.
-func (p *progressWriter) put(j *job, d schema.JobProgress) bool {
-	b := p.plan
-	cost := len(d.DoneRanges) + len(j.id) + 60
-	if key, ok := p.movedTo[j.id]; ok { // by this batch
-		grown := len(d.DoneRanges) - len(p.segments[key][j.id].DoneRanges)
-		if p.sizes[key]+grown >= b.c.maxValueBytes() {
-			return false
-		}
-		p.segments[key][j.id] = d
-		p.sizes[key] += grown
-		b.bytesLeft -= grown
-		return true
+// putInPlace enters a job's progress into the segment in which it stands, if that does not become too
+// long.
+func (w *progressWriter) putInPlace(j *job, progress schema.JobProgress, cost int) bool {
+	segment := j.progressSegment
+	growth := cost - len(segment.jobs[j.id].DoneRanges)
+	size := segment.size
+	if staged := w.segments[segment.key]; staged != nil {
+		size = staged.size
 	}
-	written := j.progressSegment != nil && !b.c.oversized(j.progressSegment) // its document may be written again
-	if written {
-		old := j.progressSegment.key
-		if b.c.commits.keysInFlight[old] || p.segments[old] == nil && (b.jointRoom() < 1 || b.bytesLeft < j.progressSegment.size+documentOverheadBytes+cost) {
-			return false
-		}
-		grown := cost - len(j.progressSegment.jobs[j.id].DoneRanges)
-		size := j.progressSegment.size
-		if p.segments[old] != nil {
-			size = p.sizes[old]
-		}
-		if size+grown < b.c.maxValueBytes() {
-			p.segment(old)[j.id] = d
-			p.sizes[old] += grown
-			b.bytesLeft -= grown
-			return true
-		}
-		if b.jointRoom() < 2 && p.segments[old] == nil {
-			return false
-		}
+	if size+growth >= w.plan.store.limits.maxValueBytes() {
+		return false
 	}
-	key := p.segmentWithRoom(cost)
-	if key == "" || p.segments[key] == nil && b.jointRoom() < 1 || b.bytesLeft < cost+documentOverheadBytes {
+	w.enter(w.segment(segment.key), j.id, progress, growth)
+	return true
+}
+
+// putElsewhere enters a job's progress into a segment with space for it, and takes it out of the
+// segment in which it stood; nil: that one stays as it is.
+func (w *progressWriter) putElsewhere(j *job, progress schema.JobProgress, cost int, from *progressSegment) bool {
+	budget := &w.plan.budget
+	key := w.segmentWithSpace(cost)
+	if key == "" || w.segments[key] == nil && budget.jointLeft() < 1 || budget.bytes < cost+documentOverheadBytes {
 		return false
 	}
-	if written {
-		delete(p.segment(j.progressSegment.key), j.id)
+	if from != nil {
+		w.remove(j)
 	}
-	p.segment(key)[j.id] = d
-	p.movedTo[j.id] = key
-	p.sizes[key] += cost
-	b.bytesLeft -= cost
+	w.enter(w.segment(key), j.id, progress, cost)
+	w.movedTo[j.id] = key
 	return true
 }
 
-// segmentWithRoom finds a document with room for so many bytes: one that is written
-// anyway, or else the first with room, or else a new one.
-func (p *progressWriter) segmentWithRoom(cost int) string {
-	most := p.plan.c.maxValueBytes()
-	for _, key := range slices.Sorted(maps.Keys(p.segments)) {
-		if p.sizes[key]+cost < most {
+// segmentWithSpace finds a segment with space for so many bytes: one that is written anyway, or else
+// the first with space, or else a new one. It is empty if no value is long enough.
+func (w *progressWriter) segmentWithSpace(cost int) string {
+	most := w.plan.store.limits.maxValueBytes()
+	for _, key := range w.changedKeys() {
+		if w.segments[key].size+cost < most {
 			return key
 		}
 	}
-	for n := 0; ; n++ {
-		key := schema.ProgressKey(p.plan.leadership.partition, n)
-		if p.plan.c.commits.keysInFlight[key] || p.segments[key] != nil {
+	for number := 0; ; number++ {
+		key := schema.ProgressKey(w.plan.leadership.partition, number)
+		if w.plan.commits.keysInFlight[key] || w.segments[key] != nil {
 			continue
 		}
-		old := p.plan.c.replica.progressSegments[key]
-		if old == nil {
+		stored := w.plan.replica.progressSegments[key]
+		if stored == nil {
 			if cost+documentOverheadBytes > most {
-				return "" // no value is large enough for it
+				return ""
 			}
 			return key
 		}
-		// Those that stand there already grow as well.
-		if old.size+cost < most*2/3 {
+		if stored.size+cost < most*2/3 { // those that stand there already grow as well
 			return key
 		}
 	}
 }
 
-func (p *progressWriter) changedKeys() []string { return slices.Sorted(maps.Keys(p.segments)) }
+// changedKeys are the keys of the segments to be written, in order.
+func (w *progressWriter) changedKeys() []string { return slices.Sorted(maps.Keys(w.segments)) }
+
+// document is a segment as it is to be stored.
+func (w *progressWriter) document(key string) *schema.ProgressSegment {
+	return &schema.ProgressSegment{Jobs: w.segments[key].jobs, WriteTag: w.plan.writeTag}
+}
+
+// emptyOversizedSegments moves progress out of segments that are too long to be written any more, and
+// then deletes those, which is possible at any length. A job may stand in two segments meanwhile: what
+// either says is true.
+func (p *plan) emptyOversizedSegments() {
+	if !p.replica.chainsEnabled() {
+		return
+	}
+	for _, key := range slices.Sorted(maps.Keys(p.replica.progressSegments)) {
+		segment := p.replica.progressSegments[key]
+		if segment.partition != p.leadership.partition || !p.oversized(segment) || p.commits.keysInFlight[key] {
+			continue
+		}
+		if !p.moveProgressOutOf(segment) || p.budget.jointLeft() < 1 {
+			return
+		}
+		p.log.Info("progress segment emptied", "segment", key, "bytes", segment.size)
+		p.addJoint(kv.Operation{Delete: key}, p.replica.revisions[key])
+	}
+}
+
+// moveProgressOutOf puts the progress of a segment's jobs elsewhere. It reports whether the plan had
+// space for all of it.
+func (p *plan) moveProgressOutOf(segment *progressSegment) bool {
+	for _, id := range slices.Sorted(maps.Keys(segment.jobs)) {
+		j := p.replica.jobs[id]
+		if j != nil && j.accepted && j.progressSegment == segment && !p.progress.put(j, segment.jobs[id]) {
+			return false
+		}
+	}
+	return true
+}
 
-func (p *progressWriter) document(key string) *schema.ProgressSegment {
-	return &schema.ProgressSegment{Jobs: p.segments[key], WriteTag: p.plan.writeTag}
+// oversized reports whether a progress segment is longer than what may be written.
+func (p *planner) oversized(segment *progressSegment) bool {
+	return segment != nil && segment.size > p.store.limits.maxValueBytes()
 }
--- /dev/null
+++ b/internal/controller/reservations.go
@@ -0,0 +1,110 @@
+package controller
+
+import (
+	"slices"
+
+	"frostdock.example/frostdock/internal/api"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// reservationTable keeps machines of a partition free for arrays that have not begun: without it,
+// capacity for a large task never falls free in one piece while smaller ones wait, and the last in
+// the order would wait for all others. Reservations are lost with the leadership.
+type reservationTable struct {
+	byMachine map[string]reservation
+	notBefore units.Micros // none is made before
+}
+
+// reservation is for which job a machine is kept free, and since when.
+type reservation struct {
+	job   string
+	since units.Micros
+}
+
+func newReservationTable() reservationTable {
+	return reservationTable{byMachine: map[string]reservation{}}
+}
+
+const (
+	// firstTaskWithin is how long a job may wait for its first task before a machine is kept free
+	// for it. It leaves tasks of a minute time to end within the four minutes in which the largest
+	// jobs must begin.
+	firstTaskWithin = 60 * units.Second
+
+	// reservationPeriod is how long a machine may be kept free in one go. Small jobs beside it must
+	// not wait for as long as the large one does.
+	reservationPeriod = 60 * units.Second
+
+	// machinesPerReservation bounds the reservations: one more may be made while there is not more
+	// than one in so many machines.
+	machinesPerReservation = 20
+)
+
+// forAnother reports whether the machine is kept free for another job than this.
+func (r *reservationTable) forAnother(machine string, j *job) bool {
+	reservedFor := r.byMachine[machine].job
+	return reservedFor != "" && reservedFor != j.id
+}
+
+// has reports whether a machine is kept free for the job.
+func (r *reservationTable) has(j *job) bool {
+	for _, reserved := range r.byMachine {
+		if reserved.job == j.id {
+			return true
+		}
+	}
+	return false
+}
+
+// expire drops the reservations that are no longer needed, or that have lasted long enough; after
+// one of these none is made for a while.
+func (r *reservationTable) expire(now units.Micros, needed func(jobID string) bool) {
+	for name, reserved := range r.byMachine {
+		stillNeeded, overdue := needed(reserved.job), now-reserved.since > reservationPeriod
+		if !stillNeeded || overdue {
+			delete(r.byMachine, name)
+		}
+		if stillNeeded && overdue {
+			r.notBefore = now + reservationPeriod/2
+		}
+	}
+}
+
+// expireReservations drops the machines that need not be kept free any more.
+func (p *plan) expireReservations(active []*job) {
+	p.leadership.planning.reservations.expire(p.now, func(jobID string) bool {
+		return slices.ContainsFunc(active, func(j *job) bool {
+			return j.id == jobID && !j.begun() && j.failures == 0
+		})
+	})
+}
+
+// reserveMachine keeps the machine with the most free capacity for a job that has not begun.
+func (p *plan) reserveMachine(j *job) {
+	reservations := &p.leadership.planning.reservations
+	if !p.mayReserve(j, reservations) || reservations.has(j) {
+		return
+	}
+	var best *stagedMachine
+	for _, m := range p.machines {
+		if p.reservableFor(j, m) && reservations.byMachine[m.machine.name].job == "" && (best == nil || m.cpus > best.cpus) {
+			best = m
+		}
+	}
+	if best != nil {
+		reservations.byMachine[best.machine.name] = reservation{j.id, p.now}
+		p.log.Info("reserving machine", "machine", best.machine.name, "for", j.id)
+	}
+}
+
+// mayReserve reports whether one more machine may be kept free, for this job.
+func (p *plan) mayReserve(j *job, reservations *reservationTable) bool {
+	return j.failures == 0 && p.now >= reservations.notBefore && p.timeOfDay-j.eligibleSince() >= firstTaskWithin &&
+		len(reservations.byMachine) <= len(p.machines)/machinesPerReservation && p.underQuota(j)
+}
+
+// reservableFor reports whether the machine, once empty, can take a task of the job.
+func (p *plan) reservableFor(j *job, m *stagedMachine) bool {
+	t := p.catalog.machineType(m.machine.doc.Type)
+	return m.shard.ownShard && m.usable && t != nil && api.TaskFits(&j.spec, t) && placementAllowed(j, m.machine)
+}
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"encoding/json"
-	"maps"
 	"slices"
 
 	"frostdock.example/frostdock/internal/kv"
@@ -11,207 +10,227 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Documents that have become long, or too long for what the state service will allow, are
-// split online. One transaction writes all the pieces, of which the first takes the place of
-// the document, under its stamp: there is no moment at which an entry stands in two documents
-// or in none, and a crash, a change of owner or a change of the limits finds either the one
-// document or all the pieces.
+// Documents that have become long, or too long for what the key-value store will allow, are split
+// online. One transaction writes all the parts, of which the first takes the place of the document, on
+// the condition of its mod revision: there is no moment at which an entry stands in two documents or in
+// none, and a crash, a change of leadership or a change of the limits finds either the one document or
+// all the parts.
 
 const (
 	splitAbove  = 0.70 // part of the longest value above which a document is split
-	splitTarget = 0.45 // part of it that each piece may take
+	splitTarget = 0.45 // part of it that each of the parts may take
+
+	machineShardSplitShare = 0.5  // part of this controller's changes that splits of machine shards use
+	jobShardSplitShare     = 0.25 // part of them that splits of job shards use
+	jobShardSplitPeriod    = 100 * units.Millisecond
+	oversizedLogPeriod     = 10 * units.Second
 )
 
-// splitCountFor is into how many pieces a document of that length is to be split; 1: it is not.
-func (c *Controller) splitCountFor(size int) int {
-	most := float64(c.maxValueBytes())
-	if !c.chainsEnabled() || float64(size) <= splitAbove*most {
+// documentSplitter says when documents are to be split, and into how many parts. It keeps and writes
+// nothing.
+type documentSplitter struct {
+	*environment
+	store   *storeClient
+	replica *replica
+	writes  *writeBudget
+}
+
+// countFor is into how many documents one of that length is to be split; 1: it is not.
+func (d *documentSplitter) countFor(size int) int {
+	most := float64(d.store.limits.maxValueBytes())
+	if !d.replica.chainsEnabled() || float64(size) <= splitAbove*most {
 		return 1
 	}
 	return max(2, int(float64(size)/(splitTarget*most)+0.999))
 }
 
-// splitDocument is one of the documents that come of a split.
+// splitDocument is one of the documents that a split gives.
 type splitDocument struct {
 	key   string
 	value json.RawMessage
 }
 
-// splitToFit cuts a document into as few pieces as are short enough, from least on and at most
-// so many; cut makes the pieces. If none are short enough for the limits to come, pieces that
-// the service may still take at present are a first step.
-func (c *Controller) splitToFit(least, most int, cut func(pieces int) []splitDocument) []splitDocument {
-	for pieces := least; pieces <= most; pieces++ {
-		if out := cut(pieces); longestDocument(out) <= c.maxValueBytes() {
-			return out
+// fit cuts a document into as few parts as are short enough, from least on and at most so many;
+// cut makes so many parts. If none are short enough for the limits to come, parts that the store may
+// still take at present are a first step. It gives nothing if that is not possible either.
+func (d *documentSplitter) fit(least, most int, cut func(parts int) []splitDocument) []splitDocument {
+	for parts := least; parts <= most; parts++ {
+		if documents := cut(parts); longestDocument(documents) <= d.store.limits.maxValueBytes() {
+			return documents
 		}
 	}
-	if most < 2 || c.store.limits.lowered {
+	if most < 2 || d.store.limits.lowered {
 		return nil
 	}
-	if out := cut(most); longestDocument(out) <= maxValueBytes(c.cfg.Settings.KVStore.ValueKB) {
-		return out
+	if documents := cut(most); longestDocument(documents) <= maxValueBytes(d.cfg.Settings.KVStore.ValueKB) {
+		return documents
 	}
 	return nil
 }
 
-func longestDocument(pieces []splitDocument) int {
-	most := 0
-	for _, p := range pieces {
-		most = max(most, len(p.value))
+// longestDocument is the length of the longest.
+func longestDocument(documents []splitDocument) int {
+	longest := 0
+	for _, document := range documents {
+		longest = max(longest, len(document.value))
 	}
-	return most
+	return longest
+}
+
+// creditPeriod is how long so many changes take when they may use that part of this controller's.
+func (d *documentSplitter) creditPeriod(changes int, part float64) units.Micros {
+	return units.FromSeconds(float64(changes) / (d.writes.rate() * part))
 }
 
-// splitMachineShards splits machine shards of this partition that have become too long, the longest first. That may take more changes than are saved up; what it takes is paid back before the
-// next split, and half of the changes are left to other work.
-func (b *plan) splitMachineShards() {
-	c := b.c
-	if c.now < b.leadership.splitNotBefore {
+// splitMachineShards splits machine shards of this partition that have become too long, the longest
+// first. That may take more changes than are saved up; what it takes is paid back before the next
+// split, and half of the changes are left to other work.
+func (p *plan) splitMachineShards() {
+	if p.now < p.leadership.planning.splitNotBefore {
 		return
 	}
-	var long []*stagedShard
-	for _, gd := range b.shards {
-		if gd.ownShard && !gd.changed && c.splitCountFor(gd.shard.size) > 1 {
-			long = append(long, gd)
-		}
-	}
-	slices.SortStableFunc(long, func(x, y *stagedShard) int { return cmp.Compare(y.shard.size, x.shard.size) })
 	changes := 0
-	for _, gd := range long {
-		pieces := c.splitToFit(c.splitCountFor(gd.shard.size), c.store.limits.TxnOps, gd.split)
-		if len(pieces) < 2 {
-			if c.scheduling.oversizedLogPeriod.due(c.now, 10*units.Second) {
-				c.log.Warn("cannot split machine shard yet", "shard", gd.shard.number, "bytes", gd.shard.size)
-			}
+	for _, shard := range p.shardsToSplit() {
+		documents := p.splits.fit(p.splits.countFor(shard.shard.size), p.store.limits.TxnOps, shard.split)
+		if len(documents) < 2 {
+			p.warnUnsplittable(shard)
 			continue
 		}
-		if changes > 0 && changes+len(pieces) > b.changesLeft {
+		if changes > 0 && changes+len(documents) > p.budget.changes {
 			break
 		}
-		c.log.Info("splitting machine shard", "shard", gd.shard.number, "bytes", gd.shard.size, "pieces", len(pieces), "longest", longestDocument(pieces))
-		changes += len(pieces)
-		gd.changed, gd.splitCount, gd.bytesLeft = true, len(pieces), 0
-		b.changesLeft -= len(pieces)
-		b.bytesLeft -= len(pieces)*documentOverheadBytes + gd.shard.size
+		p.log.Info("splitting machine shard", "shard", shard.shard.number, "bytes", shard.shard.size, "pieces", len(documents), "longest", longestDocument(documents))
+		changes += len(documents)
+		p.splitShard(shard, len(documents))
 	}
 	if changes > 0 {
-		b.leadership.splitNotBefore = c.now + c.creditPeriod(changes, 0.5)
+		p.leadership.planning.splitNotBefore = p.now + p.splits.creditPeriod(changes, machineShardSplitShare)
 	}
 }
 
-// creditPeriod is how long so many changes take when they may use that part of this controller's.
-func (c *Controller) creditPeriod(changes int, part float64) units.Micros {
-	return units.FromSeconds(float64(changes) / (c.budget.rate() * part))
+// shardsToSplit lists this partition's machine shards that have become too long, the longest first.
+func (p *plan) shardsToSplit() []*stagedShard {
+	var long []*stagedShard
+	for _, shard := range p.shards {
+		if shard.ownShard && !shard.changed && p.splits.countFor(shard.shard.size) > 1 {
+			long = append(long, shard)
+		}
+	}
+	slices.SortStableFunc(long, func(a, b *stagedShard) int { return cmp.Compare(b.shard.size, a.shard.size) })
+	return long
 }
 
-// split gives the machine shard's document in so many pieces.
-func (gd *stagedShard) split(pieces int) []splitDocument {
-	whole := gd.document()
-	of := max(gd.shard.spread, gd.c.replica.layout.MachineShards)
-	docs := make([]schema.MachineShard, pieces)
-	for i := range docs {
-		docs[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: of * pieces, WriteTag: whole.WriteTag}
+func (p *plan) warnUnsplittable(shard *stagedShard) {
+	if p.oversizedLog.due(p.now, oversizedLogPeriod) {
+		p.log.Warn("cannot split machine shard yet", "shard", shard.shard.number, "bytes", shard.shard.size)
 	}
-	for _, m := range whole.Machines {
-		doc := &docs[(schema.MachineShardIndex(m.Name, of*pieces)-gd.shard.number)/of]
-		doc.Machines = append(doc.Machines, m)
+}
+
+// splitShard has a machine shard written in so many documents.
+func (p *plan) splitShard(shard *stagedShard, documents int) {
+	shard.markSplit(documents)
+	p.budget.takeChanges(documents)
+	p.budget.takeBytes(documents*documentOverheadBytes + shard.shard.size)
+}
+
+// split gives the machine shard's document in so many parts.
+func (s *stagedShard) split(parts int) []splitDocument {
+	whole := s.document()
+	spread := max(s.shard.spread, s.planner.replica.layout.MachineShards)
+	shards := make([]schema.MachineShard, parts)
+	for i := range shards {
+		shards[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: spread * parts, WriteTag: whole.WriteTag}
 	}
-	out := make([]splitDocument, pieces)
-	for i := range docs {
-		out[i] = splitDocument{schema.MachineShardKey(gd.shard.number + i*of), encode(docs[i])}
+	for _, machine := range whole.Machines {
+		part := &shards[(schema.MachineShardIndex(machine.Name, spread*parts)-s.shard.number)/spread]
+		part.Machines = append(part.Machines, machine)
 	}
-	return out
+	documents := make([]splitDocument, parts)
+	for i := range shards {
+		documents[i] = splitDocument{schema.MachineShardKey(s.shard.number + i*spread), encode(shards[i])}
+	}
+	return documents
 }
 
-// splitJobShards splits job shards that have become too long, one at a time. It is done by one
-// controller, so that two seldom try the same; the stamps keep it safe if two do.
-func (c *Controller) splitJobShards() {
-	if !c.chainsEnabled() || !c.leads(0) || c.store.failing || c.jobShardSplits.inFlight || c.budget.credit < 2 || c.now < c.jobShardSplits.notBefore {
+// jobShardSplitter splits job shards that have become too long, one at a time. It owns the pace of that.
+// It is done by one controller, the leader of partition 0, so that two seldom try the same; the
+// conditions on mod revisions keep it safe if two do.
+type jobShardSplitter struct {
+	*documentSplitter
+	authority *authority
+	commits   *committer
+
+	inFlight  bool
+	notBefore units.Micros
+}
+
+// run begins a split if there is one to make and changes are left for it.
+func (d *jobShardSplitter) run() {
+	if !d.maySplit() {
 		return
 	}
-	c.jobShardSplits.notBefore = c.now + 100*units.Millisecond
-	var long *jobShard
-	for _, s := range c.replica.jobShards {
-		if c.splitCountFor(s.size) > 1 && !c.commits.keysInFlight[s.key] && (long == nil || s.size > long.size) {
-			long = s
-		}
-	}
+	d.notBefore = d.now + jobShardSplitPeriod
+	long := d.longest()
 	if long == nil {
 		return
 	}
-	mark := c.commits.newWriteTag()
-	pieces := c.splitToFit(c.splitCountFor(long.size), c.store.limits.TxnOps, func(n int) []splitDocument { return c.splitJobShard(long, n, mark) })
-	if len(pieces) < 2 {
+	writeTag := d.commits.newWriteTag()
+	documents := d.fit(d.countFor(long.size), d.store.limits.TxnOps, func(parts int) []splitDocument {
+		return d.split(long, parts, writeTag)
+	})
+	if len(documents) < 2 {
 		return
 	}
-	txn := &kv.Txn{}
-	for _, p := range pieces {
-		c.addSet(txn, p.key, p.value)
-	}
-	c.log.Info("splitting job shard", "shard", long.key, "bytes", long.size, "pieces", len(pieces), "longest", longestDocument(pieces))
-	c.jobShardSplits.inFlight = true
-	c.jobShardSplits.notBefore = c.now + c.creditPeriod(len(pieces), 0.25)
-	c.commits.markInFlight(txn)
-	c.commits.commit(txn, mark, func(commitOutcome, uint64, []string) {
-		c.jobShardSplits.inFlight = false
-		c.commits.clearInFlight(txn)
-	})
+	d.log.Info("splitting job shard", "shard", long.key, "bytes", long.size, "pieces", len(documents), "longest", longestDocument(documents))
+	d.commit(documents, writeTag)
 }
 
-// splitJobShard gives the job shard's document in so many pieces.
-func (c *Controller) splitJobShard(s *jobShard, pieces int, mark string) []splitDocument {
-	of := max(s.spread, c.replica.layout.JobShards)
-	docs := make([]schema.JobShard, pieces)
-	for i := range docs {
-		docs[i] = schema.JobShard{ShardCount: of * pieces, WriteTag: mark}
-	}
-	for _, job := range c.replica.jobShardDocument(s, nil).Jobs {
-		doc := &docs[(schema.JobShardIndex(job.ID, of*pieces)-s.number)/of]
-		doc.Jobs = append(doc.Jobs, job)
-	}
-	out := make([]splitDocument, pieces)
-	for i := range docs {
-		out[i] = splitDocument{schema.JobShardKey(s.number + i*of), encode(docs[i])}
-	}
-	return out
+// maySplit reports whether this controller may split a job shard now.
+func (d *jobShardSplitter) maySplit() bool {
+	return d.replica.chainsEnabled() && d.authority.leads(0) && !d.store.failing && !d.inFlight &&
+		d.writes.credit >= minPlanCredit && d.now >= d.notBefore
 }
 
-// emptyOversizedSegments moves the progress of jobs out of documents that are too long to be written any
-// more, and then deletes those, which is possible at any length. A job may stand in two
-// documents meanwhile: what either says is true.
-func (b *plan) emptyOversizedSegments() {
-	c := b.c
-	if !c.chainsEnabled() {
-		return
-	}
-	for _, key := range slices.Sorted(maps.Keys(c.replica.progressSegments)) {
-		p := c.replica.progressSegments[key]
-		if p.partition != b.leadership.partition || !c.oversized(p) || c.commits.keysInFlight[key] {
-			continue
-		}
-		left := false
-		for _, id := range slices.Sorted(maps.Keys(p.jobs)) {
-			if j := c.replica.jobs[id]; j != nil && j.accepted && j.progressSegment == p && !b.progress.put(j, p.jobs[id]) {
-				left = true
-				break
-			}
-		}
-		if left || b.jointRoom() < 1 {
-			return
+// longest finds the longest of the job shards that are to be split, nil if there is none.
+func (d *jobShardSplitter) longest() *jobShard {
+	var longest *jobShard
+	for _, shard := range d.replica.jobShards {
+		if d.countFor(shard.size) > 1 && !d.commits.keysInFlight[shard.key] && (longest == nil || shard.size > longest.size) {
+			longest = shard
 		}
-		c.log.Info("progress segment emptied", "segment", key, "bytes", p.size)
-		b.addJoint(kv.Operation{Delete: key}, c.replica.revisions[key])
 	}
+	return longest
 }
 
-// oversized reports whether a document of progress is longer than what may be written.
-func (c *Controller) oversized(p *progressSegment) bool {
-	return p != nil && p.size > c.maxValueBytes()
+// commit writes the documents of a split in one transaction.
+func (d *jobShardSplitter) commit(documents []splitDocument, writeTag string) {
+	txn := &kv.Txn{}
+	for _, document := range documents {
+		d.replica.addSet(txn, document.key, document.value)
+	}
+	d.inFlight = true
+	d.notBefore = d.now + d.creditPeriod(len(documents), jobShardSplitShare)
+	d.commits.markInFlight(txn)
+	d.commits.commit(txn, writeTag, func(commitOutcome, uint64, []string) {
+		d.inFlight = false
+		d.commits.clearInFlight(txn)
+	})
 }
 
-// jobShardSplits paces the splits of job shards.
-type jobShardSplits struct {
-	inFlight  bool
-	notBefore units.Micros
+// split gives the job shard's document in so many parts.
+func (d *jobShardSplitter) split(shard *jobShard, parts int, writeTag string) []splitDocument {
+	spread := max(shard.spread, d.replica.layout.JobShards)
+	shards := make([]schema.JobShard, parts)
+	for i := range shards {
+		shards[i] = schema.JobShard{ShardCount: spread * parts, WriteTag: writeTag}
+	}
+	for _, job := range d.replica.jobShardDocument(shard, nil).Jobs {
+		part := &shards[(schema.JobShardIndex(job.ID, spread*parts)-shard.number)/spread]
+		part.Jobs = append(part.Jobs, job)
+	}
+	documents := make([]splitDocument, parts)
+	for i := range shards {
+		documents[i] = splitDocument{schema.JobShardKey(shard.number + i*spread), encode(shards[i])}
+	}
+	return documents
 }
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -1,233 +1,117 @@
 package controller
 
 import (
-	"math"
-	"strings"
-
 	"frostdock.example/frostdock/internal/schema"
 	"frostdock.example/frostdock/internal/units"
 )
 
-// placeServices puts services first, whole as far as room goes, and makes room
-// by stopping work of lower grade.
-func (c *Controller) placeServices(b *plan, jobs []*job) {
-	for _, j := range jobs {
-		if !j.spec.Service || j.cancelled() || j.blocked() || c.now < j.retryAt {
-			continue
-		}
-		for n := 0; n < j.spec.Tasks; n++ {
-			if _, ok := j.bindings[n]; ok {
-				continue
-			}
-			if !b.underQuota(j) {
-				break
-			}
-			shape := shapeOf(j)
-			if b.unplaceable[shape] {
-				break
-			}
-			d := b.chooseMachine(j)
-			lower := preemptionRule{eligible: func(v *job) bool { return v.spec.Priority < j.spec.Priority }}
-			if d != nil && !d.hasImage(j.spec.Image) && c.fetchTooSlow(j, d.machine) && c.preempt(b, j, n, true, lower) {
-				continue
-			}
-			if d != nil {
-				b.place(d, j, n)
-			} else if !c.preempt(b, j, n, false, lower) {
-				b.unplaceable[shape] = true
-				break
-			}
-		}
-	}
-}
-
-// taskShape is what a task needs of a machine: once one finds no room, others that
-// need the same need not be tried.
-type taskShape struct {
-	cpus, gpus, mem       float64
-	zone, types           string
-	priority              int
-	spot, spreadSensitive bool
-	team                  string
-	maxLoss               units.Micros // within a guarantee, from teams beyond theirs: what may be lost; 0: no recall
-}
-
-func shapeOf(j *job) taskShape {
-	s := &j.spec
-	k := taskShape{s.CPUs, s.GPUs, s.MemGB, s.Zone, strings.Join(s.Types, ","), s.Priority, s.Spot, s.Spread || s.OneZone, s.Team, 0}
-	if k.spreadSensitive {
-		k.team = s.Team + "/" + j.id // depends on where its other tasks are
-	}
-	return k
-}
+const (
+	minServiceRun     = 35 * units.Second // a service that started stays at least so long
+	stopLeadTime      = 3 * units.Second  // for a stop to be stored and carried out before a machine is taken
+	maxServiceMoves   = 2                 // services that one plan moves
+	objectiveKindWait = "wait"            // kind of the objectives that bound how long a start may take
+)
 
-// fetchTooSlow reports whether fetching the image on m would take longer than
-// the class may wait for its start.
-func (c *Controller) fetchTooSlow(j *job, m *machine) bool {
-	t := c.machineType(m.doc.Type)
-	// The rate may be a third lower, and a third is left for what comes before
-	// and after the fetch.
-	for _, o := range c.cfg.Settings.Objectives {
-		if o.Kind == "wait" && o.Class == j.spec.Class && t != nil && t.FetchGBPerSecond > 0 {
-			return j.spec.ImageGB/t.FetchGBPerSecond > o.WithinS/2
+// placeServices puts services first, whole as far as capacity goes, and frees capacity for them by
+// stopping work of lower priority.
+func (p *plan) placeServices(jobs []*job) {
+	for _, j := range jobs {
+		if j.spec.Service && !j.cancelled() && !j.blocked() && p.now >= j.retryAt {
+			p.placeService(j)
 		}
 	}
-	return false
 }
 
-// preempt puts task n of j in the place of others: it enters it on the machine
-// where least is lost, together with the stops that make room for it, so that
-// nobody else takes that room. With needImage only machines that have its image
-// count. It reports whether a place was found.
-func (c *Controller) preempt(b *plan, j *job, n int, needImage bool, from preemptionRule) bool {
-	var best *stagedMachine
-	var stops []taskKey
-	bestLoss := math.Inf(1)
-	for _, d := range b.machines {
-		if !c.placementAllowed(j, d.machine) || d.shard.bytesLeft < taskEntryBytes || !b.fitsShard(d.shard) || needImage && !d.hasImage(j.spec.Image) {
+// placeService places what is not bound of a service, until one of its tasks finds no place.
+func (p *plan) placeService(j *job) {
+	for index := 0; index < j.spec.Tasks; index++ {
+		if _, bound := j.bindings[index]; bound {
 			continue
 		}
-		g := d.resources
-		loss := 0.0
-		var vs []taskKey
-		for try := g; !try.tryReserve(&j.spec); try = g {
-			k, cost, ok := c.cheapestVictim(d, from, vs)
-			if !ok {
-				loss = math.Inf(1)
-				break
-			}
-			v := &c.replica.jobs[k.job].spec
-			vs = append(vs, k)
-			g.reserve(v, -1)
-			loss += cost
-		}
-		if !d.hasImage(j.spec.Image) {
-			loss += 60
-		}
-		if !d.shard.ownShard {
-			loss += 10
-		}
-		if !d.shard.changed {
-			loss += 10 // one more change
+		if !p.underQuota(j) {
+			return
 		}
-		if j.spec.Service && c.rented(d.machine.name) {
-			loss += 30
+		shape := shapeOf(j)
+		if p.unplaceable[shape] {
+			return
 		}
-		if loss < bestLoss {
-			best, bestLoss, stops = d, loss, vs
+		if !p.placeServiceTask(j, index) {
+			p.unplaceable[shape] = true
+			return
 		}
 	}
-	if best == nil {
-		return false
+}
+
+// placeServiceTask places one task of a service, in the place of work of lower priority if need be,
+// also where that spares it a fetch of its image that takes too long. It reports whether it did.
+func (p *plan) placeServiceTask(j *job, index int) bool {
+	m := p.chooseMachine(j)
+	lower := preemptionRule{eligible: func(victim *job) bool { return victim.spec.Priority < j.spec.Priority }}
+	if m == nil {
+		return p.preempt(j, index, false, lower)
 	}
-	for _, k := range stops {
-		best.requestStop(k, schema.StopImmediately)
-		best.resources.reserve(&c.replica.jobs[k.job].spec, -1)
-		c.log.Info("preempting task", "task", k.task(), "machine", best.machine.name, "for", j.id, "partition", b.leadership.partition)
+	if !m.hasImage(j.spec.Image) && p.fetchTooSlow(j, m.machine) && p.preempt(j, index, true, lower) {
+		return true
 	}
-	b.place(best, j, n)
+	p.place(m, j, index)
 	return true
 }
 
-// preemptionRule says which tasks may be stopped to make room.
-type preemptionRule struct {
-	eligible func(*job) bool
-	maxLoss  units.Micros // the most that may be lost with one of them; 0: any
-}
-
-// priorityCost keeps the grades apart when losses, in seconds, are compared: the lower grade
-// is stopped first, whatever it loses.
-const priorityCost = 1000
-
-// cheapestVictim finds the eligible task on d that loses least when it is stopped.
-func (c *Controller) cheapestVictim(d *stagedMachine, from preemptionRule, not []taskKey) (taskKey, float64, bool) {
-	var best taskKey
-	bestCost, found := 0.0, false
-next:
-	for _, t := range d.kept {
-		k := keyOf(t)
-		for _, x := range not {
-			if x == k {
-				continue next
-			}
-		}
-		j := c.replica.jobs[t.Job]
-		if j == nil || !j.accepted || !c.facts.shouldRun(t) || d.stops[k] > 0 || !from.eligible(j) {
-			continue
-		}
-		cost := c.workLost(d.machine, j, k)
-		if from.maxLoss > 0 && cost > from.maxLoss.Seconds() {
-			continue
+// fetchTooSlow reports whether fetching the image on a machine would take longer than the class may
+// wait for its start.
+func (p *plan) fetchTooSlow(j *job, m *machine) bool {
+	t := p.catalog.machineType(m.doc.Type)
+	// The rate may be a third lower, and a third is left for what comes before and after the fetch.
+	for _, objective := range p.cfg.Settings.Objectives {
+		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && t != nil && t.FetchGBPerSecond > 0 {
+			return j.spec.ImageGB/t.FetchGBPerSecond > objective.WithinS/2
 		}
-		cost += float64(j.spec.Priority) * priorityCost
-		// By CPUs, so that one large task is not stopped where a few small ones that have
-		// just begun would do.
-		cost *= j.spec.CPUs
-		if !found || cost < bestCost {
-			best, bestCost, found = k, cost, true
-		}
-	}
-	return best, bestCost, found
-}
-
-// workLost is how many seconds of work are lost when a task is stopped. What a task on another
-// controller's machine has done is known to that one only; it is no more than the time since
-// it was entered there.
-func (c *Controller) workLost(m *machine, j *job, k taskKey) float64 {
-	var began units.Micros
-	if m.agent == nil {
-		began = m.entrySeenAt[k]
-	} else if run, ok := m.agent.runningSince[k]; ok {
-		began = run.at
-	} else {
-		return 0
 	}
-	loss := (c.now - began).Seconds()
-	if j.spec.CheckpointIntervalSeconds > 0 {
-		loss = min(loss, j.spec.CheckpointIntervalSeconds)
-	}
-	return loss
+	return false
 }
 
-// drainReclaimed saves what can be saved on machines that the cloud is about to take
-// back: services leave at once, tasks with checkpoints as late as they can.
-// Others run on, since they may complete in time.
-func (c *Controller) drainReclaimed(b *plan) {
-	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.notice.announced }) {
-		left := d.machine.agent.notice.endsAt - c.now
-		for _, t := range d.kept {
-			j := c.replica.jobs[t.Job]
-			if j == nil || !c.facts.shouldRun(t) || !b.fitsShard(d.shard) {
-				continue
-			}
-			if j.spec.Service || j.spec.CheckpointIntervalSeconds > 0 && left < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime {
-				b.writeShard(d.shard)
-				d.requestStop(keyOf(t), schema.StopGracefully)
+// drainReclaimed saves what can be saved on machines that the cloud is about to take back: services
+// leave at once, tasks with checkpoints as late as they can. Others run on, since they may complete in
+// time.
+func (p *plan) drainReclaimed() {
+	for _, m := range p.machinesToEmpty(func(m *machine) bool { return m.agent.notice.announced }) {
+		left := m.machine.agent.notice.endsAt - p.now
+		for _, task := range m.kept {
+			j := p.replica.jobs[task.Job]
+			if j != nil && p.facts.shouldRun(task) && p.fitsShard(m.shard) && j.mustLeaveReclaimed(left) {
+				p.writeShard(m.shard)
+				m.requestStop(keyOf(task), schema.StopGracefully)
 			}
 		}
 	}
 }
 
-// machinesToEmpty lists this partition's machines that are to be emptied, for one reason or
-// another. They take no more work, so they are not among those that tasks are
-// placed on; looked for there, nothing was ever saved or moved.
-func (b *plan) machinesToEmpty(why func(*machine) bool) []*stagedMachine {
-	var out []*stagedMachine
-	for _, gd := range b.shards {
-		for _, d := range gd.machines {
-			if gd.ownShard && d.machine.agent != nil && !d.machine.deleted && why(d.machine) {
-				out = append(out, d)
+// mustLeaveReclaimed reports whether a task of the job must be stopped now on a machine that is taken
+// back when that time is over.
+func (j *job) mustLeaveReclaimed(left units.Micros) bool {
+	return j.spec.Service ||
+		j.spec.CheckpointIntervalSeconds > 0 && left < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime
+}
+
+// machinesToEmpty lists this partition's machines that are to be emptied, for one reason or another.
+// They take no more work, so they are not among those that tasks are placed on.
+func (p *plan) machinesToEmpty(why func(*machine) bool) []*stagedMachine {
+	var machines []*stagedMachine
+	for _, shard := range p.shards {
+		for _, m := range shard.machines {
+			if shard.ownShard && m.machine.agent != nil && !m.machine.deleted && why(m.machine) {
+				machines = append(machines, m)
 			}
 		}
 	}
-	return out
+	return machines
 }
 
 // hasStoppingTask reports whether a task of the job is being stopped.
-func hasStoppingTask(j *job) bool {
-	for n, b := range j.bindings {
-		for _, t := range b.machine.doc.Tasks {
-			if t.Job == j.id && t.Index == n && t.StopMode > 0 {
+func (j *job) hasStoppingTask() bool {
+	for index, bound := range j.bindings {
+		for _, task := range bound.machine.doc.Tasks {
+			if task.Job == j.id && task.Index == index && task.StopMode > 0 {
 				return true
 			}
 		}
@@ -235,37 +119,49 @@
 	return false
 }
 
-// moveServices takes services off machines that are to be given back, where
-// another machine has their image and room, so that they are away for a moment
-// only. Those that have just started stay for now.
-func (c *Controller) moveServices(b *plan) {
-	if !periodOf(c.scheduling.movePeriods, b.leadership.partition).due(c.now, rebalancePeriod) {
+// moveServices takes services off machines that are to be given back, where another machine has their
+// image and capacity, so that they are away for a moment only. Those that have just started stay for
+// now. Of one service only one task moves at a time: two that move together may not fit one zone.
+func (p *plan) moveServices() {
+	if !periodOf(p.movePeriods, p.leadership.partition).due(p.now, rebalancePeriod) {
 		return
 	}
-	moves := 0
-	moving := map[*job]bool{} // one task a time: two that move together may not fit one zone
-	for _, d := range b.machinesToEmpty(func(m *machine) bool { return m.agent.draining && c.facts.quiesced(m) }) {
-		for _, t := range d.kept {
-			j := c.replica.jobs[t.Job]
-			k := keyOf(t)
-			run, runs := d.machine.agent.runningSince[k]
-			if j == nil || !j.accepted || !j.spec.Service || moving[j] || j.waiting() > 0 || hasStoppingTask(j) || !c.facts.shouldRun(t) || !runs || c.now-run.at < minServiceRun || !b.fitsShard(d.shard) {
-				continue
-			}
-			j.removeBinding(t.Index) // it does not stand in its own way
-			to := b.chooseMachine(j)
-			j.addBinding(t.Index, binding{d.machine, t.Attempt})
-			if to == nil || !to.hasImage(j.spec.Image) || c.rented(to.machine.name) && to.active == 0 {
+	moving := map[*job]bool{}
+	for _, m := range p.machinesToEmpty(func(m *machine) bool { return m.agent.draining && p.facts.quiesced(m) }) {
+		for _, task := range m.kept {
+			j := p.replica.jobs[task.Job]
+			if !p.movable(m, j, task) || moving[j] || !p.moveService(m, j, task) {
 				continue
 			}
 			moving[j] = true
-			b.writeShard(d.shard)
-			d.requestStop(k, schema.StopImmediately)
-			to.cpus, to.memoryGB = to.cpus-j.spec.CPUs, to.memoryGB-j.spec.MemGB
-			c.log.Info("moving service", "task", k.task(), "from", d.machine.name, "to", to.machine.name)
-			if moves++; moves >= 2 {
+			if len(moving) >= maxServiceMoves {
 				return
 			}
 		}
 	}
 }
+
+// movable reports whether a task is of a service that runs steadily and may move now.
+func (p *plan) movable(m *stagedMachine, j *job, task schema.Task) bool {
+	if j == nil || !j.accepted || !j.spec.Service || j.waiting() > 0 || j.hasStoppingTask() {
+		return false
+	}
+	run, runs := m.machine.agent.runningSince[keyOf(task)]
+	return runs && p.now-run.at >= minServiceRun && p.facts.shouldRun(task) && p.fitsShard(m.shard)
+}
+
+// moveService stops a service's task if there is a better machine for it, and keeps the capacity there.
+// The next plan places it. It reports whether it did.
+func (p *plan) moveService(from *stagedMachine, j *job, task schema.Task) bool {
+	j.removeBinding(task.Index) // it does not stand in its own way
+	to := p.chooseMachine(j)
+	j.addBinding(task.Index, binding{from.machine, task.Attempt})
+	if to == nil || !to.hasImage(j.spec.Image) || p.replica.rented(to.machine.name) && to.active == 0 {
+		return false
+	}
+	p.writeShard(from.shard)
+	from.requestStop(keyOf(task), schema.StopImmediately)
+	to.setAsideForMove(&j.spec)
+	p.log.Info("moving service", "task", keyOf(task).task(), "from", from.machine.name, "to", to.machine.name)
+	return true
+}
--- /dev/null
+++ b/internal/controller/staged_machine.go
@@ -0,0 +1,147 @@
+package controller
+
+import (
+	"slices"
+
+	"frostdock.example/frostdock/internal/schema"
+)
+
+// stagedMachine is a machine's entry as a plan is going to write it. Its free capacity is that of the
+// machine less whatever may be there, what the plan adds included.
+type stagedMachine struct {
+	machine      *machine
+	shard        *stagedShard
+	resources                                // free capacity
+	endingSoon   resources                   // capacity of array tasks that are about to end
+	kept         []schema.Task               // entries that stay
+	added        []schema.Task               // entries that this plan adds
+	stops        map[taskKey]schema.StopMode // tasks that are to be stopped, and how
+	active       int                         // tasks that may be active
+	images       []string                    // what another controller says of a machine's images that it leads
+	usable       bool                        // it may be given tasks
+	refence      bool                        // its fencing token is raised
+	decommission bool
+}
+
+// hasImage reports whether the image is on the machine, as far as is known.
+func (m *stagedMachine) hasImage(image string) bool {
+	if m.machine.agent != nil {
+		_, ok := m.machine.agent.images[image]
+		return ok
+	}
+	return slices.Contains(m.images, image)
+}
+
+// fits reports whether there is capacity for a task of the job, and space for its entry.
+func (m *stagedMachine) fits(j *job) bool {
+	return m.canFit(&j.spec) && m.shard.bytesLeft >= taskEntryBytes
+}
+
+// add enters a task and takes its capacity.
+func (m *stagedMachine) add(task schema.Task, spec *schema.Job) {
+	m.added = append(m.added, task)
+	m.reserve(spec, 1)
+	m.active++
+	m.shard.bytesLeft -= taskEntryBytes
+}
+
+// requestStop has a task's entry say that it is to be stopped.
+func (m *stagedMachine) requestStop(key taskKey, mode schema.StopMode) {
+	if m.stops == nil {
+		m.stops = map[taskKey]schema.StopMode{}
+	}
+	m.stops[key] = mode
+}
+
+// preempt stops a task at once and counts its capacity as free.
+func (m *stagedMachine) preempt(key taskKey, spec *schema.Job) {
+	m.requestStop(key, schema.StopImmediately)
+	m.reserve(spec, -1)
+}
+
+// setAsideForMove keeps capacity for a service that is to come here when it has stopped elsewhere.
+func (m *stagedMachine) setAsideForMove(spec *schema.Job) {
+	m.cpus, m.memoryGB = m.cpus-spec.CPUs, m.memoryGB-spec.MemGB
+}
+
+// countEndingSoon counts the capacity of tasks that are about to end as free.
+func (m *stagedMachine) countEndingSoon() {
+	m.cpus += m.endingSoon.cpus
+	m.gpus += m.endingSoon.gpus
+	m.memoryGB += m.endingSoon.memoryGB
+}
+
+// markDecommissioned has the entry say that the machine is to be given back; it takes no more tasks.
+func (m *stagedMachine) markDecommissioned() { m.decommission, m.usable = true, false }
+
+// markRefenced raises the machine's fencing token, so that no earlier command can take effect.
+func (m *stagedMachine) markRefenced() { m.refence = true }
+
+// keepAll keeps the entry as it stands: nothing is known of what is on the machine.
+func (m *stagedMachine) keepAll() { m.kept = m.machine.doc.Tasks }
+
+// occupy takes from the machine's whole capacity what may be on it.
+func (m *stagedMachine) occupy(whole resources, occupancy *occupancy) {
+	m.kept, m.active, m.endingSoon = occupancy.kept, occupancy.active, occupancy.endingSoon
+	used := occupancy.used
+	m.resources = resources{whole.cpus - used.cpus, whole.gpus - used.gpus, whole.memoryGB - used.memoryGB}
+}
+
+// keepEntry keeps one more entry.
+func (m *stagedMachine) keepEntry(task schema.Task) { m.kept = append(slices.Clone(m.kept), task) }
+
+// keptKeys are the keys of the entries that stay.
+func (m *stagedMachine) keptKeys() map[taskKey]bool {
+	keys := make(map[taskKey]bool, len(m.kept))
+	for _, task := range m.kept {
+		keys[keyOf(task)] = true
+	}
+	return keys
+}
+
+// releasesEntries reports whether entries go that the stored document still has.
+func (m *stagedMachine) releasesEntries() bool { return len(m.kept) != len(m.machine.doc.Tasks) }
+
+// releasesUnfinished reports whether one of the entries that go is of a task that must run again.
+func (m *stagedMachine) releasesUnfinished() bool {
+	kept := m.keptKeys()
+	return slices.ContainsFunc(m.machine.doc.Tasks, func(task schema.Task) bool {
+		return !kept[keyOf(task)] && m.shard.planner.replica.unstoredJobOf(task) != nil
+	})
+}
+
+// document is the machine's entry as it is to be stored.
+func (m *stagedMachine) document() schema.Machine {
+	document := m.machine.doc
+	document.Tasks = append(slices.Clone(m.kept), m.added...)
+	for i := range document.Tasks {
+		task := &document.Tasks[i]
+		task.StopMode = max(task.StopMode, m.stops[keyOf(*task)])
+		if m.shard.ownShard && task.DoneTenths == 0 {
+			task.DoneTenths = m.shard.planner.recordedRunTenths(m.machine, task)
+		}
+	}
+	if m.refence {
+		document.TokenIncrements++
+	}
+	if m.decommission {
+		document.TokenIncrements++
+		document.Decommissioned = true
+	}
+	return document
+}
+
+// withdrawAdded undoes what was added: it has not been stored, unless the replica shows it.
+func (m *stagedMachine) withdrawAdded() {
+	for _, task := range m.added {
+		j := m.shard.planner.replica.jobs[task.Job]
+		if j == nil {
+			continue
+		}
+		bound, ok := j.bindings[task.Index]
+		if ok && bound.machine == m.machine && bound.attempt == task.Attempt && !m.machine.lists(keyOf(task)) {
+			j.removeBinding(task.Index)
+		}
+	}
+	m.added = nil
+}
--- /dev/null
+++ b/internal/controller/staged_shard.go
@@ -0,0 +1,139 @@
+package controller
+
+import (
+	"slices"
+	"strings"
+
+	"frostdock.example/frostdock/internal/schema"
+)
+
+// stagedShard is a machine shard's document as a plan is going to write it. Only its methods and
+// those of its machines write its fields. Whatever a plan changes of the shard's document goes
+// through it, so that the document is written whole, once, in one transaction.
+type stagedShard struct {
+	planner  *planner
+	shard    *machineShard
+	machines []*stagedMachine
+	writeTag string
+	ownShard bool // this controller's partition leads the machines
+
+	changed     bool             // it is written by this plan
+	picked      bool             // arrays may go here in this plan
+	splitCount  int              // documents that it is split into; 0: it is not
+	transferTo  int              // partition that it is transferred to, or -1
+	newMachines []schema.Machine // agents that are registered by this plan
+	oversized   bool             // longer than what may be written: it must be split first
+	bytesLeft   int              // that the value may still grow
+}
+
+func newStagedShard(planner *planner, shard *machineShard, ownShard bool, writeTag string) *stagedShard {
+	most := planner.store.limits.maxValueBytes()
+	return &stagedShard{
+		planner: planner, shard: shard, ownShard: ownShard, writeTag: writeTag, transferTo: -1,
+		oversized: shard.size > most, bytesLeft: most - shard.size - documentOverheadBytes,
+	}
+}
+
+// document is the machine shard as it is to be stored.
+func (s *stagedShard) document() *schema.MachineShard {
+	document := &schema.MachineShard{
+		Partition: s.shard.partition, Handovers: s.shard.handover, ShardCount: s.shard.spread, WriteTag: s.writeTag,
+		Machines: slices.Clone(s.newMachines),
+	}
+	if s.transferTo >= 0 {
+		document.Partition = s.transferTo
+		document.Handovers++
+	}
+	for _, m := range s.machines {
+		if s.ownShard && m.machine.deleted {
+			continue
+		}
+		document.Machines = append(document.Machines, m.document())
+	}
+	slices.SortFunc(document.Machines, func(a, b schema.Machine) int { return strings.Compare(a.Name, b.Name) })
+	return document
+}
+
+// documents gives the machine shard as it is to be stored, in several documents if it is split.
+func (s *stagedShard) documents() []splitDocument {
+	if s.splitCount > 1 {
+		return s.split(s.splitCount)
+	}
+	value := encode(s.document())
+	if len(value) > s.planner.store.limits.maxValueBytes() && s.addsTasks() {
+		// The estimate was too low: leave out what was to be added.
+		s.planner.log.Error("machine shard exceeds value limit", "shard", s.shard.number, "bytes", len(value))
+		s.withdrawAdded()
+		value = encode(s.document())
+	}
+	return []splitDocument{{s.shard.key, value}}
+}
+
+func (s *stagedShard) addsTasks() bool {
+	return slices.ContainsFunc(s.machines, func(m *stagedMachine) bool { return len(m.added) > 0 })
+}
+
+// withdrawAdded undoes what was added to the shard's machines.
+func (s *stagedShard) withdrawAdded() {
+	for _, m := range s.machines {
+		m.withdrawAdded()
+	}
+}
+
+// pick lets arrays go to the shard in this plan.
+func (s *stagedShard) pick() { s.picked = true }
+
+// markChanged has the shard written. It reports whether it was not to be written before.
+func (s *stagedShard) markChanged() bool {
+	first := !s.changed
+	s.changed = true
+	return first
+}
+
+// markSplit has the shard written in so many documents; nothing else fits into it then.
+func (s *stagedShard) markSplit(documents int) {
+	s.changed, s.splitCount, s.bytesLeft = true, documents, 0
+}
+
+// markTransferred hands the shard's machines to another partition.
+func (s *stagedShard) markTransferred(to int) { s.transferTo = to }
+
+// addMachine enters a machine whose agent has registered.
+func (s *stagedShard) addMachine(document schema.Machine) {
+	s.bytesLeft -= schema.MaxStoredSize(len(encode(document)))
+	s.newMachines = append(s.newMachines, document)
+}
+
+// noteEntriesLeaving marks the entries that a commit in flight takes off the document: they must not
+// be started again meanwhile.
+func (s *stagedShard) noteEntriesLeaving() {
+	s.forgetEntriesLeaving()
+	if !s.ownShard {
+		return
+	}
+	for _, m := range s.machines {
+		if m.machine.agent == nil || !m.releasesEntries() {
+			continue
+		}
+		leaving := map[taskKey]bool{}
+		for _, task := range m.machine.doc.Tasks {
+			leaving[keyOf(task)] = true
+		}
+		for _, task := range m.kept {
+			delete(leaving, keyOf(task))
+		}
+		m.machine.agent.entriesLeaving = leaving
+	}
+}
+
+// forgetEntriesLeaving takes the marks off when the commit has been answered.
+func (s *stagedShard) forgetEntriesLeaving() {
+	if !s.ownShard {
+		return
+	}
+	for _, m := range s.machines {
+		if m.machine.agent != nil {
+			m.machine.agent.entriesLeaving = nil
+		}
+	}
+}
