--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -18,7 +18,7 @@
 // their reasons between two lines of the log, and of violations since the start. It never allows
 // something by itself, and nothing is decided by its counts.
 type audit struct {
-	env        *environment
+	*environment
 	replica    *replica
 	freshness  *freshness
 	partitions *partitionTable
@@ -30,7 +30,7 @@
 
 func newAudit(env *environment, replica *replica, freshness *freshness, partitions *partitionTable, facts *factSource) *audit {
 	return &audit{
-		env: env, replica: replica, freshness: freshness, partitions: partitions, facts: facts,
+		environment: env, replica: replica, freshness: freshness, partitions: partitions, facts: facts,
 		decisions: newDecisionCounts(), violations: map[string]int{},
 	}
 }
@@ -80,7 +80,7 @@
 	attrs = append(attrs,
 		countsAttr("stops", decisions.stops), countsAttr("releases", decisions.releases),
 		countsAttr("forgets", decisions.forgets), countsAttr("answers", decisions.answers))
-	a.env.log.Info("decisions", attrs...)
+	a.log.Info("decisions", attrs...)
 }
 
 // countsAttr is a group of counts in the order of their names.
@@ -106,7 +106,7 @@
 func (a *audit) reportViolation(invariant string, facts ...any) {
 	a.violations[invariant]++
 	attrs := append([]any{"invariant", invariant}, facts...)
-	a.env.log.Error("invariant violated, refused", append(attrs, a.freshness.logAttrs()...)...)
+	a.log.Error("invariant violated, refused", append(attrs, a.freshness.logAttrs()...)...)
 }
 
 // checkCommands returns the commands that may leave for a machine. ok is false if nothing may be said
@@ -127,7 +127,7 @@
 			allowed = append(allowed, command)
 		}
 	}
-	if a.env.log.Enabled(context.Background(), slog.LevelDebug) {
+	if a.log.Enabled(context.Background(), slog.LevelDebug) {
 		a.logCommands(m, allowed)
 	}
 	return allowed, true
@@ -160,7 +160,7 @@
 	for _, command := range commands {
 		attrs = append(attrs, slog.Group(string(command.Action)+" "+command.Task, "attempt", command.Attempt))
 	}
-	a.env.log.Debug("commands", attrs...)
+	a.log.Debug("commands", attrs...)
 }
 
 // attemptKey is a task's attempt as commands name it.
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -13,72 +13,104 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
+// auditCase is a controller that commands a machine, and a task of another controller's job that may be
+// entered there.
+type auditCase struct {
+	*testing.T
+	c     *Controller
+	store *fakeStore
+	m     *machine
+	entry schema.Task
+}
+
+// fired checks whether an invariant was violated since it was last asked.
+func (a *auditCase) fired(invariant string, want bool) {
+	a.Helper()
+	if got := a.c.audit.violations[invariant] > 0; got != want {
+		a.Errorf("%q fired: %v", invariant, got)
+	}
+	clear(a.c.audit.violations)
+}
+
 // TestInvariantsFire has each invariant refuse what breaks it, and count it.
 func TestInvariantsFire(t *testing.T) {
-	c, o, _ := foreignJob(t)
-	m := c.replica.machines["n-000001"]
-	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
-	launch := []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: entry.Attempt}}
-	fired := func(invariant string, want bool) {
-		t.Helper()
-		if got := c.audit.violations[invariant] > 0; got != want {
-			t.Errorf("%q fired: %v", invariant, got)
-		}
-		clear(c.audit.violations)
-	}
-	if out, ok := c.audit.checkCommands(m, launch); !ok || len(out) > 0 {
-		t.Error("what is not entered is started")
+	c, store, _ := foreignJob(t)
+	a := &auditCase{T: t, c: c, store: store, m: c.replica.machines["n-000001"], entry: schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}}
+	a.checkStarts()
+	a.checkReleases()
+	a.checkForgotten()
+	a.checkAnswers()
+	a.checkCommands()
+}
+
+// checkStarts leaves the task entered and its job cancelled.
+func (a *auditCase) checkStarts() {
+	c, start := a.c, []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: a.entry.Attempt}}
+	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) > 0 {
+		a.Error("what is not entered is started")
 	}
-	fired(invariantStart, true)
-	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(entry)), o.rev+1, false)
-	if out, ok := c.audit.checkCommands(m, launch); !ok || len(out) != 1 {
-		t.Error("what is entered is not started")
+	a.fired(invariantStart, true)
+	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(a.entry)), a.store.rev+1, false)
+	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) != 1 {
+		a.Error("what is entered is not started")
 	}
-	fired(invariantStart, false)
-	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), o.rev+2, false)
-	if out, _ := c.audit.checkCommands(m, launch); len(out) > 0 {
-		t.Error("a task of a cancelled job is started")
+	a.fired(invariantStart, false)
+	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), a.store.rev+2, false)
+	if allowed, _ := c.audit.checkCommands(a.m, start); len(allowed) > 0 {
+		a.Error("a task of a cancelled job is started")
 	}
-	fired(invariantStart, true)
+	a.fired(invariantStart, true)
+}
 
-	shard := newStagedShard(c.planner, m.shard, true, "")
-	shard.machines = []*stagedMachine{{machine: m, shard: shard}}
-	m.agent.tasks[keyOf(entry)] = agent.TaskStatus{Task: "j-000001/0", Attempt: entry.Attempt, State: agent.Running}
+func (a *auditCase) checkReleases() {
+	shard := newStagedShard(a.c.planner, a.m.shard, true, "")
+	shard.machines = []*stagedMachine{{machine: a.m, shard: shard}}
+	a.m.agent.tasks[keyOf(a.entry)] = agent.TaskStatus{Task: "j-000001/0", Attempt: a.entry.Attempt, State: agent.Running}
 	shard.auditReleases()
 	if len(shard.machines[0].kept) != 1 {
-		t.Error("an entry is freed while its task runs")
+		a.Error("an entry is released while its task runs")
 	}
-	fired(invariantRelease, true)
+	a.fired(invariantRelease, true)
+}
 
+func (a *auditCase) checkForgotten() {
+	c := a.c
 	p := newPlan(c.planner, c.partitions.led[0])
 	p.joint.removedJobs[c.replica.jobShardOf("j-000001")] = map[string]bool{"j-000001": true}
 	p.auditForgotten()
-	fired(invariantForget, false) // it is marked, so its end is stored
+	a.fired(invariantForget, false) // its cancellation is shown, so its outcome is stored
 	c.replica.jobs["j-000001"].cancellationShown = false
 	p.auditForgotten()
 	if p.joint.removedJobs[c.replica.jobShardOf("j-000001")]["j-000001"] {
-		t.Error("a job without an end is cleared away")
+		a.Error("a job without an outcome is cleared away")
 	}
-	fired(invariantForget, true)
+	a.fired(invariantForget, true)
+}
 
+func (a *auditCase) checkAnswers() {
+	c := a.c
 	c.dependencies.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
-	if st := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); st.Stage != StageCancelled {
-		t.Errorf("a cancelled job is called %s", st.Stage)
+	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); status.Stage != StageCancelled {
+		a.Errorf("a cancelled job is called %s", status.Stage)
 	}
-	fired(invariantAnswer, false) // overtaken by the end, which is told instead
-	if st := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); st.Stage != StageCancelled {
-		t.Errorf("a cancelled job is called %s", st.Stage)
+	a.fired(invariantAnswer, false) // overtaken by the outcome, which is told instead
+	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); status.Stage != StageCancelled {
+		a.Errorf("a cancelled job is called %s", status.Stage)
 	}
-	fired(invariantAnswer, true)
+	a.fired(invariantAnswer, true)
+}
 
+// checkCommands leaves the controller with an old replica.
+func (a *auditCase) checkCommands() {
+	c := a.c
 	c.freshness.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
-	if _, ok := c.audit.checkCommands(m, nil); ok {
-		t.Error("a controller whose copy is old commands")
+	if _, ok := c.audit.checkCommands(a.m, nil); ok {
+		a.Error("a controller whose replica is old commands")
 	}
-	fired(invariantCommand, true)
+	a.fired(invariantCommand, true)
 }
 
-// TestTimeline rebuilds from the log alone who owned what, on which proof, and what was started
+// TestTimeline rebuilds from the log alone who led what, on which proof, and what was started
 // and answered, as docs/operations.md tells to.
 func TestTimeline(t *testing.T) {
 	var log bytes.Buffer
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,13 +104,13 @@
 // wireAgents connects what deals with worker agents.
 func (c *Controller) wireAgents() {
 	env := c.environment
-	c.facts = &factSource{env: env, replica: c.replica, authority: c.authority}
+	c.facts = &factSource{environment: env, replica: c.replica, authority: c.authority}
 	c.audit = newAudit(env, c.replica, c.freshness, c.partitions, c.facts)
-	c.quarantine = &quarantineMonitor{env: env, replica: c.replica}
+	c.quarantine = &quarantineMonitor{environment: env, replica: c.replica}
 	c.agents = &agentGateway{
-		env: env, store: c.store, replica: c.replica, partitions: c.partitions, authority: c.authority,
+		environment: env, store: c.store, replica: c.replica, partitions: c.partitions, authority: c.authority,
 		commands:      &commandPlanner{replica: c.replica, facts: c.facts, capacity: c},
-		reconciler:    &reconciler{env: env, replica: c.replica, quarantine: c.quarantine},
+		reconciler:    &reconciler{environment: env, replica: c.replica, quarantine: c.quarantine},
 		audit:         c.audit,
 		calls:         map[uint64]pendingAgentCall{},
 		heardAt:       map[string]units.Micros{},
@@ -133,10 +133,10 @@
 func (c *Controller) wireFleet() {
 	env := c.environment
 	c.fleet = &fleetMonitor{
-		env: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
+		environment: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
 		quarantine: c.quarantine, returns: c.decommission,
 		unheard: &unheardPartitions{
-			env: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
+			environment: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
 			leaderships: c.leaderships, peers: c.peers,
 		},
 		suspectZones:   map[string]zoneSuspicion{},
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -16,10 +16,14 @@
 //   - writeBudget, committer: its part of the permitted changes, and transactions whose fate is told once
 //   - formatGate: when documents that the version before does not know may be written
 //   - cloudClient, catalog: requests to the cloud, and the machine types that it offers
+//   - factSource, audit: the facts that package guard decides on, and the last look at what leaves
+//   - agentGateway, reconciler, commandPlanner: heartbeats of worker agents, and what they are told
+//   - peerTable: what other controllers say of themselves
+//   - fleetMonitor, quarantineMonitor, unheardPartitions: machines that cannot be reached, or fail tasks
 //   - planner, plan: what starts, stops and goes in a led partition, staged and committed in one go
 //   - demandFinder: tasks that find no capacity, and jobs that starve
 //   - documentSplitter, jobShardSplitter: when documents are split, and the splits of job shards
 //
-// On these rest the duties proper: users' requests, agents, plans, the autoscaler, the fleet. What plans,
-// commands agents or starts tasks asks authority first.
+// On these rest the duties proper: users' requests, plans, the autoscaler. What plans, commands
+// agents or starts tasks asks authority first.
 package controller
--- a/internal/controller/facts.go
+++ b/internal/controller/facts.go
@@ -9,7 +9,7 @@
 // factSource gathers the facts that package guard decides on: what the replica shows, what agents have
 // said, and what this controller may do. It decides nothing itself and keeps nothing.
 type factSource struct {
-	env       *environment
+	*environment
 	replica   *replica
 	authority *authority
 }
@@ -45,14 +45,14 @@
 		Reported:       listed && m.agent.heardAt > 0,
 		Ended:          status.State == agent.Ended,
 		TokenSeen:      m.agent.tokenSeen == f.replica.fencingToken(m),
-		LeaseExpired:   f.env.now > m.agent.leaseEnd,
+		LeaseExpired:   f.now > m.agent.leaseEnd,
 		Quiesced:       f.quiesced(m),
 		MachineDeleted: m.deleted,
 	}
 }
 
 // quiesced reports whether no command can still start a task on a machine.
-func (f *factSource) quiesced(m *machine) bool { return f.replica.quiesced(m, f.env.now) }
+func (f *factSource) quiesced(m *machine) bool { return f.replica.quiesced(m, f.now) }
 
 // shouldRun reports whether a task that is entered on a machine should run there.
 func (f *factSource) shouldRun(task schema.Task) bool {
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -14,7 +14,7 @@
 // answerHeartbeats and pushCommands), and that no command leaves unless the audit has let it. It never
 // decides what may run: commandPlanner asks package guard for that.
 type agentGateway struct {
-	env        *environment
+	*environment
 	store      *storeClient // whether it answers
 	replica    *replica
 	partitions *partitionTable
@@ -38,9 +38,9 @@
 
 // call calls an agent, to carry out commands or, if they are nil, for its heartbeat alone.
 func (g *agentGateway) call(address string, commands *agent.CommandRequest, pending pendingAgentCall) {
-	id := g.env.newCallID()
+	id := g.newCallID()
 	g.calls[id] = pending
-	g.env.emit(AgentCall{CallID: id, Address: address, Commands: commands})
+	g.emit(AgentCall{CallID: id, Address: address, Commands: commands})
 }
 
 // handleResult takes the answer to a call.
@@ -62,12 +62,12 @@
 func (g *agentGateway) noteChanged(m *machine) { g.changed = append(g.changed, m) }
 
 // noteHeard notes that a machine is heard here, whoever commands it.
-func (g *agentGateway) noteHeard(name string) { g.heardAt[name] = g.env.now }
+func (g *agentGateway) noteHeard(name string) { g.heardAt[name] = g.now }
 
 // heardWithin reports whether a machine was heard here, less than so long ago.
 func (g *agentGateway) heardWithin(name string, length units.Micros) bool {
 	at, ok := g.heardAt[name]
-	return ok && g.env.now-at < length
+	return ok && g.now-at < length
 }
 
 // heardAgo tells how long ago each machine was last heard here. Those that were not for two leases are
@@ -75,11 +75,11 @@
 func (g *agentGateway) heardAgo() map[string]int64 {
 	ago := map[string]int64{}
 	for name, at := range g.heardAt {
-		if g.env.now-at > 2*g.env.cfg.Settings.Lease() {
+		if g.now-at > 2*g.cfg.Settings.Lease() {
 			delete(g.heardAt, name)
 			continue
 		}
-		ago[name] = int64(g.env.now - at)
+		ago[name] = int64(g.now - at)
 	}
 	return ago
 }
@@ -90,7 +90,7 @@
 
 // leaderOf names the controller that leads a partition, if it lives and is another.
 func (g *agentGateway) leaderOf(partition int) string {
-	if p := g.replica.partitions[partition]; p != nil && g.replica.leaderRegistered(p) && p.doc.Member != g.env.cfg.Member {
+	if p := g.replica.partitions[partition]; p != nil && g.replica.leaderRegistered(p) && p.doc.Member != g.cfg.Member {
 		return p.doc.Member
 	}
 	return ""
@@ -99,6 +99,6 @@
 // beginCommand begins a new view of a machine that this controller commands from now on.
 func (g *agentGateway) beginCommand(m *machine, led *leadership) {
 	m.forgetOccupancy()
-	m.agent = newAgentState(led, g.env.now, g.env.cfg.Settings.StalenessBound(), g.env.cfg.Settings.Lease())
+	m.agent = newAgentState(led, g.now, g.cfg.Settings.StalenessBound(), g.cfg.Settings.Lease())
 	g.probe(m)
 }
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -39,12 +39,12 @@
 
 // refuse answers that the agent may try again, here or elsewhere.
 func (g *agentGateway) refuse(request HeartbeatRequest) {
-	g.env.reply(request.RequestID, http.StatusServiceUnavailable, nil)
+	g.reply(request.RequestID, http.StatusServiceUnavailable, nil)
 }
 
 // redirect answers that another controller commands the machine; leader is empty if it is not known.
 func (g *agentGateway) redirect(request HeartbeatRequest, leader string) {
-	g.env.reply(request.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: leader})
+	g.reply(request.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: leader})
 }
 
 // checkCommander reports whether this controller commands the machine. If not, it answers.
@@ -71,14 +71,14 @@
 // takeHeartbeat takes what a heartbeat tells. That it is answered renews the agent's lease, also when it
 // is a late copy.
 func (g *agentGateway) takeHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
-	state, lease := m.agent, g.env.cfg.Settings.Lease()
+	state, lease := m.agent, g.cfg.Settings.Lease()
 	if heartbeat.Newer(state.epoch, state.sequence) { // a late copy is no sign of life
 		g.noteHeard(m.name)
 		newEpoch := state.epoch > 0 && heartbeat.Epoch > state.epoch
-		state.responses.heartbeatCame(g.env.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
+		state.responses.heartbeatCame(g.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
 	}
 	g.reconciler.reconcile(m, heartbeat)
-	state.extendLease(g.env.now, lease)
+	state.extendLease(g.now, lease)
 }
 
 // respond answers a heartbeat with the commands for its machine.
@@ -89,7 +89,7 @@
 		return
 	}
 	if slices.ContainsFunc(commands, func(command agent.Command) bool { return command.Action == agent.Start }) {
-		m.agent.responses.startAt = g.env.now
+		m.agent.responses.startAt = g.now
 	}
-	g.env.reply(request.RequestID, http.StatusOK, agent.HeartbeatResponse{FencingToken: g.replica.fencingToken(m), Commands: commands})
+	g.reply(request.RequestID, http.StatusOK, agent.HeartbeatResponse{FencingToken: g.replica.fencingToken(m), Commands: commands})
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -11,7 +11,7 @@
 // peerTable keeps the latest heartbeat of each other controller. What a heartbeat says is evidence that
 // something was so a moment ago, never permission to act: that comes from the key-value store alone.
 type peerTable struct {
-	env    *environment
+	*environment
 	latest map[string]peerState // by member
 }
 
@@ -22,7 +22,7 @@
 }
 
 func newPeerTable(env *environment) *peerTable {
-	return &peerTable{env: env, latest: map[string]peerState{}}
+	return &peerTable{environment: env, latest: map[string]peerState{}}
 }
 
 // Times for which a heartbeat tells of the present.
@@ -33,7 +33,7 @@
 
 // receive keeps a heartbeat.
 func (t *peerTable) receive(heartbeat peer.Heartbeat) {
-	t.latest[heartbeat.Member] = peerState{receivedAt: t.env.now, heartbeat: heartbeat}
+	t.latest[heartbeat.Member] = peerState{receivedAt: t.now, heartbeat: heartbeat}
 }
 
 // heartbeatOf is the latest heartbeat of one process, if it is recent.
@@ -44,7 +44,7 @@
 // heartbeatWithin is the latest heartbeat of one process, if it is not older than that.
 func (t *peerTable) heartbeatWithin(member, incarnation string, maxAge units.Micros) (peer.Heartbeat, bool) {
 	state, ok := t.latest[member]
-	if !ok || state.heartbeat.Inc != incarnation || t.env.now-state.receivedAt > maxAge {
+	if !ok || state.heartbeat.Inc != incarnation || t.now-state.receivedAt > maxAge {
 		return peer.Heartbeat{}, false
 	}
 	return state.heartbeat, true
@@ -57,13 +57,13 @@
 		return false, false
 	}
 	ago, listed := heartbeat.Heard[machine]
-	return listed && units.Micros(ago) < 2*t.env.cfg.Settings.HeartbeatPeriod(), true
+	return listed && units.Micros(ago) < 2*t.cfg.Settings.HeartbeatPeriod(), true
 }
 
 // anyHeardWithin reports whether any other controller heard a machine less than so long ago.
 func (t *peerTable) anyHeardWithin(machine string, length units.Micros) bool {
 	for _, state := range t.latest {
-		if ago, ok := state.heartbeat.Heard[machine]; ok && t.env.now-state.receivedAt+units.Micros(ago) < length {
+		if ago, ok := state.heartbeat.Heard[machine]; ok && t.now-state.receivedAt+units.Micros(ago) < length {
 			return true
 		}
 	}
@@ -73,7 +73,7 @@
 // anyReachesStore reports whether another controller says that it reaches the key-value store.
 func (t *peerTable) anyReachesStore() bool {
 	for _, state := range t.latest {
-		if t.env.now-state.receivedAt < peerHeartbeatLife && state.heartbeat.StateOK {
+		if t.now-state.receivedAt < peerHeartbeatLife && state.heartbeat.StateOK {
 			return true
 		}
 	}
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -50,14 +50,14 @@
 		return
 	}
 	m.forgetOccupancy()
-	g.env.planNeeded = true
+	g.planNeeded = true
 	if heartbeat != nil && heartbeat.Machine == m.name {
 		p.state.command.answered()
 		g.reconciler.reconcile(m, heartbeat)
 		return
 	}
 	p.state.command.unanswered() // the next write of the machine's document raises its token
-	g.env.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", p.state.command.token)
+	g.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", p.state.command.token)
 }
 
 // probe asks a machine for its heartbeat.
@@ -84,7 +84,7 @@
 		return
 	}
 	if heartbeat == nil || heartbeat.Machine != m.name {
-		state.probe.failed(g.env.now)
+		state.probe.failed(g.now)
 		return
 	}
 	state.probe.answered()
@@ -92,7 +92,7 @@
 		// The answer to what was asked just now is no late copy: the agent has begun to count anew, so
 		// it was restarted and all that it had is gone. Its heartbeats would be passed over for ever
 		// otherwise.
-		g.env.log.Info("agent restarted", "machine", m.name)
+		g.log.Info("agent restarted", "machine", m.name)
 		state.forgetEpoch()
 	}
 	g.reconciler.reconcile(m, heartbeat)
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -11,7 +11,7 @@
 // quarantine of each. Jobs that fail everywhere do not count: otherwise a few jobs submitted with a
 // mistake take all machines out of use.
 type quarantineMonitor struct {
-	env     *environment
+	*environment
 	replica *replica
 }
 
@@ -49,7 +49,7 @@
 
 // failed notes that a task of a job has failed on a machine.
 func (q *quarantineMonitor) failed(j *job, m *machine) {
-	j.backOff(q.env.now)
+	j.backOff(q.now)
 	m.agent.quarantine.failedJobs[j.id] = true
 	if j.failedOn == nil {
 		j.failedOn = map[string]bool{}
@@ -96,17 +96,17 @@
 		}
 	}
 	if failing := jobs >= minJobsFailed; failing != state.active {
-		state.active, state.changedAt = failing, q.env.now
-		q.env.log.Warn("machine quarantine", "machine", m.name, "quarantined", failing)
+		state.active, state.changedAt = failing, q.now
+		q.log.Warn("machine quarantine", "machine", m.name, "quarantined", failing)
 	}
 }
 
 // expire ends a machine's quarantine after a while.
 func (q *quarantineMonitor) expire(m *machine) {
 	state := &m.agent.quarantine
-	if state.active && q.env.now-state.changedAt > quarantinePeriod {
+	if state.active && q.now-state.changedAt > quarantinePeriod {
 		state.active, state.failedJobs = false, map[string]bool{}
-		q.env.planNeeded = true
+		q.planNeeded = true
 	}
 }
 
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -17,7 +17,7 @@
 // releases a task's entry: a machine that is given up keeps its entries until the cloud confirms that
 // it is deleted.
 type fleetMonitor struct {
-	env        *environment
+	*environment
 	replica    *replica
 	authority  *authority
 	agents     *agentGateway
@@ -76,10 +76,10 @@
 	}
 	mostSilent := health.hearing*2 < health.total
 	if len(health.silent) > 0 && mostSilent {
-		f.silenceSuspectedAt = f.env.now
+		f.silenceSuspectedAt = f.now
 	}
 	unreachable := len(health.silent) + len(health.unreachableOutbound) + len(health.unreachableInbound)
-	if unreachable == 0 || mostSilent || !f.decommissionings.due(f.env.now, giveUpPeriod) {
+	if unreachable == 0 || mostSilent || !f.decommissionings.due(f.now, giveUpPeriod) {
 		return
 	}
 	f.giveUpUnreachable(health)
@@ -88,7 +88,7 @@
 // silenceSuspectedWithin reports whether many machines were silent at once less than so long ago: the
 // cloud's list may tell why.
 func (f *fleetMonitor) silenceSuspectedWithin(length units.Micros) bool {
-	return f.silenceSuspectedAt > 0 && f.env.now-f.silenceSuspectedAt < length
+	return f.silenceSuspectedAt > 0 && f.now-f.silenceSuspectedAt < length
 }
 
 // survey looks at all machines that this controller commands.
@@ -118,9 +118,9 @@
 		health.unreachableOutbound = append(health.unreachableOutbound, m)
 		return
 	}
-	heartbeatPeriod := f.env.cfg.Settings.HeartbeatPeriod()
+	heartbeatPeriod := f.cfg.Settings.HeartbeatPeriod()
 	// A new leader probes at once, and need not wait as long.
-	silentFor := f.env.now - max(state.heardAt, state.since-heartbeatPeriod)
+	silentFor := f.now - max(state.heardAt, state.since-heartbeatPeriod)
 	overdue := silentFor > heartbeatPeriod*overdueTenths/10
 	if silentFor < heartbeatPeriod*hearingTenths/10 {
 		health.hearing++
@@ -131,7 +131,7 @@
 	}
 	// In a zone where many fall silent all are probed, and those that do not answer once more.
 	probedWithZone := state.probe.failures > 0 && f.suspectZones[m.doc.Zone].probedAt > 0
-	if (overdue || state.command.unclear() || probedWithZone) && f.env.now-state.probe.askedAt > probePeriod {
+	if (overdue || state.command.unclear() || probedWithZone) && f.now-state.probe.askedAt > probePeriod {
 		f.probe(m)
 	}
 	if state.probe.failures > 0 {
@@ -144,7 +144,7 @@
 
 // probe asks a machine for its heartbeat, and notes when.
 func (f *fleetMonitor) probe(m *machine) {
-	m.agent.probe.askedAt = f.env.now
+	m.agent.probe.askedAt = f.now
 	f.agents.probe(m)
 }
 
@@ -159,7 +159,7 @@
 // its epoch, again and again.
 func (f *fleetMonitor) unreachableInbound(m *machine) bool {
 	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.since)
-	return f.env.now-lastAnswered > f.env.cfg.Settings.Lease()+2*f.env.cfg.Settings.HeartbeatPeriod()
+	return f.now-lastAnswered > f.cfg.Settings.Lease()+2*f.cfg.Settings.HeartbeatPeriod()
 }
 
 // giveUpReclaimed gives up machines whose announced end has come and that do not answer any more, and
@@ -170,7 +170,7 @@
 		probe := &m.agent.probe
 		if probe.failedAt > m.agent.notice.endsAt && probe.failedAt > m.agent.heardAt {
 			reclaimed = append(reclaimed, m)
-		} else if f.env.now-probe.askedAt > reclaimProbePeriod {
+		} else if f.now-probe.askedAt > reclaimProbePeriod {
 			f.probe(m)
 		}
 	}
@@ -181,7 +181,7 @@
 func (f *fleetMonitor) expiredNotices() []*machine {
 	var expired []*machine
 	for _, m := range f.replica.sortedMachines() {
-		if m.agent != nil && m.agent.notice.expired(f.env.now) && f.authority.leads(m.part()) {
+		if m.agent != nil && m.agent.notice.expired(f.now) && f.authority.leads(m.part()) {
 			expired = append(expired, m)
 		}
 	}
@@ -201,7 +201,7 @@
 	f.returns.giveUp("unreachable outbound", health.unreachableOutbound...)
 	mostReport := health.reporting*2 >= health.total
 	for _, m := range health.unreachableInbound {
-		answers := f.env.now-m.agent.heardAt < f.env.cfg.Settings.HeartbeatPeriod()*hearingTenths/10
+		answers := f.now-m.agent.heardAt < f.cfg.Settings.HeartbeatPeriod()*hearingTenths/10
 		if mostReport && answers && !f.heardByOthers(m.name, true) {
 			f.returns.giveUp("unreachable inbound", m)
 		}
@@ -224,7 +224,7 @@
 	if len(health.zones) <= 1 || len(zone.machines) <= 1 {
 		return true
 	}
-	overdueAt := m.agent.heardAt + f.env.cfg.Settings.HeartbeatPeriod()*overdueTenths/10
+	overdueAt := m.agent.heardAt + f.cfg.Settings.HeartbeatPeriod()*overdueTenths/10
 	return slices.ContainsFunc(zone.machines, func(other *machine) bool { return other != m && other.agent.heardAt > overdueAt })
 }
 
@@ -234,7 +234,7 @@
 func (f *fleetMonitor) heardByOthers(name string, zoneReachable bool) bool {
 	for key := range f.replica.registeredSince {
 		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, schema.RegistrationPrefix), "/")
-		if member == f.env.cfg.Member {
+		if member == f.cfg.Member {
 			continue
 		}
 		heard, known := f.peers.hears(member, incarnation, name)
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -11,7 +11,7 @@
 // reconciler takes what agents' heartbeats tell into the view of their machines, and from there into
 // what is known of jobs: which tasks run, which have completed or failed. It sends nothing.
 type reconciler struct {
-	env        *environment
+	*environment
 	replica    *replica
 	quarantine *quarantineMonitor
 }
@@ -21,7 +21,7 @@
 	if !heartbeat.Newer(m.agent.epoch, m.agent.sequence) {
 		return
 	}
-	r.env.planNeeded = true
+	r.planNeeded = true
 	m.forgetOccupancy()
 	r.noteEpoch(m, heartbeat)
 	r.noteSignOfLife(m.agent, heartbeat)
@@ -32,21 +32,21 @@
 // noteEpoch notices an agent whose lease has expired since its last heartbeat.
 func (r *reconciler) noteEpoch(m *machine, heartbeat *agent.Heartbeat) {
 	if state := m.agent; heartbeat.Epoch > state.epoch && state.epoch > 0 {
-		r.env.log.Info("agent in new epoch", "machine", m.name, "agent_epoch", heartbeat.Epoch)
+		r.log.Info("agent in new epoch", "machine", m.name, "agent_epoch", heartbeat.Epoch)
 		state.runningSince = map[taskKey]runStart{}
 	}
 }
 
 // noteSignOfLife notes when the agent was heard, and what that says of its lease and its commands.
 func (r *reconciler) noteSignOfLife(state *agentState, heartbeat *agent.Heartbeat) {
-	if r.env.now-state.heardAt > silenceAfter(r.env.cfg.Settings.HeartbeatPeriod()) {
-		state.heardSince = r.env.now
+	if r.now-state.heardAt > silenceAfter(r.cfg.Settings.HeartbeatPeriod()) {
+		state.heardSince = r.now
 	}
-	state.epoch, state.sequence, state.heardAt = heartbeat.Epoch, heartbeat.Sequence, r.env.now
+	state.epoch, state.sequence, state.heardAt = heartbeat.Epoch, heartbeat.Sequence, r.now
 	state.probe.failures = 0
 	// Its lease had not expired when it sent this, and its epoch may have begun just then: what was
 	// known of the expiry of an earlier one says nothing about this one.
-	state.extendLease(r.env.now, r.env.cfg.Settings.Lease())
+	state.extendLease(r.now, r.cfg.Settings.Lease())
 	state.tokenSeen = max(state.tokenSeen, heartbeat.FencingToken)
 	state.command.heartbeatCame(heartbeat.FencingToken, heartbeat.Epoch)
 }
@@ -57,8 +57,8 @@
 	if seconds == nil || m.agent.notice.announced {
 		return
 	}
-	m.agent.notice = reclaimNotice{announced: true, endsAt: r.env.now + units.FromSeconds(*seconds)}
-	r.env.log.Info("spot reclaim notice", "machine", m.name, "notice_s", *seconds)
+	m.agent.notice = reclaimNotice{announced: true, endsAt: r.now + units.FromSeconds(*seconds)}
+	r.log.Info("spot reclaim notice", "machine", m.name, "notice_s", *seconds)
 }
 
 // takeTasks takes the list of the machine's tasks.
@@ -103,15 +103,15 @@
 func (r *reconciler) noteRunning(m *machine, j *job, key taskKey, listed bool) {
 	state := m.agent
 	if j != nil {
-		state.images[j.spec.Image] = r.env.now
+		state.images[j.spec.Image] = r.now
 	}
 	if _, known := state.runningSince[key]; known {
 		return
 	}
-	state.runningSince[key] = runStart{at: r.env.now, exact: listed}
+	state.runningSince[key] = runStart{at: r.now, exact: listed}
 	if j != nil {
-		sinceAccept := r.env.timeOfDay - units.Micros(j.spec.AcceptedAt)
-		r.env.log.Debug("task running", "task", key.task(), "machine", m.name, "type", m.doc.Type, "service", j.spec.Service, "since_accept_s", sinceAccept.Seconds())
+		sinceAccept := r.timeOfDay - units.Micros(j.spec.AcceptedAt)
+		r.log.Debug("task running", "task", key.task(), "machine", m.name, "type", m.doc.Type, "service", j.spec.Service, "since_accept_s", sinceAccept.Seconds())
 	}
 }
 
@@ -126,9 +126,9 @@
 		r.noteDone(m, j, key)
 	case agent.CauseError:
 		r.quarantine.failed(j, m)
-		r.env.log.Info("task failed", "task", key.task(), "machine", m.name, "failures", j.failures)
+		r.log.Info("task failed", "task", key.task(), "machine", m.name, "failures", j.failures)
 	default:
-		r.env.log.Debug("task ended", "task", key.task(), "machine", m.name, "cause", status.Cause)
+		r.log.Debug("task ended", "task", key.task(), "machine", m.name, "cause", status.Cause)
 	}
 }
 
@@ -142,9 +142,9 @@
 	// failed ones end in seconds and would make the job look tiny.
 	ran := units.Micros(0)
 	if run, ok := m.agent.runningSince[key]; ok && run.exact {
-		ran = r.env.now - run.at
+		ran = r.now - run.at
 	}
-	m.agent.completions[key] = completion{r.env.now, 1 + int(ran/runTimeUnit)}
+	m.agent.completions[key] = completion{r.now, 1 + int(ran/runTimeUnit)}
 	if !j.isDone(key.num) {
 		j.noteCompletion(key.num, ran)
 	}
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -43,10 +43,10 @@
 	}
 	if known := g.registrations[name]; known != nil {
 		g.declineRegistration(known) // the agent waits for its earlier request no longer
-		known.request, known.heardAt, known.waiting = request, g.env.now, true
+		known.request, known.heardAt, known.waiting = request, g.now, true
 		return
 	}
-	begun := &registration{request: request, heardAt: g.env.now, waiting: true}
+	begun := &registration{request: request, heardAt: g.now, waiting: true}
 	g.registrations[name] = begun
 	g.call(request.Heartbeat.Addr, nil, &registrationProbe{gateway: g, name: name, registration: begun, tokenShown: request.Heartbeat.FencingToken})
 }
@@ -71,7 +71,7 @@
 	}
 	p.registration.confirmed = true
 	p.registration.token = max(heartbeat.FencingToken, p.tokenShown)
-	g.env.planNeeded = true
+	g.planNeeded = true
 }
 
 // declineRegistration answers a heartbeat that is still waiting: the agent may try again.
@@ -103,9 +103,9 @@
 			if r.waiting {
 				g.answerHeartbeat(r.request)
 			}
-		case g.env.now-r.heardAt > registrationKept:
+		case g.now-r.heardAt > registrationKept:
 			delete(g.registrations, name)
-		case g.env.now-r.heardAt > registrationReplyWait:
+		case g.now-r.heardAt > registrationReplyWait:
 			g.declineRegistration(r)
 		}
 	}
--- a/internal/controller/unheard.go
+++ b/internal/controller/unheard.go
@@ -6,7 +6,7 @@
 // hears most of them: this controller's own network is what fails, and while it leads the partition
 // the machines' leases run out. It decides nothing else, and writes through leadershipManager alone.
 type unheardPartitions struct {
-	env         *environment
+	*environment
 	store       *storeClient
 	replica     *replica
 	partitions  *partitionTable
@@ -23,15 +23,15 @@
 func (u *unheardPartitions) transfer() {
 	for _, partition := range u.partitions.ledPartitions() {
 		led := u.partitions.led[partition]
-		tooNew := u.env.now-led.since < minPeriodsLed*u.env.cfg.Settings.HeartbeatPeriod()
+		tooNew := u.now-led.since < minPeriodsLed*u.cfg.Settings.HeartbeatPeriod()
 		if led.commitsInFlight > 0 || tooNew || !u.budget.hasCredit() || u.store.failing {
 			continue
 		}
 		for _, process := range u.replica.registeredProcesses() {
-			if process.member() == u.env.cfg.Member || !u.hearsMostOf(process, partition) {
+			if process.member() == u.cfg.Member || !u.hearsMostOf(process, partition) {
 				continue
 			}
-			u.env.log.Warn("transferring leadership, no machine heard", "partition", partition, "to", process.member())
+			u.log.Warn("transferring leadership, no machine heard", "partition", partition, "to", process.member())
 			u.leaderships.acquire(partition, process)
 			return
 		}
@@ -50,7 +50,7 @@
 			continue
 		}
 		machines++
-		if ago, ok := heartbeat.Heard[m.name]; ok && units.Micros(ago) < 2*u.env.cfg.Settings.HeartbeatPeriod() {
+		if ago, ok := heartbeat.Heard[m.name]; ok && units.Micros(ago) < 2*u.cfg.Settings.HeartbeatPeriod() {
 			heard++
 		}
 	}
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -101,11 +101,11 @@
 		suspicion, open := f.suspectZones[name]
 		switch {
 		case !zone.severalFailing():
-		case !open || f.env.now-suspicion.probedAt > zoneProbePeriod:
+		case !open || f.now-suspicion.probedAt > zoneProbePeriod:
 			suspectedYet := others && (!open || suspicion.suspected) // until the first answers
-			f.suspectZones[name] = zoneSuspicion{probedAt: f.env.now, suspected: suspectedYet}
+			f.suspectZones[name] = zoneSuspicion{probedAt: f.now, suspected: suspectedYet}
 			f.probeZone(zone)
-		case f.env.now-suspicion.probedAt > zoneProbeWait:
+		case f.now-suspicion.probedAt > zoneProbeWait:
 			f.judgeAnswers(name, zone, suspicion, others)
 		}
 	}
@@ -114,7 +114,7 @@
 // probeZone probes all machines of a zone that were not heard just now.
 func (f *fleetMonitor) probeZone(zone *zoneHealth) {
 	for _, m := range zone.machines {
-		if f.env.now-m.agent.heardAt > recentlyHeardPeriod {
+		if f.now-m.agent.heardAt > recentlyHeardPeriod {
 			f.probe(m)
 		}
 	}
@@ -130,9 +130,9 @@
 		zone.clearSuspicion(wasSuspected)
 		return
 	}
-	f.silenceSuspectedAt = f.env.now
-	if periodOf(f.zoneLogPeriods, name).due(f.env.now, zoneLogPeriod) {
-		f.env.log.Warn("zone suspected partitioned", "zone", name, "machines", len(zone.machines), "answer", answered)
+	f.silenceSuspectedAt = f.now
+	if periodOf(f.zoneLogPeriods, name).due(f.now, zoneLogPeriod) {
+		f.log.Warn("zone suspected partitioned", "zone", name, "machines", len(zone.machines), "answer", answered)
 	}
 }
 
