--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -38,6 +38,7 @@
 	jobShardSplits *jobShardSplitter
 
 	peers        *peerTable
+	heartbeat    *peerHeartbeat
 	facts        *factSource
 	agents       *agentGateway
 	quarantine   *quarantineMonitor
@@ -164,6 +165,10 @@
 		environment: env, store: c.store, replica: c.replica, catalog: c.catalog, membership: c.membership, peers: c.peers,
 	}
 	c.completions = &completionExchange{environment: env, replica: c.replica, partitions: c.partitions, peers: c.peers}
+	c.heartbeat = &peerHeartbeat{
+		environment: env, store: c.store, replica: c.replica, membership: c.membership, authority: c.authority,
+		budget: c.budget, agents: c.agents, completions: c.completions, machines: c,
+	}
 }
 
 // wirePlanner connects what plans.
@@ -210,6 +215,7 @@
 	case AgentResult:
 		c.agents.handleResult(m)
 	case PeerHeartbeat:
-		c.handlePeerHeartbeat(m)
+		c.peers.receive(m.Heartbeat)
+		c.completions.apply(m.Heartbeat.Ended)
 	}
 }
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -57,7 +57,7 @@
 		{name: "agent registrations", run: c.agents.finishRegistrations},
 		{name: "outcome reads", run: c.outcomeReads.readMissing},
 		{name: "job shard splits", run: c.jobShardSplits.run},
-		{name: "heartbeat", every: heartbeatPeriod, run: c.sendHeartbeat},
+		{name: "heartbeat", every: heartbeatPeriod, run: c.heartbeat.send},
 		{name: "decision log", every: decisionLogPeriod, run: c.audit.logDecisions},
 		{name: "summary", every: summaryPeriod, run: c.logSummary},
 		{name: "autoscaler", run: c.runAutoscalerWhenSynced},
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -1,9 +1,6 @@
 package controller
 
 import (
-	"maps"
-	"slices"
-
 	"frostdock.example/frostdock/internal/peer"
 	"frostdock.example/frostdock/internal/units"
 )
@@ -79,35 +76,3 @@
 	}
 	return false
 }
-
-// handlePeerHeartbeat takes another controller's heartbeat.
-func (c *Controller) handlePeerHeartbeat(message PeerHeartbeat) {
-	c.peers.receive(message.Heartbeat)
-	c.completions.apply(message.Heartbeat.Ended)
-}
-
-// sendHeartbeat tells the other controllers which machines are heard here, as evidence that they live,
-// which of them take tasks, whether this controller reaches the key-value store, which tasks have
-// completed on its machines and how many changes it makes.
-func (c *Controller) sendHeartbeat() {
-	heartbeat := peer.Heartbeat{
-		Member: c.cfg.Member, Inc: c.membership.incarnation, StateOK: c.store.healthy(),
-		Heard: c.agents.heardAgo(), Open: c.openMachines(),
-	}
-	writeRate := c.budget.updateAverageRate()
-	if c.chainsEnabled() {
-		heartbeat.Ended, heartbeat.Writes = c.completions.forPeers(), writeRate
-	}
-	c.emit(BroadcastHeartbeat{heartbeat})
-}
-
-// openMachines lists the machines of led partitions that take tasks, with the images that are there.
-func (c *Controller) openMachines() map[string][]string {
-	open := map[string][]string{}
-	for name, m := range c.replica.machines {
-		if m.agent != nil && c.leads(m.part()) && c.acceptsTasks(m) {
-			open[name] = slices.Sorted(maps.Keys(m.agent.images))
-		}
-	}
-	return open
-}
