--- /dev/null
+++ b/internal/controller/fakestore_test.go
@@ -0,0 +1,194 @@
+package controller
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"slices"
+	"strings"
+
+	"frostdock.example/frostdock/internal/agent"
+	"frostdock.example/frostdock/internal/cloud"
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/kv"
+	"frostdock.example/frostdock/internal/policy"
+	"frostdock.example/frostdock/internal/units"
+)
+
+// fakeStore answers what a core asks, at once and without a fault, and counts it.
+type fakeStore struct {
+	keys    map[string]kv.KeyValue
+	rev     uint64
+	waits   []StoreCall // open watches
+	seq     uint64
+	asked   map[kv.RequestKind]int
+	workers int
+
+	guarded bool // conditions of transactions are checked
+
+	most, mostOps int      // longest value and most changes of a transaction; 0: any
+	refused       []string // what was larger
+	changes       int
+}
+
+// tooLarge notes a transaction that the state service would not take.
+func (o *fakeStore) tooLarge(txn *kv.Txn) {
+	if o.mostOps == 0 {
+		return
+	}
+	if len(txn.Operations) > o.mostOps || len(txn.Conditions) > 4*o.mostOps {
+		o.refused = append(o.refused, fmt.Sprintf("%d changes, %d conditions", len(txn.Operations), len(txn.Conditions)))
+	}
+	for _, op := range txn.Operations {
+		if len(op.Value) > o.most {
+			o.refused = append(o.refused, fmt.Sprintf("%s: %d bytes", op.Set, len(op.Value)))
+		}
+	}
+}
+
+// failedGuards lists the conditions of a transaction that do not hold.
+func (o *fakeStore) failedGuards(txn *kv.Txn) []string {
+	var failed []string
+	for _, g := range txn.Conditions {
+		if o.guarded && o.keys[g.Key].ModRevision != g.ModRevision {
+			failed = append(failed, g.Key)
+		}
+	}
+	return failed
+}
+
+// quietController is a controller with the default policy that logs nothing.
+func quietController(cfg *config.Config) *Controller {
+	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
+}
+
+// stepper drives a controller whose effects are answered from outside: each call is one
+// step, 25 ms after the one before.
+func (o *fakeStore) stepper(c *Controller) func() {
+	now := units.Second
+	var msgs []Message
+	return func() {
+		now += 25 * units.Millisecond
+		var next []Message
+		for _, e := range c.Step(now, now+units.Micros(1e15), msgs) {
+			next = append(next, o.answer(e)...)
+		}
+		msgs = next
+	}
+}
+
+// pageBytes is how much one answer of the state service may hold.
+const pageBytes = 512 << 10
+
+func (o *fakeStore) put(key string, doc any) {
+	o.rev++
+	o.keys[key] = kv.KeyValue{Key: key, Value: encode(doc), ModRevision: o.rev}
+}
+
+func (o *fakeStore) list(q kv.Request) kv.Response {
+	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	var names []string
+	for k := range o.keys {
+		if strings.HasPrefix(k, q.Key) && k > q.After {
+			names = append(names, k)
+		}
+	}
+	slices.Sort(names)
+	size := 0
+	for _, k := range names {
+		size += len(o.keys[k].Value) + len(k) + 40
+		if size > pageBytes || len(r.Items) == 1000 {
+			r.Truncated = true
+			break
+		}
+		r.Items = append(r.Items, o.keys[k])
+	}
+	return r
+}
+
+// answer gives the messages that an effect brings back.
+func (o *fakeStore) answer(e Effect) []Message {
+	switch e := e.(type) {
+	case StoreCall:
+		return o.answerStore(e)
+	case CloudCall:
+		return []Message{answerCloud(e)}
+	case AgentCall:
+		return []Message{o.answerAgent(e)}
+	case Reply, BroadcastHeartbeat: // bring nothing back
+	}
+	return nil
+}
+
+// answerStore answers a request to the store; an open watch is answered when something changes.
+func (o *fakeStore) answerStore(call StoreCall) []Message {
+	o.asked[call.Request.Kind]++
+	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	switch call.Request.Kind {
+	case kv.Get:
+		it, ok := o.keys[call.Request.Key]
+		r.Key, r.Value, r.ModRevision = it.Key, it.Value, it.ModRevision
+		if !ok {
+			r.Status = kv.StatusNotFound
+		}
+	case kv.List:
+		r = o.list(call.Request)
+	case kv.GrantLease:
+		r.LeaseID = 1
+	case kv.RenewLease: // has nothing to tell
+	case kv.Watch:
+		if call.Request.Revision >= o.rev {
+			o.waits = append(o.waits, call)
+			return nil
+		}
+	case kv.Transact:
+		return o.transact(call)
+	}
+	return []Message{StoreResult{CallID: call.CallID, Response: r}}
+}
+
+// transact carries out a transaction and answers it, and then the open watches.
+func (o *fakeStore) transact(call StoreCall) []Message {
+	txn := call.Request.Txn
+	o.tooLarge(txn)
+	if failed := o.failedGuards(txn); len(failed) > 0 {
+		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.rev, FailedKeys: failed}}}
+	}
+	o.changes += len(txn.Operations)
+	o.rev++
+	for _, op := range txn.Operations {
+		if op.Set != "" {
+			o.keys[op.Set] = kv.KeyValue{Key: op.Set, Value: op.Value, ModRevision: o.rev}
+		} else {
+			delete(o.keys, op.Delete)
+		}
+	}
+	shown := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	out := []Message{StoreResult{CallID: call.CallID, Response: shown}}
+	for _, w := range o.waits { // the controller has applied its own commit already
+		out = append(out, StoreResult{CallID: w.CallID, Response: shown})
+	}
+	o.waits = nil
+	return out
+}
+
+// answerCloud has a catalog of one type and refuses all else.
+func answerCloud(call CloudCall) CloudResult {
+	d := CloudResult{CallID: call.CallID, Status: cloud.StatusRefused}
+	if call.Op == CloudCatalog {
+		d.Status = cloud.StatusOK
+		d.Catalog.Types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, FetchGBPerSecond: 1, HourlyPrice: 1, BootSeconds: 30, Zones: []string{"a"}}}
+	}
+	return d
+}
+
+// answerAgent has an agent without tasks answer, and obey commands.
+func (o *fakeStore) answerAgent(call AgentCall) AgentResult {
+	o.workers++
+	o.seq++
+	r := &agent.Heartbeat{Machine: call.Address, Addr: call.Address, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq}
+	if call.Commands != nil {
+		r.FencingToken = call.Commands.FencingToken
+	}
+	return AgentResult{CallID: call.CallID, Heartbeat: r}
+}
--- /dev/null
+++ b/internal/controller/resharding_test.go
@@ -0,0 +1,121 @@
+package controller
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+
+	"frostdock.example/frostdock/internal/config"
+	"frostdock.example/frostdock/internal/schema"
+)
+
+// TestMoved shows a split to a copy in every order in which its documents may come: the
+// machines, what is known of them and the jobs stay, in one document each.
+func TestMoved(t *testing.T) {
+	for _, parentFirst := range []bool{true, false} {
+		c, jobs := splitCase(t)
+		known := maps.Clone(c.replica.machines)
+		shards := len(c.replica.machineShards)
+		docs := splitDocuments(c)
+		if !parentFirst {
+			slices.Reverse(docs)
+		}
+		for _, d := range docs {
+			c.replica.apply(d.key, d.value, 20, false)
+		}
+		if len(c.replica.machines) != 6 || len(c.replica.jobs["j-000001"].bindings) != 6 {
+			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bindings))
+		}
+		for name, m := range c.replica.machines {
+			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.spread != 3*shards {
+				t.Errorf("%s is in machine shard %d of %d, or made anew", name, m.shard.number, m.shard.spread)
+			}
+		}
+		if total := machinesInShards(c); total != 6 {
+			t.Errorf("machine shards have %d machines", total)
+		}
+		checkAccepted(t, c, jobs)
+	}
+}
+
+func checkAccepted(t *testing.T, c *Controller, jobs []schema.Job) {
+	t.Helper()
+	for _, job := range jobs {
+		if got := c.replica.jobs[job.ID]; got == nil || !got.accepted {
+			t.Errorf("%s is lost", job.ID)
+		}
+	}
+}
+
+// machinesInShards counts the machines of all machine shards.
+func machinesInShards(c *Controller) int {
+	total := 0
+	for _, shard := range c.replica.machineShards {
+		total += len(shard.machines)
+	}
+	return total
+}
+
+// splitCase is a controller whose replica has six machines in machine shard 3 and six jobs in job
+// shard 5, which it returns.
+func splitCase(t *testing.T) (*Controller, []schema.Job) {
+	t.Helper()
+	cfg := &config.Config{Member: "a"}
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+	c := quietController(cfg)
+	machines, jobs := schema.MachineShard{}, schema.JobShard{}
+	for i := range 6 {
+		machines.Machines = append(machines.Machines, schema.Machine{
+			Name: fmt.Sprintf("n-%06d", 3+i*len(c.replica.machineShards)), Addr: "x", Tasks: schema.Tasks{{Job: "j-000001", Index: i, Attempt: 7}},
+		})
+		jobs.Jobs = append(jobs.Jobs, schema.Job{ID: fmt.Sprintf("j-%06d", 5+i*len(c.replica.jobShards)), Tasks: 1})
+	}
+	c.replica.apply(schema.MachineShardKey(3), encode(machines), 10, false)
+	c.replica.apply(schema.JobShardKey(5), encode(jobs), 11, false)
+	return c, jobs.Jobs
+}
+
+// splitDocuments are the documents of splitCase, split into three and two.
+func splitDocuments(c *Controller) []splitDocument {
+	shard := newStagedShard(c.planner, c.replica.machineShards[3], false, "")
+	for _, m := range c.replica.machineShards[3].machines {
+		shard.machines = append(shard.machines, &stagedMachine{machine: m, shard: shard, kept: m.doc.Tasks})
+	}
+	return append(shard.split(3), c.jobShardSplits.split(c.replica.jobShards[5], 2, "mark")...)
+}
+
+// TestMovedTwice shows a copy two splits of one job shard at once, in every order in which an
+// answer of the state service may tell of their documents. A job that went from the first
+// document to a piece, and from there to a piece of that, was taken for one that is over when
+// the last two came before the first: its absence was read as its end.
+func TestMovedTwice(t *testing.T) {
+	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
+		t.Run(fmt.Sprint(order), func(t *testing.T) {
+			cfg := &config.Config{Member: "a"}
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
+			c := quietController(cfg)
+			of := len(c.replica.jobShards)
+			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
+			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
+			c.replica.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
+			docs := []struct {
+				key   string
+				doc   schema.JobShard
+				stamp uint64
+			}{
+				{schema.JobShardKey(5), schema.JobShard{ShardCount: 2 * of, Jobs: []schema.Job{stays}}, 20},
+				{schema.JobShardKey(5 + of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{moves}}, 30},
+				{schema.JobShardKey(5 + 3*of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
+			}
+			for _, i := range order {
+				c.replica.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
+			}
+			for _, want := range []schema.Job{stays, moves, movesTwice} {
+				if j := c.replica.jobs[want.ID]; j == nil || !j.accepted || j.dependency == nil {
+					t.Errorf("%s is lost", want.ID)
+				}
+			}
+		})
+	}
+}
