--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -46,6 +46,11 @@
 	return l != nil && a.replica.watchRevision >= l.revision && a.mayAct()
 }
 
+// leadsAny reports whether this process leads a partition, also while it may not act.
+func (a *authority) leadsAny() bool { return len(a.partitions.led) > 0 }
+
+func (a *authority) currentIncarnation() string { return a.membership.incarnation }
+
 // noteChanges notes since when this process may act, and tells when that changes.
 func (a *authority) noteChanges() {
 	switch may := a.mayAct(); {
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -69,7 +69,8 @@
 	decommission *decommissioner
 	leadership   scalingLeadership
 	demand       scalingDemand
-	capacity     machineCapacity
+	capacity     scalingCapacity
+	acceptance   machineView
 	fleet        fleetView
 	agents       localHeartbeats
 	peers        remoteHeartbeats
@@ -99,12 +100,8 @@
 	changesPlentiful() bool
 }
 
-// machineCapacity is what the autoscaler asks of scheduling about machines.
-type machineCapacity interface {
-	// acceptsTasks reports whether a machine that this process commands may be given tasks.
-	acceptsTasks(m *machine) bool
-	// foreignMachineOpen reports whether another leader's machine may be given tasks.
-	foreignMachineOpen(m *machine) (images []string, open bool)
+// scalingCapacity is what the autoscaler asks about the free capacity of machines.
+type scalingCapacity interface {
 	freeCapacity(m *machine, t *cloud.MachineType) *resources
 	hasRoomForAny(m *machine, free *resources, jobs []*job) bool
 }
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -82,7 +82,7 @@
 	return &autoscalerRig{t: t, cluster: cluster, autoscaler: newAutoscaler(env, autoscalerDependencies{
 		replica: copied, cloud: client, catalog: types,
 		decommission: &decommissioner{environment: env, replica: copied},
-		leadership:   cluster, demand: cluster, capacity: cluster, fleet: cluster, agents: cluster, peers: cluster, commits: cluster,
+		leadership:   cluster, demand: cluster, capacity: cluster, acceptance: cluster, fleet: cluster, agents: cluster, peers: cluster, commits: cluster,
 	})}
 }
 
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -30,8 +30,15 @@
 	return true
 }
 
+// machineCapacity tells how much of a machine is free, by what its agent reports or by what is stored. It
+// keeps nothing and reserves nothing: each caller works with its own copy.
+type machineCapacity struct {
+	replica *replica
+	catalog *catalog
+}
+
 // reportedFreeCapacity is what no task takes that the machine's agent has reported.
-func (c *Controller) reportedFreeCapacity(m *machine) *resources {
+func (c *machineCapacity) reportedFreeCapacity(m *machine) *resources {
 	t := c.catalog.machineType(m.doc.Type)
 	if t == nil {
 		return &resources{}
@@ -46,7 +53,7 @@
 }
 
 // freeCapacity is what the tasks bound to a machine leave of it.
-func (c *Controller) freeCapacity(m *machine, t *cloud.MachineType) *resources {
+func (c *machineCapacity) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	free := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
 		if j := c.replica.unfinishedJobOf(task); j != nil {
@@ -57,29 +64,6 @@
 }
 
 // hasRoomForAny reports whether one of the jobs could have a task on the machine now.
-func (c *Controller) hasRoomForAny(m *machine, free *resources, jobs []*job) bool {
+func (c *machineCapacity) hasRoomForAny(m *machine, free *resources, jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return free.canFit(&j.spec) && placementAllowed(j, m) })
 }
-
-// acceptsTasks reports whether a machine that this controller commands may be given tasks.
-func (c *Controller) acceptsTasks(m *machine) bool {
-	a := m.agent
-	heard := a.heardAt > 0 && c.now-a.heardAt < silenceAfter(c.cfg.Settings.HeartbeatPeriod())
-	return heard && a.takesNewTasks() && a.responses.lost < maxLostResponses &&
-		a.tokenSeen == c.replica.fencingToken(m) && !a.command.unclear() && !c.fleet.unreachableInbound(m)
-}
-
-// foreignMachineOpen reports whether the leader of another partition's machine says that it takes work,
-// and which images are there.
-func (c *Controller) foreignMachineOpen(m *machine) ([]string, bool) {
-	partition := c.replica.partitions[m.shard.partition]
-	if partition == nil {
-		return nil, false
-	}
-	heartbeat, ok := c.peers.heartbeatOf(partition.doc.Member, partition.doc.Incarnation)
-	if !ok {
-		return nil, false
-	}
-	images, ok := heartbeat.Open[m.name]
-	return images, ok
-}
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -18,6 +18,7 @@
 //   - cloudClient, catalog: requests to the cloud, and the machine types that it offers
 //   - factSource, audit: the facts that package guard decides on, and the last look at what leaves
 //   - agentGateway, reconciler, commandPlanner: heartbeats of worker agents, and what they are told
+//   - machineCapacity, machineAcceptance: how much of a machine is free, and which machines take tasks
 //   - peerTable, peerHeartbeat: what other controllers say of themselves, and what they are told
 //   - fleetMonitor, quarantineMonitor, unheardPartitions: machines that cannot be reached, or fail tasks
 //   - planner, plan: what starts, stops and goes in a led partition, staged and committed in one go
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -87,12 +87,12 @@
 	if !p.progress.put(j, longer) || p.progress.document(key).Jobs[j.id] != longer || p.budget.jointChanges != 11 {
 		t.Error("newer progress of the same job is not written in its place")
 	}
-	tooLong := schema.JobProgress{DoneRanges: strings.Repeat("1,", c.maxValueBytes())}
+	tooLong := schema.JobProgress{DoneRanges: strings.Repeat("1,", c.store.limits.maxValueBytes())}
 	if p.progress.put(j, tooLong) || p.progress.document(key).Jobs[j.id] != longer {
 		t.Error("progress that makes the segment too long is written")
 	}
 
-	full := &progressSegment{key: schema.ProgressKey(0, 7), size: c.maxValueBytes() - 20, jobs: map[string]schema.JobProgress{"j-000002": short}}
+	full := &progressSegment{key: schema.ProgressKey(0, 7), size: c.store.limits.maxValueBytes() - 20, jobs: map[string]schema.JobProgress{"j-000002": short}}
 	c.replica.progressSegments[full.key] = full
 	other := acceptJob(c, schema.Job{ID: "j-000002", Tasks: 100})
 	other.progressSegment = full
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -48,7 +48,7 @@
 	return &planner{
 		environment: c.environment, store: c.store, replica: c.replica, commits: c.commits, writes: c.budget,
 		authority: c.authority, partitions: c.partitions, agents: c.agents, catalog: c.catalog, splits: c.splits, demand: c.demand,
-		machineView: c, facts: c.facts, audit: c.audit, outcomes: c.outcomeReads, completions: c.completions, estimates: newEstimates(),
+		machineView: c.acceptance, facts: c.facts, audit: c.audit, outcomes: c.outcomeReads, completions: c.completions, estimates: newEstimates(),
 		transferPeriods: map[int]*period{}, movePeriods: map[int]*period{},
 	}
 }
--- a/internal/controller/replica_machines.go
+++ b/internal/controller/replica_machines.go
@@ -134,3 +134,8 @@
 		m.entrySeenAt[key] = seenAt
 	}
 }
+
+// rented reports whether the machine was rented by this service.
+func (r *replica) rented(name string) bool {
+	return r.firstRented != nil && name >= r.firstRented.Name
+}
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -8,7 +8,7 @@
 
 func (c *Controller) formatRaised() int {
 	c.store.limits.adoptTighter()
-	return progressGapsFor(c.maxValueBytes())
+	return progressGapsFor(c.store.limits.maxValueBytes())
 }
 
 func (c *Controller) jobAccepted(j *job) { c.dependencies.add(j) }
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -102,7 +102,7 @@
 	used := t.CPUs - capacity.cpus
 	s.usedCPUs += used
 	if m.agent == nil {
-		if _, open := a.capacity.foreignMachineOpen(m); open {
+		if _, open := a.acceptance.foreignMachineOpen(m); open {
 			s.freeCPUs += t.CPUs - used
 		}
 		return
@@ -115,7 +115,7 @@
 		s.draining++
 		return
 	}
-	if !a.capacity.acceptsTasks(m) {
+	if !a.acceptance.acceptsTasks(m) {
 		return
 	}
 	s.freeCPUs += t.CPUs - used
