--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -74,6 +74,7 @@
 	c.wireAutoscaler()
 	c.wireRequests()
 	c.wirePlanner()
+	c.wireObserver()
 	c.duties = c.periodicDuties()
 	return c
 }
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -9,6 +9,7 @@
 //   - environment: configuration, the clocks of the present step, its effects, timers
 //   - storeClient, storeLimits: requests to the key-value store, and the limits that it keeps to
 //   - replica, replicator: the copy of the store, and what loads it and keeps it up to date
+//   - changeDispatcher: what follows from changes to the copy for the other duties
 //   - freshness: up to which moment the copy is proven to be complete
 //   - membership: this process's registration, under a lease
 //   - partitionTable, leadershipManager: which partitions this process leads, and how it comes to
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -84,9 +84,9 @@
 // maxOutcomes is how many outcomes a replica keeps; the store holds them all.
 const maxOutcomes = 40000
 
-func newReplica(env *environment, observer replicaObserver, layout schema.Layout, defaultPartition func(shard int) int) *replica {
+func newReplica(env *environment, layout schema.Layout, defaultPartition func(shard int) int) *replica {
 	r := &replica{
-		env: env, observer: observer,
+		env:       env,
 		revisions: map[string]uint64{}, tombstones: map[string]uint64{},
 		registeredSince: map[string]units.Micros{}, registeredFormats: map[string]int{},
 		partitions: map[int]*partitionDoc{},
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -2,39 +2,49 @@
 
 import "frostdock.example/frostdock/internal/schema"
 
-// The controller observes its replica: what follows from a change for this process's own duties.
+// changeDispatcher observes the replica: it tells this process's own duties of a change that concerns
+// them. It keeps nothing itself.
+type changeDispatcher struct {
+	*environment
+	store        *storeClient
+	replica      *replica
+	partitions   *partitionTable
+	leaderships  *leadershipManager
+	dependencies *dependencyGraph
+	agents       *agentGateway
+}
 
-func (c *Controller) partitionChanged(partition int) { c.leaderships.follow(partition) }
+func (d *changeDispatcher) partitionChanged(partition int) { d.leaderships.follow(partition) }
 
-func (c *Controller) formatRaised() int {
-	c.store.limits.adoptTighter()
-	return progressGapsFor(c.store.limits.maxValueBytes())
+func (d *changeDispatcher) formatRaised() int {
+	d.store.limits.adoptTighter()
+	return progressGapsFor(d.store.limits.maxValueBytes())
 }
 
-func (c *Controller) jobAccepted(j *job) { c.dependencies.add(j) }
+func (d *changeDispatcher) jobAccepted(j *job) { d.dependencies.add(j) }
 
-func (c *Controller) jobRemoved(j *job) { c.dependencies.remove(j) }
+func (d *changeDispatcher) jobRemoved(j *job) { d.dependencies.remove(j) }
 
-func (c *Controller) jobCancelled(id string) { c.dependencies.noteCancellation(id) }
+func (d *changeDispatcher) jobCancelled(id string) { d.dependencies.noteCancellation(id) }
 
-func (c *Controller) outcomeShown(id string, outcome schema.Outcome) {
-	c.dependencies.learnOutcome(id, outcome)
+func (d *changeDispatcher) outcomeShown(id string, outcome schema.Outcome) {
+	d.dependencies.learnOutcome(id, outcome)
 }
 
 // machineChanged begins or ends to command a machine, or tells its agent what its entry says now.
-func (c *Controller) machineChanged(m *machine, change machineChange) {
-	leadership := c.partitions.led[m.shard.partition]
+func (d *changeDispatcher) machineChanged(m *machine, change machineChange) {
+	leadership := d.partitions.led[m.shard.partition]
 	if change.entryChanged && !change.moved && leadership == nil {
-		c.noteUnaskedReleases(change.previousTasks)
+		d.noteUnaskedReleases(change.previousTasks)
 	}
 	switch {
 	case leadership == nil || m.doc.Decommissioned:
 		m.agent = nil
 	case m.agent == nil || change.moved || m.agent.leadership != leadership:
-		c.agents.beginCommand(m, leadership)
+		d.agents.beginCommand(m, leadership)
 	case change.entryChanged:
 		m.forgetUnlistedCompletions()
-		c.agents.noteChanged(m)
+		d.agents.noteChanged(m)
 	}
 }
 
@@ -50,14 +60,14 @@
 // noteUnaskedReleases notes tasks of this process's partitions that another leader took off its
 // machine though nobody had asked for it: they failed there. It guards against a job that fails
 // everywhere and is placed on others' machines without end.
-func (c *Controller) noteUnaskedReleases(previous schema.Tasks) {
+func (d *changeDispatcher) noteUnaskedReleases(previous schema.Tasks) {
 	for _, task := range previous {
-		j := c.replica.jobs[task.Job]
-		if j == nil || !j.accepted || j.cancelled() || task.StopMode > 0 || j.isDone(task.Index) || c.partitions.led[j.partition] == nil {
+		j := d.replica.jobs[task.Job]
+		if j == nil || !j.accepted || j.cancelled() || task.StopMode > 0 || j.isDone(task.Index) || d.partitions.led[j.partition] == nil {
 			continue
 		}
 		if _, ok := j.bindings[task.Index]; !ok {
-			j.backOff(c.now)
+			j.backOff(d.now)
 		}
 	}
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -10,7 +10,7 @@
 	env := c.environment
 	withTeams := newTeamPartitions(env)
 	c.store = newStoreClient(env)
-	c.replica = newReplica(env, c, newLayout(&env.cfg.Settings), withTeams.ofMachineShard)
+	c.replica = newReplica(env, newLayout(&env.cfg.Settings), withTeams.ofMachineShard)
 	c.partitions = newPartitionTable(c.replica, withTeams)
 	c.freshness = &freshness{environment: env, store: c.store, replica: c.replica}
 	c.replicator = &replicator{environment: env, store: c.store, replica: c.replica, freshness: c.freshness}
@@ -130,3 +130,12 @@
 	c.jobShardSplits = &jobShardSplitter{documentSplitter: c.splits, authority: c.authority, commits: c.commits}
 	c.planner = newPlanner(c)
 }
+
+// wireObserver connects what tells the duties of changes to the replica. It needs them, and they the
+// replica, so that it comes last; the replica is still empty.
+func (c *Controller) wireObserver() {
+	c.replica.observer = &changeDispatcher{
+		environment: c.environment, store: c.store, replica: c.replica, partitions: c.partitions,
+		leaderships: c.leaderships, dependencies: c.dependencies, agents: c.agents,
+	}
+}
