--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -34,7 +34,7 @@
 // transactor carries out transactions on the store. done runs once, with the truth.
 type transactor interface {
 	newWriteTag() string
-	commit(txn *kv.Txn, writeTag string, done func(commitOutcome, uint64, []string))
+	commit(txn *kv.Txn, writeTag string, done func(commitResult))
 }
 
 // shardWriter is what the accept queue needs to write job shards beside others who do.
@@ -184,30 +184,30 @@
 }
 
 // settle takes the outcome of the transaction.
-func (t *acceptTransaction) settle(outcome commitOutcome, revision uint64, failedKeys []string) {
+func (t *acceptTransaction) settle(result commitResult) {
 	q := t.queue
 	q.inFlight = false
 	q.commits.clearInFlight(t.txn)
-	switch outcome {
+	switch result.outcome {
 	case commitThrottled:
 		q.notBefore = q.now + throttledRetry
 	case commitConflict:
-		q.afterRevision = revision // the job shards as they now are must be seen first
+		q.afterRevision = result.revision // the job shards as they now are must be seen first
 	case commitApplied, commitRefused:
 	}
 	for _, accept := range t.accepts {
-		q.settle(accept, outcome, failedKeys)
+		q.settle(accept, result)
 	}
 }
 
 // settle answers a submission whose transaction has come to an end, or lets it wait for the next one.
-func (q *acceptQueue) settle(accept pendingAccept, outcome commitOutcome, failedKeys []string) {
+func (q *acceptQueue) settle(accept pendingAccept, result commitResult) {
 	switch {
-	case outcome == commitApplied:
+	case result.outcome == commitApplied:
 		q.users.answerStatus(accept.requestID, http.StatusCreated, &JobStatus{ID: accept.job.ID, Stage: StagePending})
-	case outcome == commitRefused:
+	case result.outcome == commitRefused:
 		q.users.askToRetry(accept.requestID)
-	case outcome == commitConflict && slices.Contains(failedKeys, schema.OutcomePrefix+accept.job.ID): // over already
+	case result.outcome == commitConflict && slices.Contains(result.failedKeys, schema.OutcomePrefix+accept.job.ID): // over already
 		q.answerExisting(accept)
 	default:
 		q.pending = append(q.pending, accept)
--- a/internal/controller/accepts_test.go
+++ b/internal/controller/accepts_test.go
@@ -16,7 +16,7 @@
 	inFlight map[string]bool
 	commits  int
 	txn      *kv.Txn
-	settle   func(commitOutcome, uint64, []string)
+	settle   func(commitResult)
 }
 
 func (w *fakeShardWriter) newWriteTag() string        { return "tag" }
@@ -34,7 +34,7 @@
 	}
 }
 
-func (w *fakeShardWriter) commit(txn *kv.Txn, _ string, done func(commitOutcome, uint64, []string)) {
+func (w *fakeShardWriter) commit(txn *kv.Txn, _ string, done func(commitResult)) {
 	w.commits++
 	w.txn, w.settle = txn, done
 }
@@ -85,7 +85,7 @@
 			if !slices.Equal(writer.txn.Conditions, conditions) || !writer.inFlight[shardKey] {
 				t.Errorf("conditions %v, in flight %v", writer.txn.Conditions, writer.inFlight)
 			}
-			writer.settle(tc.outcome, 9, tc.failedKeys)
+			writer.settle(commitResult{outcome: tc.outcome, revision: 9, failedKeys: tc.failedKeys})
 			reply, _ := replyTo(1, c.effects)
 			if reply.Status != tc.status || len(c.accepts.pending) != tc.pending || writer.inFlight[shardKey] {
 				t.Errorf("answered %d, %d pending, in flight %v", reply.Status, len(c.accepts.pending), writer.inFlight)
@@ -103,7 +103,7 @@
 	if writer.commits != 1 {
 		t.Fatalf("%d transactions at once", writer.commits)
 	}
-	writer.settle(commitConflict, 9, nil)
+	writer.settle(commitResult{outcome: commitConflict, revision: 9})
 	c.accepts.storePending()
 	if writer.commits != 1 {
 		t.Error("stored before the replica has caught up")
@@ -113,7 +113,7 @@
 	if writer.commits != 2 {
 		t.Fatal("not stored after the replica has caught up")
 	}
-	writer.settle(commitThrottled, 0, nil)
+	writer.settle(commitResult{outcome: commitThrottled})
 	c.accepts.storePending()
 	if writer.commits != 2 {
 		t.Error("stored at once after the store has throttled")
@@ -133,7 +133,7 @@
 	submit(c, 2, "j-000001")
 	c.accepts.inFlight = false
 	c.accepts.storePending()
-	writer.settle(commitApplied, 9, nil)
+	writer.settle(commitResult{outcome: commitApplied, revision: 9})
 	if first, _ := replyTo(1, c.effects); first.Status != http.StatusCreated {
 		t.Errorf("the first is answered %d", first.Status)
 	}
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -127,7 +127,7 @@
 // transactionCommitter writes to the store.
 type transactionCommitter interface {
 	newWriteTag() string
-	commit(txn *kv.Txn, writeTag string, done func(outcome commitOutcome, revision uint64, failedKeys []string))
+	commit(txn *kv.Txn, writeTag string, done func(commitResult))
 }
 
 func newAutoscaler(env *environment, dependencies autoscalerDependencies) *autoscaler {
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -50,7 +50,7 @@
 func (f *fakeCluster) commit(txn *kv.Txn, _ string, _ commitContinuation) { f.noteFirst(txn) }
 
 // commitContinuation takes the outcome of a commit.
-type commitContinuation = func(outcome commitOutcome, revision uint64, failedKeys []string)
+type commitContinuation = func(commitResult)
 
 func (f *fakeCluster) noteFirst(txn *kv.Txn) {
 	f.firstRented = append(f.firstRented, string(txn.Operations[0].Value))
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -51,8 +51,8 @@
 }
 
 // settle takes the outcome of the transaction.
-func (p *pendingCancellation) settle(outcome commitOutcome, _ uint64, _ []string) {
-	switch outcome {
+func (p *pendingCancellation) settle(result commitResult) {
+	switch result.outcome {
 	case commitApplied:
 		p.users.answerStatus(p.request.RequestID, http.StatusOK, outcomeStatus(p.request.JobID, p.outcome))
 	case commitConflict: // it ended, or another controller cancelled it, at the same time
@@ -90,8 +90,8 @@
 }
 
 // settle takes the outcome of the transaction.
-func (a *cancelledAccept) settle(outcome commitOutcome, _ uint64, _ []string) {
-	switch outcome {
+func (a *cancelledAccept) settle(result commitResult) {
+	switch result.outcome {
 	case commitApplied:
 		a.users.answerStatus(a.request.RequestID, http.StatusCreated, outcomeStatus(a.request.JobID, a.outcome))
 	case commitConflict: // it is over already
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -21,6 +21,13 @@
 	commitThrottled               // the same, because too much was asked at once
 )
 
+// commitResult is the fate of a transaction with what the store told of it.
+type commitResult struct {
+	outcome    commitOutcome
+	revision   uint64   // applied: of the transaction; conflict: of the store when it failed; else 0
+	failedKeys []string // conflict: the keys whose conditions failed, as far as known
+}
+
 // Delays before a request is repeated whose answer was of no use.
 const (
 	unclearRetryDelay = 150 * units.Millisecond // the store may have carried it out
@@ -73,9 +80,8 @@
 func changedKey(op kv.Operation) string { return op.Set + op.Delete }
 
 // commit carries out a transaction whose values carry a write tag. done is called exactly once, with
-// the transaction's fate; on commitApplied the revision is that of the transaction, on a conflict that
-// of the store, with the keys whose conditions failed.
-func (c *committer) commit(txn *kv.Txn, writeTag string, done func(outcome commitOutcome, revision uint64, failedKeys []string)) {
+// the transaction's fate.
+func (c *committer) commit(txn *kv.Txn, writeTag string, done func(commitResult)) {
 	c.budget.charge(txn.Operations)
 	p := &pendingCommit{committer: c, txn: txn, writeTag: writeTag, done: done}
 	p.send()
@@ -94,7 +100,7 @@
 	txn       *kv.Txn
 	writeTag  string
 	unclear   bool // a copy was sent of which it is not known whether it is applied
-	done      func(outcome commitOutcome, revision uint64, failedKeys []string)
+	done      func(commitResult)
 }
 
 func (p *pendingCommit) send() {
@@ -115,19 +121,24 @@
 	}
 }
 
+// conflictOf is the result of a transaction whose conditions failed.
+func conflictOf(r kv.Response) commitResult {
+	return commitResult{outcome: commitConflict, revision: r.Revision, failedKeys: r.FailedKeys}
+}
+
 // handleRefusal takes the refusal of a transaction of which no other copy was sent.
 func (p *pendingCommit) handleRefusal(r kv.Response) {
 	switch r.Status {
 	case kv.StatusConflict:
-		p.done(commitConflict, r.Revision, r.FailedKeys)
+		p.done(conflictOf(r))
 	case kv.StatusThrottled:
 		p.committer.budget.noteThrottled()
-		p.done(commitThrottled, 0, nil)
+		p.done(commitResult{outcome: commitThrottled})
 	case kv.StatusMalformed:
 		p.committer.log.Error("store rejected transaction as malformed", "conditions", len(p.txn.Conditions), "ops", len(p.txn.Operations))
-		p.done(commitRefused, 0, nil)
+		p.done(commitResult{outcome: commitRefused})
 	default:
-		p.done(commitRefused, 0, nil)
+		p.done(commitResult{outcome: commitRefused})
 	}
 }
 
@@ -135,12 +146,12 @@
 func (p *pendingCommit) handleRefusedRepeat(r kv.Response) {
 	switch r.Status {
 	case kv.StatusConflict:
-		p.lookUp(func() { p.done(commitConflict, r.Revision, r.FailedKeys) })
+		p.lookUp(func() { p.done(conflictOf(r)) })
 	case kv.StatusMalformed:
 		// The limits have fallen since it was first sent: no copy of it is carried out any more,
 		// and whether one was shows now. Were it repeated until it is taken, its partition would
 		// never plan again.
-		p.lookUp(func() { p.done(commitConflict, p.committer.store.seenRevision, nil) })
+		p.lookUp(func() { p.done(commitResult{outcome: commitConflict, revision: p.committer.store.seenRevision}) })
 	default:
 		p.committer.after(refusedRetryDelay, p.send)
 	}
@@ -191,7 +202,7 @@
 			p.committer.replica.noteDeleted(op.Delete, revision)
 		}
 	}
-	p.done(commitApplied, revision, nil)
+	p.done(commitResult{outcome: commitApplied, revision: revision})
 }
 
 // encode is the stored form of a document.
--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -95,10 +95,10 @@
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	store := &scriptedStore{t: t, c: quietController(cfg)}
 	calls := 0
-	store.c.commits.commit(txn, commitTag, func(outcome commitOutcome, revision uint64, failed []string) {
+	store.c.commits.commit(txn, commitTag, func(result commitResult) {
 		calls++
-		if outcome != tc.outcome || revision != tc.revision || !slices.Equal(failed, tc.failed) {
-			t.Errorf("outcome %d, revision %d, failed %v", outcome, revision, failed)
+		if result.outcome != tc.outcome || result.revision != tc.revision || !slices.Equal(result.failedKeys, tc.failed) {
+			t.Errorf("%+v", result)
 		}
 	})
 	for i, answer := range tc.answers {
@@ -128,7 +128,7 @@
 	key := schema.RegistrationKey("a", "a.0")
 	var outcomes []commitOutcome
 	txn := &kv.Txn{Conditions: []kv.Condition{{Key: key, ModRevision: 3}}, Operations: []kv.Operation{{Delete: key}}}
-	store.c.commits.commit(txn, "", func(outcome commitOutcome, _ uint64, _ []string) { outcomes = append(outcomes, outcome) })
+	store.c.commits.commit(txn, "", func(result commitResult) { outcomes = append(outcomes, result.outcome) })
 	store.answer(kv.Response{Status: kv.StatusUnknown})
 	store.answer(kv.Response{Status: kv.StatusConflict, Revision: 9})
 	if !slices.Equal(outcomes, []commitOutcome{commitConflict}) || len(store.c.effects) != 0 {
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -56,10 +56,10 @@
 	}
 	g.log.Info("raising format version", "format", knownFormat)
 	g.commits.markInFlight(txn)
-	g.commits.commit(txn, "", func(outcome commitOutcome, _ uint64, failed []string) {
+	g.commits.commit(txn, "", func(result commitResult) {
 		g.commits.clearInFlight(txn)
-		if outcome != commitApplied {
-			g.log.Info("raising format version failed", "failed", failed)
+		if result.outcome != commitApplied {
+			g.log.Info("raising format version failed", "failed", result.failedKeys)
 		}
 	})
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -139,7 +139,7 @@
 		}
 		key := process.registrationKey()
 		txn := &kv.Txn{Conditions: []kv.Condition{l.unchanged(key)}, Operations: []kv.Operation{{Delete: key}}}
-		l.commits.commit(txn, "", func(commitOutcome, uint64, []string) {})
+		l.commits.commit(txn, "", func(commitResult) {})
 		return
 	}
 }
@@ -180,9 +180,9 @@
 		own.commitsInFlight++ // no plan meanwhile
 	}
 	l.log.Info("acquiring leadership", "partition", partition, "for", doc.Member, "term", doc.Term)
-	l.commits.commit(txn, writeTag, func(outcome commitOutcome, _ uint64, failed []string) {
-		if outcome != commitApplied {
-			l.log.Info("acquiring leadership failed", "partition", partition, "failed", failed)
+	l.commits.commit(txn, writeTag, func(result commitResult) {
+		if result.outcome != commitApplied {
+			l.log.Info("acquiring leadership failed", "partition", partition, "failed", result.failedKeys)
 		}
 		// Only the count that was raised above is lowered: the watch may have shown the document before
 		// this answer, so that a plan of the new leadership is under way. A second plan beside it could
--- a/internal/controller/plan_commit.go
+++ b/internal/controller/plan_commit.go
@@ -58,8 +58,8 @@
 		p.commits.markInFlight(t.txn)
 	}
 	for _, t := range transactions {
-		p.commits.commit(t.txn, p.writeTag, func(outcome commitOutcome, revision uint64, failedKeys []string) {
-			p.finishCommit(t, outcome, revision, failedKeys)
+		p.commits.commit(t.txn, p.writeTag, func(result commitResult) {
+			p.finishCommit(t, result)
 		})
 	}
 }
@@ -119,7 +119,7 @@
 }
 
 // finishCommit takes the outcome of one of the plan's transactions.
-func (p *plan) finishCommit(t *planTransaction, outcome commitOutcome, revision uint64, failedKeys []string) {
+func (p *plan) finishCommit(t *planTransaction, result commitResult) {
 	p.commits.clearInFlight(t.txn)
 	for _, shard := range t.shards {
 		shard.forgetEntriesLeaving()
@@ -127,11 +127,11 @@
 	p.leadership.commitsInFlight--
 	p.planNeeded = true
 	switch {
-	case outcome != commitApplied:
+	case result.outcome != commitApplied:
 		p.undo(t)
 		p.leadership.planning.pausedUntil = p.now + commitRetryDelay
-		if outcome == commitConflict {
-			p.noteConflict(revision, failedKeys)
+		if result.outcome == commitConflict {
+			p.noteConflict(result)
 		}
 	case t.joint:
 		p.joint.forgetSavedRuns()
@@ -147,11 +147,11 @@
 }
 
 // noteConflict keeps the partition from planning until the replica shows what failed the conditions.
-func (p *plan) noteConflict(revision uint64, failedKeys []string) {
+func (p *plan) noteConflict(conflict commitResult) {
 	state := &p.leadership.planning
-	state.requiredRevision = max(state.requiredRevision, revision)
-	p.log.Info("plan commit conflict", "partition", p.leadership.partition, "failed", failedKeys)
-	p.outcomes.learnConflicting(failedKeys)
+	state.requiredRevision = max(state.requiredRevision, conflict.revision)
+	p.log.Info("plan commit conflict", "partition", p.leadership.partition, "failed", conflict.failedKeys)
+	p.outcomes.learnConflicting(conflict.failedKeys)
 }
 
 // forgetSavedRuns takes the task time that is now part of stored averages from what is not stored yet.
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -211,7 +211,7 @@
 	d.inFlight = true
 	d.notBefore = d.now + d.creditPeriod(len(documents), jobShardSplitShare)
 	d.commits.markInFlight(txn)
-	d.commits.commit(txn, writeTag, func(commitOutcome, uint64, []string) {
+	d.commits.commit(txn, writeTag, func(commitResult) {
 		d.inFlight = false
 		d.commits.clearInFlight(txn)
 	})
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -196,5 +196,5 @@
 		Operations: []kv.Operation{{Set: schema.FirstMachineKey, Value: encode(first)}},
 	}
 	// A commit that fails is not repeated: the next rental's tries again.
-	a.commits.commit(txn, first.WriteTag, func(commitOutcome, uint64, []string) {})
+	a.commits.commit(txn, first.WriteTag, func(commitResult) {})
 }
