--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -78,7 +78,7 @@
 // leaderStores reports whether the completion of a task that was seen at some moment can be left to the
 // leader of its job, which is told of it.
 func (e *completionExchange) leaderStores(j *job, seenAt units.Micros) bool {
-	if !e.replica.chainsEnabled() || e.now-seenAt > leaderStoresWithin {
+	if !e.replica.dependenciesEnabled() || e.now-seenAt > leaderStoresWithin {
 		return false
 	}
 	partition := e.replica.partitions[j.partition]
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -16,10 +16,10 @@
 // formatPeriod is the time between two tries to raise the format.
 const formatPeriod = units.Second
 
-// chainsEnabled reports whether the feature gate is raised: whether all members know jobs that depend
+// dependenciesEnabled reports whether the feature gate is raised: whether all members know jobs that depend
 // on others and documents that are split. Until then nothing may be written that a process of the
 // version before would lose when it writes the document anew.
-func (r *replica) chainsEnabled() bool { return r.format >= schema.FormatDependencies }
+func (r *replica) dependenciesEnabled() bool { return r.format >= schema.FormatDependencies }
 
 // formatGate raises the format of the store's documents once all controllers know it. It is never
 // lowered.
@@ -41,7 +41,7 @@
 // version before may still have writes under way when it is killed: each has the documents that it
 // writes as conditions, and fails if a later one was first.
 func (g *formatGate) raise() {
-	if g.replica.chainsEnabled() || !g.authority.mayAct() || g.store.failing || !g.budget.hasCredit() || g.commits.keysInFlight[schema.LayoutKey] {
+	if g.replica.dependenciesEnabled() || !g.authority.mayAct() || g.store.failing || !g.budget.hasCredit() || g.commits.keysInFlight[schema.LayoutKey] {
 		return
 	}
 	conditions, ok := g.memberRegistrations()
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -36,7 +36,7 @@
 		Heard: h.agents.heardAgo(), Open: h.openMachines(),
 	}
 	writeRate := h.budget.updateAverageRate()
-	if h.replica.chainsEnabled() {
+	if h.replica.dependenciesEnabled() {
 		heartbeat.Ended, heartbeat.Writes = h.completions.forPeers(), writeRate
 	}
 	h.emit(BroadcastHeartbeat{heartbeat})
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -183,7 +183,7 @@
 // then deletes those, which is possible at any length. A job may stand in two segments meanwhile: what
 // either says is true.
 func (p *plan) emptyOversizedSegments() {
-	if !p.replica.chainsEnabled() {
+	if !p.replica.dependenciesEnabled() {
 		return
 	}
 	for _, key := range slices.Sorted(maps.Keys(p.replica.progressSegments)) {
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -120,7 +120,7 @@
 		h.accepts.enqueue(request)
 		return
 	}
-	if !h.replica.chainsEnabled() {
+	if !h.replica.dependenciesEnabled() {
 		h.users.askToRetry(request.RequestID)
 		return
 	}
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -38,7 +38,7 @@
 // countFor is into how many documents one of that length is to be split; 1: it is not.
 func (d *documentSplitter) countFor(size int) int {
 	most := float64(d.store.limits.maxValueBytes())
-	if !d.replica.chainsEnabled() || float64(size) <= splitAbove*most {
+	if !d.replica.dependenciesEnabled() || float64(size) <= splitAbove*most {
 		return 1
 	}
 	return max(2, int(float64(size)/(splitTarget*most)+0.999))
@@ -187,7 +187,7 @@
 
 // maySplit reports whether this controller may split a job shard now.
 func (d *jobShardSplitter) maySplit() bool {
-	return d.replica.chainsEnabled() && d.authority.leads(0) && !d.store.failing && !d.inFlight &&
+	return d.replica.dependenciesEnabled() && d.authority.leads(0) && !d.store.failing && !d.inFlight &&
 		d.writes.credit >= minPlanCredit && d.now >= d.notBefore
 }
 
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -83,7 +83,7 @@
 	}
 	// Before the gate is raised, processes of the version before may be at work. Their writes count
 	// as well, so that a 429 says nothing of the limits.
-	if result.Response.Status == kv.StatusThrottled && c.replica.chainsEnabled() {
+	if result.Response.Status == kv.StatusThrottled && c.replica.dependenciesEnabled() {
 		c.store.noteThrottled()
 	}
 	done(result.Response)
--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -83,7 +83,7 @@
 // unusedRate is what the others have left of the permitted changes in the last seconds; 0 while that
 // is not known of each of them. One that wants more takes its own part at once.
 func (b *writeBudget) unusedRate() float64 {
-	if !b.replica.chainsEnabled() {
+	if !b.replica.dependenciesEnabled() {
 		return 0
 	}
 	used := 0.0
