--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -239,15 +239,15 @@
 // NextKVLimits are the limits that the key-value store will have from some moment on.
 func (s *Settings) NextKVLimits() KVLimits { return s.KVStore.Next.ApplyTo(s.KVStore.KVLimits) }
 
-// Lease is the workers' lease.
+// Lease is for how long a worker agent's lease lasts after a heartbeat was answered.
 func (s *Settings) Lease() units.Micros { return units.FromSeconds(s.Workers.LeaseS) }
 
-// HeartbeatPeriod is the time between two heartbeats of a worker.
+// HeartbeatPeriod is the time between two heartbeats of a worker agent.
 func (s *Settings) HeartbeatPeriod() units.Micros { return units.FromSeconds(s.Workers.HeartbeatS) }
 
 // StalenessBound is how long a controller may go on answering workers after the last
-// moment at which its copy is known to have been complete. It and one lease together
-// stay well under cancel_s, so a controller that is cut off from the state service cannot
+// moment at which its replica is proven to be complete. It and one lease together
+// stay well under cancel_s, so a controller that is cut off from the key-value store cannot
 // keep a cancelled task alive for longer than the rules allow.
 func (s *Settings) StalenessBound() units.Micros {
 	return units.FromSeconds((s.Workers.CancelS - s.Workers.LeaseS) * 0.5)
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -200,7 +200,7 @@
 	}
 }
 
-// settle answers a submission whose transaction has come to an end, or lets it wait for the next one.
+// settle answers a submission whose transaction is completed, or lets it wait for the next one.
 func (q *acceptQueue) settle(accept pendingAccept, result commitResult) {
 	switch {
 	case result.outcome == commitApplied:
--- a/internal/controller/accepts_test.go
+++ b/internal/controller/accepts_test.go
@@ -58,7 +58,7 @@
 	c.accepts.enqueue(request)
 }
 
-// TestAcceptIsDurableFirst answers a submission when its transaction has come to an end, and not before.
+// TestAcceptIsDurableFirst answers a submission when its transaction is completed, and not before.
 func TestAcceptIsDurableFirst(t *testing.T) {
 	outcomeKey := schema.OutcomePrefix + "j-000001"
 	for _, tc := range []struct {
@@ -78,7 +78,7 @@
 			c, writer := newTestAccepts()
 			submit(c, 1, "j-000001")
 			if writer.commits != 1 || len(c.effects) != 0 {
-				t.Fatalf("%d transactions, %d answers before one has come to an end", writer.commits, len(c.effects))
+				t.Fatalf("%d transactions, %d answers before one is completed", writer.commits, len(c.effects))
 			}
 			shardKey := c.replica.jobShardOf("j-000001").key
 			conditions := []kv.Condition{{Key: shardKey}, {Key: outcomeKey}}
--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -20,7 +20,7 @@
 	sequence     uint64
 	tokenSeen    uint64       // highest fencing token that a heartbeat has shown
 	heardAt      units.Micros // when it came; 0: none yet
-	heardSince   units.Micros // since when they have come without a gap
+	heardSince   units.Micros // since when they come without interruption
 	leaseEnd     units.Micros // when the agent's lease has expired for certain if it stays silent
 	tasks        map[taskKey]agent.TaskStatus
 	runningSince map[taskKey]runStart
@@ -148,7 +148,7 @@
 // responseState is what is known of the responses to an agent's heartbeats.
 type responseState struct {
 	givenAt    units.Micros // when the latest was given
-	givenSince units.Micros // since when they have been, without a gap of a lease
+	givenSince units.Micros // since when they are given, without a pause as long as a lease
 	startAt    units.Micros // when one with a start was given, and no later heartbeat has come; 0: none
 	token      uint64       // fencing token of the latest
 	lost       int          // heartbeats in a row that show that responses do not arrive
@@ -179,7 +179,7 @@
 	r.startAt = 0
 }
 
-// steady reports whether heartbeats have come, and been answered, for so long without a gap.
+// steady reports whether heartbeats have come, and been answered, for so long without interruption.
 func (r *responseState) steady(now, heartbeatPeriod, long units.Micros) bool {
 	return now-r.givenAt < silenceAfter(heartbeatPeriod) && now-r.givenSince > long
 }
--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -23,7 +23,7 @@
 	p.placeFirstTasks(order)
 	// Then what lies within its team's guarantee: it need not wait for other teams, and takes the
 	// capacity that falls free before any is taken back for it. Of either kind what is urgent goes
-	// first, itself or for a job that needs it: its user cares about the end of the DAG, and each
+	// first, itself or for a dependent: its user cares about the completion of the DAG, and each
 	// dependency that waits for its share delays all that follow.
 	p.guaranteed = p.guaranteedJobs()
 	p.placeAll(order, func(j *job) bool { return p.guaranteed[j] && j.urgent() })
@@ -293,7 +293,7 @@
 func (p *plan) weight(j *job) float64 {
 	age := max(0, p.timeOfDay-j.eligibleSince())
 	dueInSeconds := 0.0
-	if dueAt := j.dependency.DueAt(); dueAt > 0 { // also of a job that needs this one
+	if dueAt := j.dependency.DueAt(); dueAt > 0 { // also of a dependent
 		dueInSeconds = (dueAt - p.timeOfDay).Seconds()
 	}
 	weight, err := p.policy.Weight(policy.Job{
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -42,8 +42,8 @@
 //     that proves that nothing runs there any more.
 //   - A machine that is not heard is never taken for idle.
 //
-// It never places, starts or stops a task and never writes a machine's entry: it marks machines, and plans
-// act on the marks.
+// It never places, starts or stops a task and never writes a machine's entry: it decommissions and
+// drains machines by a decision that plans act on.
 type autoscaler struct {
 	*environment
 	autoscalerDependencies
@@ -157,7 +157,7 @@
 	}
 }
 
-// noteRole follows the beginning and the end of this process's time as the one that rents. It begins with
+// noteRole follows when this process becomes, and ceases to be, the one that rents. It begins with
 // what it reads itself: what it knew from an earlier time may be long out of date.
 func (a *autoscaler) noteRole(rents bool) {
 	switch {
@@ -183,7 +183,7 @@
 	a.returnIdle(waiting, starving)
 }
 
-// demandWaits reports whether so much waits that no machine should be returned. While writes to the store
+// demandWaits reports whether so much waits that no machine should be deleted. While writes to the store
 // are scarce there may be capacity that is not used yet, and a machine with much of it starts more tasks
 // with one write.
 func (a *autoscaler) demandWaits(unmet []unmetDemand) bool {
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// acceptCancelled accepts a job that needs a cancelled one: all that is stored of it is its outcome.
+// acceptCancelled accepts a job with a cancelled dependency: all that is stored of it is its outcome.
 func (c *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
 	writeTag := c.commits.newWriteTag()
 	accept := &cancelledAccept{cancellations: c, request: request, outcome: schema.Outcome{
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestOutcomeStoredBesideEntry loads a store in which a job is among the accepted ones and has an outcome
-// as well: two controllers accepted it at the moment at which what it needs was cancelled. The
+// as well: two controllers accepted it at the moment at which a dependency was cancelled. The
 // leader, whose replica does not have that outcome, must not try to write one for ever: that fails,
 // and with it all that is in the same transaction.
 func TestOutcomeStoredBesideEntry(t *testing.T) {
--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -11,25 +11,26 @@
 // deletionRetryDelay is how long after a failed deletion of decommissioned machines the next one is sent.
 const deletionRetryDelay = 300 * units.Millisecond
 
-// decommissioner marks machines to be returned to the cloud. A mark is made once, by the first reason, and is
-// never taken back; it is forgotten with what this process knows of the machine's agent. It deletes
-// nothing and releases no task: plans write the mark down, the autoscaler deletes the machines.
+// decommissioner marks machines as decommissioned, that is, to be deleted in the cloud. The first reason
+// counts, and the decision is never taken back; it is forgotten with what this process knows of the
+// machine's agent. It deletes nothing and releases no task: plans store the decision, the autoscaler
+// deletes the machines.
 type decommissioner struct {
 	*environment
 	replica *replica
 }
 
-// mark marks machines to be returned; the next write of their machine shard says so. Their tasks stay bound
-// until the cloud has confirmed that the machines are deleted.
+// mark marks machines as decommissioned; the next write of their machine shard stores it. Their tasks stay
+// bound until the cloud has confirmed that the machines are deleted.
 func (d *decommissioner) mark(reason string, machines ...*machine) {
 	for _, m := range machines {
 		d.markOne(m, reason, false)
 	}
 }
 
-// giveUp marks machines whose tasks wait to be placed anew. They are deleted without the mark being
-// written down first: nothing is placed on a machine that is not heard, and what a controller that is
-// behind still enters there is dropped with it.
+// giveUp marks machines whose tasks wait to be placed anew. They are deleted before the decision is
+// stored: nothing is placed on a machine that is not heard, and what a controller that is behind still
+// enters there is dropped with it.
 func (d *decommissioner) giveUp(reason string, machines ...*machine) {
 	for _, m := range machines {
 		d.markOne(m, reason, true)
@@ -55,8 +56,8 @@
 	return count
 }
 
-// deleteDecommissioned deletes the machines that are to be returned, in one request at a time. Their entries
-// go only when the cloud has confirmed it, which proves that nothing runs there any more.
+// deleteDecommissioned deletes the decommissioned machines, in one request at a time. Their entries go only
+// when the cloud has confirmed it, which proves that nothing runs there any more.
 func (a *autoscaler) deleteDecommissioned() {
 	if a.deletionInFlight {
 		return
--- a/internal/controller/decommission_test.go
+++ b/internal/controller/decommission_test.go
@@ -16,7 +16,7 @@
 	rig.decommission.mark("idle", mine)
 	rig.deleteDecommissioned()
 	if calls := rig.sent(CloudDelete); len(calls) != 0 {
-		t.Fatalf("deleted before the mark is stored: %+v", calls)
+		t.Fatalf("deleted before the decision is stored: %+v", calls)
 	}
 	mine.doc.Decommissioned, other.doc.Decommissioned = true, true
 	for _, status := range []cloud.Status{cloud.StatusUnknown, cloud.StatusRefused} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestGivenUpAtOnce deletes a machine that was given up without waiting for the stored mark; the first
+// TestGivenUpAtOnce deletes a machine that was given up without waiting for the stored decision; the first
 // reason stays.
 func TestGivenUpAtOnce(t *testing.T) {
 	rig := newAutoscalerRig(t)
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -29,7 +29,7 @@
 }
 
 // demandFitter fits waiting tasks into the free capacity of machines, as far as can be told from what
-// is stored. It changes nothing but its own copy of that capacity.
+// is stored. It changes nothing but its own account of that capacity.
 type demandFitter struct {
 	*demandFinder
 	anywhere bool                   // the machines of all partitions count for every job
@@ -155,7 +155,7 @@
 }
 
 // forgetOldFailures takes a job whose tasks have run on for a while for a healthy one: those that wait
-// need not wait for the end of the others.
+// need not wait for the completion of the others.
 func (j *job) forgetOldFailures(now units.Micros) {
 	if j.failures > 0 && j.active() > 0 && now-j.failedAt > failureForgetPeriod {
 		j.failures = 0
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -7,9 +7,9 @@
 )
 
 // dependencyGraph keeps the graph of jobs that need others in step with the replica. What an outcome is,
-// only the store says: a job may start when all that it needs have a stored outcome "done". Its
-// cancellation is derived from the stored outcome of any job that it needs, directly or through
-// others; so one write cancels all dependents, and no order of crashes or late submissions leaves
+// only the store says: a job may start when all its dependencies have a stored outcome "done". Its
+// cancellation is derived from the stored outcome of any of its dependencies, direct or
+// transitive; so one write cancels all dependents, and no order of crashes or late submissions leaves
 // one out. The dependents' own outcomes are written afterwards. It never writes to the store.
 type dependencyGraph struct {
 	*environment
@@ -90,7 +90,7 @@
 }
 
 // eligibleSince is from when on a job counts as waiting for capacity: its submission, or the moment when
-// the last job that it needs was done.
+// its last dependency is done.
 func (j *job) eligibleSince() units.Micros {
 	return max(units.Micros(j.spec.AcceptedAt), j.dependency.ReadyAt())
 }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// storeWithDependencies is a store in which j-000002 needs j-000001, whose outcome is as given, and
-// j-000003 needs j-000002; with a controller that has loaded nothing yet.
+// storeWithDependencies is a store in which j-000002 depends on j-000001, whose outcome is as given, and
+// j-000003 depends on j-000002; with a controller that has loaded nothing yet.
 func storeWithDependencies(outcome schema.Outcome) (*Controller, *fakeStore) {
 	cfg := &config.Config{Member: "a"}
 	settings := &cfg.Settings
@@ -81,8 +81,8 @@
 	return Reply{}, false
 }
 
-// TestStatusWaitsForNeededOutcome asks about a job before the outcome of one that it needs, through
-// another, has been read: it must not be called pending, since it is cancelled.
+// TestStatusWaitsForNeededOutcome asks about a job before the outcome of a transitive dependency
+// has been read: it must not be called pending, since it is cancelled.
 func TestStatusWaitsForNeededOutcome(t *testing.T) {
 	c, fake := storeWithDependencies(schema.Outcome{State: StageCancelled})
 	store := &slowOutcomeStore{fakeStore: fake, slowKey: schema.OutcomePrefix + "j-000001"}
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// Why a submission can't name a job as one that it needs.
+// Why a submission can't name a job as its dependency.
 var (
 	errNeedsItself  = errors.New("a job can't wait for itself")
 	errNeedsService = errors.New("a service is never done")
@@ -18,7 +18,7 @@
 // needError tells users which of the jobs that they named can't be needed, and why.
 func needError(id string, cause error) error { return fmt.Errorf("waitsOn: %s: %w", id, cause) }
 
-// dependencyResult is what became of the jobs that a submission needs.
+// dependencyResult is what became of a submission's dependencies.
 type dependencyResult struct {
 	unmet       []string // not over
 	cancelledBy string   // one that is cancelled; empty: none is
@@ -26,7 +26,7 @@
 	undecided   bool     // it can't be decided now
 }
 
-// dependencyCheck finds out what became of the jobs that a submission needs. The replica must be as
+// dependencyCheck finds out what became of a submission's dependencies. The replica must be as
 // recent as the submission: users name a job the moment another controller has accepted it. A job
 // that is not among the accepted ones then is over, and has an outcome, or was never accepted. The
 // check owns no more than its own result and never writes; what it reads stays known, so that a
@@ -40,7 +40,7 @@
 	done     func(dependencyResult)
 }
 
-// checkDependencies checks the jobs that a submission needs. done runs once.
+// checkDependencies checks the dependencies of a submission. done runs once.
 func checkDependencies(replica *replica, outcomes *outcomeReads, submission UserRequest, done func(dependencyResult)) {
 	check := &dependencyCheck{replica: replica, outcomes: outcomes, done: done}
 	for _, id := range submission.Job.Needs {
--- a/internal/controller/dependencycheck_test.go
+++ b/internal/controller/dependencycheck_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkNeeds checks what a submission of j-000009 needs, with a store that answers as given.
+// checkNeeds checks the dependencies of a submission of j-000009, with a store that answers as given.
 func checkNeeds(t *testing.T, needs []string, answer func(*fakeStore, Effect) []Message) dependencyResult {
 	t.Helper()
 	c, store := storeWithDependencies(schema.Outcome{State: StageDone})
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -1,4 +1,4 @@
-// Package controller is the single owner of a controller's state. Step takes the time and a batch of
+// Package controller holds all of a controller's state. Step takes the time and a group of
 // messages and returns the effects to carry out. It does no I/O, reads no clock and draws no random
 // numbers, so that every run can be replayed exactly; nothing walks a map in an order that a run
 // could change.
@@ -8,9 +8,9 @@
 //
 //   - environment: configuration, the clocks of the present step, its effects, timers
 //   - storeClient, storeLimits: requests to the key-value store, and the limits that it keeps to
-//   - replica, replicator: the copy of the store, and what loads it and keeps it up to date
-//   - changeDispatcher: what follows from changes to the copy for the other duties
-//   - freshness: up to which moment the copy is proven to be complete
+//   - replica, replicator: the local mirror of the store, and what loads it and keeps it up to date
+//   - changeDispatcher: what follows from changes to the replica for the other duties
+//   - freshness: up to which moment the replica is proven to be complete
 //   - membership: this process's registration, under a lease
 //   - partitionTable, leadershipManager: which partitions this process leads, and how it comes to
 //   - authority: whether it may act, start tasks, lead a partition at this moment
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -5,8 +5,8 @@
 // This file holds what makes the absence of a task from a heartbeat a proof that the task is not on the
 // machine. A release for that reason (guard.ReleaseProvenAbsent) rests on it.
 //
-// Claim: while a machine is quiesced, its latest heartbeat lists all tasks that are on it, and none
-// starts there unless this controller orders it from now on.
+// Invariant: while a machine is quiesced, its latest heartbeat lists all tasks that are on it, and none
+// starts there unless this controller commands it from now on.
 //
 // Proof: a start reaches an agent in one of three ways.
 //
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -69,10 +69,10 @@
 }
 
 // takeHeartbeat takes what a heartbeat tells. That it is answered renews the agent's lease, also when it
-// is a late copy.
+// is a late duplicate.
 func (g *agentGateway) takeHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
 	state, lease := m.agent, g.cfg.Settings.Lease()
-	if heartbeat.Newer(state.epoch, state.sequence) { // a late copy is no sign of life
+	if heartbeat.Newer(state.epoch, state.sequence) { // a late duplicate is no sign of life
 		g.noteHeard(m.name)
 		newEpoch := state.epoch > 0 && heartbeat.Epoch > state.epoch
 		state.responses.heartbeatCame(g.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -84,7 +84,7 @@
 }
 
 // terminal returns the status of a job that is known to be over, nil if none is known to be: by its own
-// outcome, or by that of a job that it needs. Neither ever changes, so no proof of freshness is needed.
+// outcome, or by that of a dependency. Neither ever changes, so no proof of freshness is needed.
 func (r *statusReader) terminal(id string) *JobStatus {
 	if outcome, ok := r.replica.outcomes.get(id); ok {
 		return outcomeStatus(id, outcome)
@@ -128,7 +128,7 @@
 }
 
 // derive tells the status from the replica, which is recent enough, or asks the store for an outcome that
-// the replica lacks. As long as the outcome of a job that this one needs is not known, it is tried
+// the replica lacks. As long as the outcome of a dependency is not known, it is tried
 // again: the job may be cancelled by it.
 func (q *statusQuery) derive() {
 	r := q.reader
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// machineList is the cloud's list of machines as last read to its end.
+// machineList is the cloud's list of machines as last read completely.
 type machineList struct {
 	machines map[string]cloud.ListedMachine
 	names    []string     // sorted; of machines, and of some that were deleted since
--- a/internal/controller/machinelist_test.go
+++ b/internal/controller/machinelist_test.go
@@ -9,7 +9,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestMachineListPages reads lists of several pages. What is known stays until a list is read to its end.
+// TestMachineListPages reads lists of several pages. What is known stays until a list is read completely.
 func TestMachineListPages(t *testing.T) {
 	page := func(truncated bool, names ...string) CloudResult {
 		result := CloudResult{Status: cloud.StatusOK, Page: cloud.MachinePage{Truncated: truncated}}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -107,7 +107,7 @@
 // place binds a task of j to a machine in this plan. The binding is taken back if the plan is not
 // stored.
 func (p *plan) place(m *stagedMachine, j *job, index int) {
-	if !j.dependency.Ready() { // whoever asks: nothing starts before what it needs is done
+	if !j.dependency.Ready() { // whoever asks: nothing starts before its dependencies are done
 		p.log.Error("refused to place blocked job", "job", j.id)
 		return
 	}
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -13,7 +13,8 @@
 // on the condition that its mod revision is the one that the replica shows, and each transaction on the
 // condition that this controller still leads the partition.
 //
-// It never talks to an agent or to the cloud, and it decides nothing that is decided in decisions.go.
+// It never talks to an agent or to the cloud, and which entries may go, tasks start or outcomes be
+// written it asks package guard and authority.
 type plan struct {
 	*planner
 	leadership *leadership
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -89,9 +89,9 @@
 	}
 	state.probe.answered()
 	if !heartbeat.Newer(p.epoch, p.sequence) && state.epoch == p.epoch && state.sequence == p.sequence {
-		// The answer to what was asked just now is no late copy: the agent has begun to count anew, so
-		// it was restarted and all that it had is gone. Its heartbeats would be passed over for ever
-		// otherwise.
+		// The answer to what was asked just now is no late duplicate: the agent has begun to count anew, so
+		// it was restarted and all that it had is gone. Otherwise its heartbeats would be passed over
+		// for ever.
 		g.log.Info("agent restarted", "machine", m.name)
 		state.forgetEpoch()
 	}
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -26,7 +26,7 @@
 // what ailed it may be over, and jobs must not wait beside it for good.
 const quarantinePeriod = 30 * units.Second
 
-// Bounds of who is at fault.
+// Thresholds by which failures are attributed to a machine, or to a job.
 const (
 	// A job fails everywhere if it has failed on so many machines, or on all that there are, but on two
 	// at least.
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -27,7 +27,7 @@
 )
 
 // register has an unregistered machine entered, if this controller leads the partition of its machine
-// shard. First the machine itself must answer: a heartbeat may be a late copy from a machine that is
+// shard. First the machine itself must answer: a heartbeat may be a late duplicate from a machine that is
 // long gone, and must not bring it back.
 func (g *agentGateway) register(request HeartbeatRequest) {
 	name := request.Heartbeat.Machine
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -13,7 +13,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// replica is this process's copy of what the key-value store holds, decoded and with the indexes that
+// replica mirrors in this process what the key-value store holds, decoded and with the indexes that
 // the duties need. It is fed by one watch and by this controller's own commits, in any order: of two
 // states of a key the later revision counts. It is exact as of watchRevision.
 //
@@ -56,7 +56,7 @@
 	format             int // of the documents, as the store says
 }
 
-// replicaObserver is told of changes that concern more than the copy.
+// replicaObserver is told of changes that concern more than the replica.
 type replicaObserver interface {
 	// partitionChanged follows a change of a partition's leader.
 	partitionChanged(partition int)
--- a/internal/controller/replica_members.go
+++ b/internal/controller/replica_members.go
@@ -14,7 +14,7 @@
 	doc      schema.Partition
 }
 
-// applyRegistration takes a controller's registration, or its end.
+// applyRegistration takes a controller's registration, or its deletion.
 func (r *replica) applyRegistration(key string, value json.RawMessage, deleted bool) {
 	if deleted {
 		delete(r.registeredSince, key)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -113,7 +113,7 @@
 	return api.CheckFeasible(submission, h.cfg.Settings.Teams, h.catalog.types)
 }
 
-// resolveDependencies finds out what became of the jobs that a submission needs. Until all members know
+// resolveDependencies finds out what became of a submission's dependencies. Until all members know
 // such jobs none is accepted: a process that does not would lose what the job waits for.
 func (h *requestHandler) resolveDependencies(request UserRequest) {
 	if len(request.Job.Needs) == 0 {
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -12,8 +12,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// requestWorld is a controller that has loaded its store, in which j-000001 is over, j-000002 needs it, and
-// j-000003 needs j-000002.
+// requestWorld is a controller that has loaded its store, in which j-000001 is over, j-000002 depends on it,
+// and j-000003 depends on j-000002.
 type requestWorld struct {
 	controller *Controller
 	store      *fakeStore
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -8,7 +8,7 @@
 )
 
 // reservationTable keeps machines of a partition free for arrays that have not begun: without it,
-// capacity for a large task never falls free in one piece while smaller ones wait, and the last in
+// capacity for a large task never falls free all together while smaller ones wait, and the last in
 // the order would wait for all others. Reservations are lost with the leadership.
 type reservationTable struct {
 	byMachine map[string]reservation
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -26,7 +26,7 @@
 	idleHeartbeatLimit = 2 // heartbeat periods without a heartbeat after which a machine may be cut off
 )
 
-// idlePeriod is how long a machine may have nothing to do before it is returned: about as long as it would
+// idlePeriod is how long a machine may have nothing to do before it is deleted: about as long as it would
 // take to get another.
 func (a *autoscaler) idlePeriod(t *cloud.MachineType) units.Micros {
 	return max(minIdlePeriod, units.FromSeconds(t.BootSeconds*a.policy.ScaleInIdleBoots))
@@ -46,7 +46,7 @@
 	return max(minDrainingTogether, len(a.replica.machines)/drainingFleetDivisor)
 }
 
-// maxIdleReturned is how many machines may be returned for being idle in one second.
+// maxIdleReturned is how many machines may be decommissioned for being idle in one second.
 func (a *autoscaler) maxIdleReturned() int {
 	return max(minIdleReturned, len(a.replica.machines)/idleFleetDivisor)
 }
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestReturnIdle lists which machines are returned for having nothing to do.
+// TestReturnIdle lists which machines are decommissioned for having nothing to do.
 func TestReturnIdle(t *testing.T) {
 	task := schema.Task{Job: "j", Index: 1}
 	for name, tc := range map[string]struct {
--- a/internal/controller/staged_shard.go
+++ b/internal/controller/staged_shard.go
@@ -104,7 +104,7 @@
 	s.newMachines = append(s.newMachines, document)
 }
 
-// noteEntriesLeaving marks the entries that a commit in flight takes off the document: they must not
+// noteEntriesLeaving notes the entries that a commit in flight removes from the document: they must not
 // be started again meanwhile.
 func (s *stagedShard) noteEntriesLeaving() {
 	s.forgetEntriesLeaving()
@@ -126,7 +126,7 @@
 	}
 }
 
-// forgetEntriesLeaving takes the marks off when the commit has been answered.
+// forgetEntriesLeaving forgets them when the commit has been answered.
 func (s *stagedShard) forgetEntriesLeaving() {
 	if !s.ownShard {
 		return
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -132,8 +132,8 @@
 	case machine.LeaseExpired:
 		return ReleaseLeaseExpired
 	case machine.Reported && machine.Ended && machine.TokenSeen:
-		// Only a heartbeat under the present token tells of an end that lasts: an older one may be
-		// a late copy, from before the attempt was started again in a later agent epoch.
+		// Only a heartbeat under the present token tells of a completion that lasts: an older one may
+		// be a late duplicate, from before the attempt was started again in a later agent epoch.
 		return ReleaseReportedEnd
 	case machine.Reported:
 		return KeepEntry
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -23,7 +23,7 @@
 // Policy is what a script may set, checked.
 type Policy struct {
 	RefreshInterval    units.Micros // how often shares start from the waiting order anew
-	SpareCapacityShare float64      // free room kept, as a part of what is used
+	SpareCapacityShare float64      // free capacity kept, as a part of what is used
 	ScaleInIdleBoots   float64      // an idle rented machine is kept so many boot times
 	UseSpot            bool         // whether spot machines are rented
 	MaxLaunchBatch     int          // machines in one rental request
