--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -100,7 +100,7 @@
 
 // The smallest settings with which a controller can work.
 const (
-	minTxnOps  = 3   // a job's end, its place among the accepted ones and its progress change together
+	minTxnOps  = 3   // a job's outcome, its entry in a job shard and its progress change together
 	minValueKB = 1.0 // one job, and one machine with its tasks, must fit
 	minSockets = 50
 )
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,7 +6,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// dependencyGraph keeps the graph of jobs that need others in step with the replica. What an outcome is,
+// dependencyGraph keeps the graph of jobs with dependencies in step with the replica. What an outcome is,
 // only the store says: a job may start when all its dependencies have a stored outcome "done". Its
 // cancellation is derived from the stored outcome of any of its dependencies, direct or
 // transitive; so one write cancels all dependents, and no order of crashes or late submissions leaves
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -102,10 +102,10 @@
 }
 
 const (
-	// dependencyWait is how long an answer may wait for the outcomes of jobs that the one in question
-	// needs, which are read after a start.
+	// dependencyWait is how long an answer may wait for the outcomes of the job's dependencies, which a
+	// controller that has just started reads one after the other.
 	dependencyWait = units.Second
-	// dependencyRetry is how often it is looked whether they have been read.
+	// dependencyRetry is the interval at which the answer is tried again meanwhile.
 	dependencyRetry = 50 * units.Millisecond
 )
 
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -110,10 +110,10 @@
 	}
 }
 
-// queueAheadPeriod is how long before its expected end a task's capacity may be given to the next one.
+// queueAheadPeriod is how long before its expected completion a task's capacity may be given to the next one.
 const queueAheadPeriod = 6 * units.Second
 
-// expectedEnd is when an array task that runs on the machine comes so close to its end, by what has
+// expectedEnd is when an array task that runs on the machine comes so close to completion, by what has
 // been observed of its job, that its capacity may be given to the next one.
 func (m *machine) expectedEnd(j *job, task schema.Task) units.Micros {
 	run, runs := m.agent.runningSince[keyOf(task)]
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -13,8 +13,8 @@
 // on the condition that its mod revision is the one that the replica shows, and each transaction on the
 // condition that this controller still leads the partition.
 //
-// It never talks to an agent or to the cloud, and which entries may go, tasks start or outcomes be
-// written it asks package guard and authority.
+// It never talks to an agent or to the cloud. What may be started, released or forgotten is
+// decided by package guard and by authority, not here.
 type plan struct {
 	*planner
 	leadership *leadership
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -46,7 +46,7 @@
 // Registration.
 const (
 	FormatInitial      = 0 // jobs without dependencies, shards that are never split
-	FormatDependencies = 1 // jobs may need other jobs, shards may be split
+	FormatDependencies = 1 // jobs may depend on other jobs, shards may be split
 )
 
 // Layout says over how many documents machines and jobs are sharded. The first controller
--- a/internal/schema/machine_shard.go
+++ b/internal/schema/machine_shard.go
@@ -25,7 +25,7 @@
 	MachineKind     `json:"-"`
 	KindIndex       int    `json:"k"`           // among the shard's Kinds; means something only in the stored form
 	TokenIncrements uint64 `json:"h,omitempty"` // how often the fencing token was raised for this machine alone
-	Decommissioned  bool   `json:"r,omitempty"` // to be given back to the cloud: no task is placed on it
+	Decommissioned  bool   `json:"r,omitempty"` // to be deleted in the cloud: no task is placed on it
 	Tasks           Tasks  `json:"t,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 }
 
 // FirstMachine names the first machine that frostdock rented. Names are in order of creation, so
-// all earlier machines are the operator's own, which are never given back.
+// all earlier machines are the operator's own, which are never deleted.
 type FirstMachine struct {
 	Name     string `json:"n"`
 	WriteTag string `json:"w,omitempty"` // of the transaction that wrote it
--- a/internal/schema/outcome.go
+++ b/internal/schema/outcome.go
@@ -5,6 +5,6 @@
 	State       string `json:"s"` // "done" or "cancelled", as users are told
 	TasksDone   int    `json:"n"`
 	RecordedAt  int64  `json:"t,omitempty"` // time of day at which it was written, microseconds; 0: not known
-	CancelledBy string `json:"b,omitempty"` // the needed job whose cancellation cancelled this one
+	CancelledBy string `json:"b,omitempty"` // the dependency whose cancellation cancelled this job
 	WriteTag    string `json:"w,omitempty"` // of the transaction that wrote it
 }
