--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -70,7 +70,7 @@
 	return lease/maxDrift + units.Second
 }
 
-// startDraining keeps new tasks away, so that the machine can be given back when it is empty.
+// startDraining keeps new tasks away, so that the machine can be deleted when it is empty.
 func (s *agentState) startDraining() { s.draining = true }
 
 // stopDraining lets the machine have tasks again.
@@ -115,7 +115,7 @@
 	tenths int
 }
 
-// reclaimNotice is the cloud's announcement that it takes a spot machine back.
+// reclaimNotice is the cloud's announcement that it reclaims a spot machine.
 type reclaimNotice struct {
 	announced bool
 	endsAt    units.Micros // when it is taken
@@ -187,13 +187,13 @@
 // silenceAfter is how long after a heartbeat an agent counts as heard.
 func silenceAfter(heartbeatPeriod units.Micros) units.Micros { return 2*heartbeatPeriod + units.Second }
 
-// decommissionDecision is the decision to give a machine back. It is never taken back.
+// decommissionDecision is the decision to delete a machine in the cloud. It is never revoked.
 type decommissionDecision struct {
 	reason string // empty: there is none
 	atOnce bool   // the machine is deleted before that is written down
 }
 
-// decideDecommission decides to give the machine back, and reports whether that is new.
+// decideDecommission decides to delete the machine, and reports whether that is new.
 func (s *agentState) decideDecommission(reason string, atOnce bool) bool {
 	if s.decommission.decided() {
 		return false
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -28,10 +28,10 @@
 )
 
 // autoscaler fits the number of machines to the demand. It owns the cloud's machine list as last read,
-// the rental requests under way, and the choice of machines to drain and to return.
+// the rental requests under way, and the choice of machines to drain and to delete.
 //
 // Who does what: only the leader of partition 0 rents, for all partitions, and deletes machines that were
-// rented and never registered. Each leader drains and returns the machines of its own partitions.
+// rented and never registered. Each leader drains and deletes the machines of its own partitions.
 //
 // Promises:
 //   - A rental's name is never used for another rental, and a rental without a clear answer is repeated
@@ -170,7 +170,7 @@
 	}
 }
 
-// scaleIn drains and returns machines that are not needed.
+// scaleIn drains and deletes machines that are not needed.
 func (a *autoscaler) scaleIn(unmet []unmetDemand) {
 	waiting := a.demandWaits(unmet)
 	if waiting || a.noDemandSince == 0 {
--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -12,7 +12,7 @@
 const deletionRetryDelay = 300 * units.Millisecond
 
 // decommissioner marks machines as decommissioned, that is, to be deleted in the cloud. The first reason
-// counts, and the decision is never taken back; it is forgotten with what this process knows of the
+// counts, and the decision is never revoked; it is forgotten with what this process knows of the
 // machine's agent. It deletes nothing and releases no task: plans store the decision, the autoscaler
 // deletes the machines.
 type decommissioner struct {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -36,7 +36,7 @@
 	g.propagateOutcome(id, dag.Outcome{State: dag.Cancelled})
 }
 
-// propagateOutcome passes an outcome on to the jobs that need the one that is over.
+// propagateOutcome passes an outcome on to the dependents of the job that is over.
 func (g *dependencyGraph) propagateOutcome(id string, outcome dag.Outcome) {
 	cancelled, ready := g.replica.dependencies.RecordOutcome(id, outcome)
 	if j := g.replica.jobs[id]; j != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// noteDerivedCancellations notes that jobs are cancelled because of one that they need.
+// noteDerivedCancellations notes that jobs are cancelled because of a dependency.
 func (g *dependencyGraph) noteDerivedCancellations(ids []string) {
 	for _, id := range ids {
 		if j := g.replica.jobs[id]; j != nil && j.accepted {
@@ -95,7 +95,7 @@
 	return max(units.Micros(j.spec.AcceptedAt), j.dependency.ReadyAt())
 }
 
-// priority is the job's priority: the highest of its own and those of all jobs that need it.
+// priority is the job's priority: the highest of its own and those of all its dependents.
 func (j *job) priority() int {
 	if j.dependency == nil {
 		return j.spec.Priority
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -15,7 +15,7 @@
 	errNeedsUnknown = errors.New("no such job was accepted")
 )
 
-// needError tells users which of the jobs that they named can't be needed, and why.
+// needError tells users which of the jobs that they named can't be a dependency, and why.
 func needError(id string, cause error) error { return fmt.Errorf("waitsOn: %s: %w", id, cause) }
 
 // dependencyResult is what became of a submission's dependencies.
@@ -49,7 +49,7 @@
 	check.readNext()
 }
 
-// lookUp notes what the replica tells of a needed job.
+// lookUp notes what the replica tells of a dependency.
 func (d *dependencyCheck) lookUp(id, submittedID string) {
 	j := d.replica.jobs[id]
 	outcome, over := d.replica.outcomes.get(id)
@@ -69,7 +69,7 @@
 	}
 }
 
-// noteOutcome notes the outcome of a needed job. One that is done is a need that is met.
+// noteOutcome notes the outcome of a dependency. One that is done need not be waited for.
 func (d *dependencyCheck) noteOutcome(id string, outcome schema.Outcome) {
 	if dagOutcome(outcome).State == dag.Cancelled {
 		d.result.cancelledBy = id
@@ -90,7 +90,7 @@
 	}
 }
 
-// noteRead notes what the store says of a needed job's outcome.
+// noteRead notes what the store says of a dependency's outcome.
 func (d *dependencyCheck) noteRead(id string, read outcomeResult) {
 	switch read.lookup {
 	case lookupFound:
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -23,9 +23,9 @@
 	maxGaps            *int      // gaps that its stored progress may have; nil: the usual number
 
 	bindings        map[int]binding // by task number: where it may be
-	activeCount     int             // of bound, those not known to be done; -1 when that must be counted
-	unstoredCount   int             // of bound, those whose completion is not stored; counted with activeCount
-	recordedInEntry map[int]bool    // of bound, those whose completion stands in their machine's entry
+	activeCount     int             // of bindings, those not known to be done; -1 when that must be counted
+	unstoredCount   int             // of bindings, those whose completion is not stored; counted with activeCount
+	recordedInEntry map[int]bool    // of bindings, those whose completion stands in their machine's entry
 
 	// What only this controller knows, lost with it.
 	unstoredCompletions map[int]bool   // known to be done, not yet stored
@@ -84,7 +84,7 @@
 	}
 }
 
-// completionStored reports whether the end of a task is stored, so that nobody starts it again.
+// completionStored reports whether the completion of a task is stored, so that nobody starts it again.
 func (j *job) completionStored(n int) bool { return j.done.Contains(n) || j.recordedInEntry[n] }
 
 // removeBinding notes that a task is free.
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -21,7 +21,7 @@
 	Running int    `json:"running"`
 
 	WaitsOn     []string `json:"waitsOn,omitempty"`       // jobs that must be done before it starts
-	CancelledBy string   `json:"cancelledWith,omitempty"` // the needed job whose cancellation cancelled it
+	CancelledBy string   `json:"cancelledWith,omitempty"` // the dependency whose cancellation cancelled it
 }
 
 // terminal reports whether the status is one that never changes.
@@ -103,7 +103,7 @@
 
 const (
 	// dependencyWait is how long an answer may wait for the outcomes of the job's dependencies, which a
-	// controller that has just started reads one after the other.
+	// controller that has just started has yet to read.
 	dependencyWait = units.Second
 	// dependencyRetry is the interval at which the answer is tried again meanwhile.
 	dependencyRetry = 50 * units.Millisecond
@@ -113,7 +113,7 @@
 type statusQuery struct {
 	reader   *statusReader
 	jobID    string
-	deadline units.Micros // by when the outcomes of the needed jobs must be known
+	deadline units.Micros // by when the outcomes of the dependencies must be known
 	done     func(statusResult)
 }
 
--- a/internal/controller/outcomereads.go
+++ b/internal/controller/outcomereads.go
@@ -27,7 +27,7 @@
 }
 
 const (
-	// maxOutcomeReads is how many outcomes are read at once for jobs that need them.
+	// maxOutcomeReads is how many outcomes are read at once for the dependents of their jobs.
 	maxOutcomeReads = 4
 	// outcomeReadPart is the part of the permitted requests that such reads may take.
 	outcomeReadPart = 0.2
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -85,7 +85,7 @@
 	if m.shard.ownShard {
 		score += scoreOwn
 	}
-	// What lasts goes on machines that stay, so that rented ones fall idle and can be given back;
+	// What lasts goes on machines that stay, so that rented ones fall idle and can be deleted;
 	// what ends soon leaves the others free.
 	rented := p.replica.rented(m.machine.name)
 	switch {
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// stageDecommissions writes down which machines are to be given back.
+// stageDecommissions writes down which machines are decommissioned.
 func (p *plan) stageDecommissions() {
 	for _, shard := range p.shards {
 		for _, m := range shard.machines {
@@ -65,7 +65,7 @@
 	}
 }
 
-// awaitsDecommission reports whether the machine is to be given back and its entry must say so first.
+// awaitsDecommission reports whether the machine is decommissioned and its entry must say so first.
 func (m *machine) awaitsDecommission() bool {
 	return !m.deleted && m.agent != nil && m.agent.decommission.decided() && !m.agent.decommission.atOnce && !m.doc.Decommissioned
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -32,7 +32,7 @@
 	silenceSuspectedAt units.Micros // when most machines, or those of a zone, were last silent
 }
 
-// machineReturns gives machines back to the cloud.
+// machineReturns decommissions machines.
 type machineReturns interface {
 	giveUp(reason string, machines ...*machine)
 }
@@ -162,7 +162,7 @@
 	return f.now-lastAnswered > f.cfg.Settings.Lease()+2*f.cfg.Settings.HeartbeatPeriod()
 }
 
-// giveUpReclaimed gives up machines whose announced end has come and that do not answer any more, and
+// giveUpReclaimed gives up machines whose announced reclaim time has come and that do not answer any more, and
 // probes the others.
 func (f *fleetMonitor) giveUpReclaimed() {
 	var reclaimed []*machine
@@ -177,7 +177,7 @@
 	f.returns.giveUp("reclaimed", reclaimed...)
 }
 
-// expiredNotices lists the machines whose announced end has come.
+// expiredNotices lists the machines whose announced reclaim time has come.
 func (f *fleetMonitor) expiredNotices() []*machine {
 	var expired []*machine
 	for _, m := range f.replica.sortedMachines() {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -130,7 +130,7 @@
 	return a.now-m.agent.since > steadyBeforeDrain && m.agent.responses.steady(a.now, a.cfg.Settings.HeartbeatPeriod(), steadyBeforeDrain)
 }
 
-// returnIdle returns machines that have nothing to do, the dearest first.
+// returnIdle decommissions machines that have nothing to do, the dearest first.
 func (a *autoscaler) returnIdle(waiting bool, starving []*job) {
 	var idle []*machine
 	for _, m := range a.replica.sortedMachines() {
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -119,7 +119,7 @@
 	return false
 }
 
-// moveServices takes services off machines that are to be given back, where another machine has their
+// moveServices takes services off machines that are to be deleted, where another machine has their
 // image and capacity, so that they are away for a moment only. Those that have just started stay for
 // now. Of one service only one task moves at a time: two that move together may not fit one zone.
 func (p *plan) moveServices() {
--- a/internal/controller/staged_machine.go
+++ b/internal/controller/staged_machine.go
@@ -71,7 +71,7 @@
 	m.memoryGB += m.endingSoon.memoryGB
 }
 
-// markDecommissioned has the entry say that the machine is to be given back; it takes no more tasks.
+// markDecommissioned has the entry say that the machine is decommissioned; it takes no more tasks.
 func (m *stagedMachine) markDecommissioned() { m.decommission, m.usable = true, false }
 
 // markRefenced raises the machine's fencing token, so that no earlier command can take effect.
