--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -30,7 +30,7 @@
 	return c, store
 }
 
-// TestNeededOutcomeIsRead has a controller that has just loaded read the outcomes of needed jobs by
+// TestNeededOutcomeIsRead has a controller that has just loaded read the outcomes of dependencies by
 // itself: its replica does not have them, and a job that waits for one would wait for good.
 func TestNeededOutcomeIsRead(t *testing.T) {
 	c, store := storeWithDependencies(schema.Outcome{State: StageDone, TasksDone: 1, RecordedAt: 77})
--- a/internal/controller/dependencycheck_test.go
+++ b/internal/controller/dependencycheck_test.go
@@ -9,7 +9,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestDependencyCheck checks what submissions of j-000009 need, in a store that has the outcomes of
+// TestDependencyCheck checks the dependencies of submissions of j-000009, in a store that has the outcomes of
 // j-000001 (done) and j-000002 (cancelled), while j-000003 is accepted, and the service j-000004.
 func TestDependencyCheck(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/controller/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestBorrowedAverage guards against an average over jobs of all kinds, under which new
-// jobs of short tasks waited behind jobs of long ones.
+// jobs of short tasks would wait behind jobs of long ones.
 func TestBorrowedAverage(t *testing.T) {
 	c := quietController(&config.Config{Member: "a", Settings: config.Settings{Size: 1, Teams: []config.Team{{Name: "red"}}}})
 	c.now = units.Second
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestFailover takes over an orphaned partition at once if this process has the least to do, else
-// when the one that has has let it lie.
+// when the one that has leaves it alone.
 func TestFailover(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ownLoad, otherLoad int
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestLoadBesideChanges loads a copy in pages that are read far apart, as through a
+// TestLoadBesideChanges loads a replica in pages that are read far apart, as through a
 // cut that holds messages back: a document of the last page is newer than changes of
 // others that the watch shows after it. The task must stay where it is.
 func TestLoadBesideChanges(t *testing.T) {
@@ -41,7 +41,7 @@
 }
 
 // TestManyGaps has a job with more gaps among its done tasks than may be stored go on
-// by filling them: it once waited for good.
+// by filling them: otherwise it would wait for ever.
 func TestManyGaps(t *testing.T) {
 	j := &job{id: "j-1", accepted: true, bindings: map[int]binding{}, activeCount: -1}
 	j.spec.Tasks = 1000
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestRequestsOfCancelledDependents asks for jobs that are cancelled because of one that they need.
+// TestRequestsOfCancelledDependents asks for jobs that are cancelled because of a dependency.
 func TestRequestsOfCancelledDependents(t *testing.T) {
 	const dependent = `{"uid":"j-000009","stage":"cancelled","done":0,"running":0,"cancelledWith":"j-000001"}`
 	w := newRequestWorld(t, schema.Outcome{State: StageCancelled})
