--- a/internal/controller/fakestore_test.go
+++ b/internal/controller/fakestore_test.go
@@ -15,7 +15,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeStore answers what a core asks, at once and without a fault, and counts it.
+// fakeStore answers a controller's requests, at once and without errors, and counts them.
 type fakeStore struct {
 	keys    map[string]kv.KeyValue
 	rev     uint64
@@ -31,7 +31,7 @@
 	changes       int
 }
 
-// tooLarge notes a transaction that the state service would not take.
+// tooLarge notes a transaction that the key-value store would not take.
 func (o *fakeStore) tooLarge(txn *kv.Txn) {
 	if o.mostOps == 0 {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// pageBytes is how much one answer of the state service may hold.
+// pageBytes is how much one answer of the key-value store may hold.
 const pageBytes = 512 << 10
 
 func (o *fakeStore) put(key string, doc any) {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -17,8 +17,8 @@
 
 // TestFleetWork starts a controller on a fleet half as large again as the largest
 // that is known, and bounds what that costs in counted work: bytes of documents,
-// requests until it commands, questions to workers, and how much of what it knows is
-// looked at again after one report.
+// requests until it commands, probes of agents, and how much of what it knows is
+// looked at again after one heartbeat.
 func TestFleetWork(t *testing.T) {
 	for _, tc := range []struct {
 		valueKB               float64
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -10,7 +10,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestMoved shows a split to a copy in every order in which its documents may come: the
+// TestMoved shows a split to a replica in every order in which its documents may come: the
 // machines, what is known of them and the jobs stay, in one document each.
 func TestMoved(t *testing.T) {
 	for _, parentFirst := range []bool{true, false} {
@@ -85,10 +85,10 @@
 	return append(shard.split(3), c.jobShardSplits.split(c.replica.jobShards[5], 2, "mark")...)
 }
 
-// TestMovedTwice shows a copy two splits of one job shard at once, in every order in which an
-// answer of the state service may tell of their documents. A job that went from the first
-// document to a piece, and from there to a piece of that, was taken for one that is over when
-// the last two came before the first: its absence was read as its end.
+// TestMovedTwice shows a replica two splits of one job shard at once, in every order in which an
+// answer of the key-value store may tell of their documents. A job that goes from the first
+// document to a part, and from there to a part of that, must not be taken for one that is over when
+// the last two come before the first: its absence is no proof of an outcome.
 func TestMovedTwice(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
