--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -126,8 +126,8 @@
 	capacity := 0
 	types := p.catalog.types
 	for i := range types {
-		if t := &types[i]; machinesByType[t.Name] > 0 && api.TaskFits(&j.spec, t) {
-			capacity += machinesByType[t.Name] * int(t.CPUs/j.spec.CPUs)
+		if machineType := &types[i]; machinesByType[machineType.Name] > 0 && api.TaskFits(&j.spec, machineType) {
+			capacity += machinesByType[machineType.Name] * int(machineType.CPUs/j.spec.CPUs)
 		}
 	}
 	return capacity
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -42,8 +42,8 @@
 // leads reports whether this process leads a partition, may act, and has a replica that shows all that
 // the former leader wrote.
 func (a *authority) leads(partition int) bool {
-	l := a.partitions.led[partition]
-	return l != nil && a.replica.watchRevision >= l.revision && a.mayAct()
+	led := a.partitions.led[partition]
+	return led != nil && a.replica.watchRevision >= led.revision && a.mayAct()
 }
 
 // leadsAny reports whether this process leads a partition, also while it may not act.
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -103,7 +103,7 @@
 // scalingCapacity is what the autoscaler asks about the free capacity of machines.
 type scalingCapacity interface {
 	freeCapacity(m *machine, t *cloud.MachineType) *resources
-	hasRoomForAny(m *machine, free *resources, jobs []*job) bool
+	hasCapacityForAny(m *machine, free *resources, jobs []*job) bool
 }
 
 // fleetView is what the autoscaler asks about the health of machines.
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -63,7 +63,7 @@
 	return free
 }
 
-// hasRoomForAny reports whether one of the jobs could have a task on the machine now.
-func (c *machineCapacity) hasRoomForAny(m *machine, free *resources, jobs []*job) bool {
+// hasCapacityForAny reports whether one of the jobs could have a task on the machine now.
+func (c *machineCapacity) hasCapacityForAny(m *machine, free *resources, jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return free.canFit(&j.spec) && placementAllowed(j, m) })
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -71,11 +71,11 @@
 
 // addMachine lists a machine that takes tasks, with what is free of it.
 func (f *demandFitter) addMachine(m *machine) {
-	t := f.catalog.machineType(m.doc.Type)
-	if t == nil || m.part() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
+	machineType := f.catalog.machineType(m.doc.Type)
+	if machineType == nil || m.part() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
 		return
 	}
-	free := &freeMachine{m, resources{t.CPUs, t.GPUs, t.MemGB}}
+	free := &freeMachine{m, resources{machineType.CPUs, machineType.GPUs, machineType.MemGB}}
 	for _, task := range m.doc.Tasks {
 		if j := f.replica.unstoredJobOf(task); j != nil {
 			free.reserve(&j.spec, 1)
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -10,13 +10,13 @@
 
 // Why a submission can't name a job as its dependency.
 var (
-	errNeedsItself  = errors.New("a job can't wait for itself")
-	errNeedsService = errors.New("a service is never done")
-	errNeedsUnknown = errors.New("no such job was accepted")
+	errDependsOnItself   = errors.New("a job can't wait for itself")
+	errDependsOnService  = errors.New("a service is never done")
+	errUnknownDependency = errors.New("no such job was accepted")
 )
 
-// needError tells users which of the jobs that they named can't be a dependency, and why.
-func needError(id string, cause error) error { return fmt.Errorf("waitsOn: %s: %w", id, cause) }
+// dependencyError tells users which of the jobs that they named can't be a dependency, and why.
+func dependencyError(id string, cause error) error { return fmt.Errorf("waitsOn: %s: %w", id, cause) }
 
 // dependencyResult is what became of a submission's dependencies.
 type dependencyResult struct {
@@ -55,13 +55,13 @@
 	outcome, over := d.replica.outcomes.get(id)
 	switch {
 	case id == submittedID:
-		d.result.rejection = needError(id, errNeedsItself)
+		d.result.rejection = dependencyError(id, errDependsOnItself)
 	case over:
 		d.noteOutcome(id, outcome)
 	case j == nil || !j.accepted:
 		d.unread = append(d.unread, id)
 	case j.spec.Service:
-		d.result.rejection = needError(id, errNeedsService)
+		d.result.rejection = dependencyError(id, errDependsOnService)
 	case j.cancelled():
 		d.result.cancelledBy = id
 	default:
@@ -96,7 +96,7 @@
 	case lookupFound:
 		d.noteOutcome(id, read.outcome)
 	case lookupNone:
-		d.result.rejection = needError(id, errNeedsUnknown)
+		d.result.rejection = dependencyError(id, errUnknownDependency)
 	case lookupUndecided:
 		d.result.undecided = true
 	}
--- a/internal/controller/dependencycheck_test.go
+++ b/internal/controller/dependencycheck_test.go
@@ -23,16 +23,16 @@
 		{name: "done", needs: []string{"j-000001"}},
 		{name: "open", needs: []string{"j-000001", "j-000003"}, unmet: []string{"j-000003"}},
 		{name: "cancelled", needs: []string{"j-000002", "j-000003"}, unmet: []string{"j-000003"}, cancelledBy: "j-000002"},
-		{name: "itself", needs: []string{"j-000009"}, cause: errNeedsItself, text: "waitsOn: j-000009: a job can't wait for itself"},
-		{name: "service", needs: []string{"j-000004"}, cause: errNeedsService, text: "waitsOn: j-000004: a service is never done"},
-		{name: "unknown", needs: []string{"j-000005"}, cause: errNeedsUnknown, text: "waitsOn: j-000005: no such job was accepted"},
+		{name: "itself", needs: []string{"j-000009"}, cause: errDependsOnItself, text: "waitsOn: j-000009: a job can't wait for itself"},
+		{name: "service", needs: []string{"j-000004"}, cause: errDependsOnService, text: "waitsOn: j-000004: a service is never done"},
+		{name: "unknown", needs: []string{"j-000005"}, cause: errUnknownDependency, text: "waitsOn: j-000005: no such job was accepted"},
 		{
 			name: "unknown after many", needs: []string{"j-000001", "j-000001", "j-000001", "j-000001", "j-000005"},
-			cause: errNeedsUnknown, text: "waitsOn: j-000005: no such job was accepted",
+			cause: errUnknownDependency, text: "waitsOn: j-000005: no such job was accepted",
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			result := checkNeeds(t, tc.needs, (*fakeStore).answer)
+			result := checkDependenciesOf(t, tc.needs, (*fakeStore).answer)
 			if !slices.Equal(result.unmet, tc.unmet) || result.cancelledBy != tc.cancelledBy || result.undecided {
 				t.Errorf("found %+v", result)
 			}
@@ -55,13 +55,13 @@
 		}
 		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusUnavailable}}}
 	}
-	if result := checkNeeds(t, []string{"j-000001"}, unavailable); !result.undecided || result.rejection != nil {
+	if result := checkDependenciesOf(t, []string{"j-000001"}, unavailable); !result.undecided || result.rejection != nil {
 		t.Errorf("found %+v", result)
 	}
 }
 
-// checkNeeds checks the dependencies of a submission of j-000009, with a store that answers as given.
-func checkNeeds(t *testing.T, needs []string, answer func(*fakeStore, Effect) []Message) dependencyResult {
+// checkDependenciesOf checks the dependencies of a submission of j-000009, with a store that answers as given.
+func checkDependenciesOf(t *testing.T, needs []string, answer func(*fakeStore, Effect) []Message) dependencyResult {
 	t.Helper()
 	c, store := storeWithDependencies(schema.Outcome{State: StageDone})
 	store.put(schema.OutcomePrefix+"j-000002", schema.Outcome{State: StageCancelled})
--- a/internal/controller/fakestore_test.go
+++ b/internal/controller/fakestore_test.go
@@ -17,12 +17,12 @@
 
 // fakeStore answers a controller's requests, at once and without errors, and counts them.
 type fakeStore struct {
-	keys    map[string]kv.KeyValue
-	rev     uint64
-	waits   []StoreCall // open watches
-	seq     uint64
-	asked   map[kv.RequestKind]int
-	workers int
+	keys       map[string]kv.KeyValue
+	rev        uint64
+	waits      []StoreCall // open watches
+	seq        uint64
+	asked      map[kv.RequestKind]int
+	agentCalls int
 
 	guarded bool // conditions of transactions are checked
 
@@ -46,12 +46,12 @@
 	}
 }
 
-// failedGuards lists the conditions of a transaction that do not hold.
-func (o *fakeStore) failedGuards(txn *kv.Txn) []string {
+// failedConditions lists the conditions of a transaction that do not hold.
+func (o *fakeStore) failedConditions(txn *kv.Txn) []string {
 	var failed []string
-	for _, g := range txn.Conditions {
-		if o.guarded && o.keys[g.Key].ModRevision != g.ModRevision {
-			failed = append(failed, g.Key)
+	for _, condition := range txn.Conditions {
+		if o.guarded && o.keys[condition.Key].ModRevision != condition.ModRevision {
+			failed = append(failed, condition.Key)
 		}
 	}
 	return failed
@@ -151,7 +151,7 @@
 func (o *fakeStore) transact(call StoreCall) []Message {
 	txn := call.Request.Txn
 	o.tooLarge(txn)
-	if failed := o.failedGuards(txn); len(failed) > 0 {
+	if failed := o.failedConditions(txn); len(failed) > 0 {
 		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.rev, FailedKeys: failed}}}
 	}
 	o.changes += len(txn.Operations)
@@ -184,7 +184,7 @@
 
 // answerAgent has an agent without tasks answer, and obey commands.
 func (o *fakeStore) answerAgent(call AgentCall) AgentResult {
-	o.workers++
+	o.agentCalls++
 	o.seq++
 	r := &agent.Heartbeat{Machine: call.Address, Addr: call.Address, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq}
 	if call.Commands != nil {
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -34,7 +34,7 @@
 	if p == nil {
 		return 0
 	}
-	return (m.shard.handover+m.doc.TokenIncrements)<<termBits | p.doc.Term
+	return (m.shard.handovers+m.doc.TokenIncrements)<<termBits | p.doc.Term
 }
 
 // quiesced reports whether no command can still start a task on a machine: see above.
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -102,8 +102,8 @@
 	for range 80 {
 		f.step()
 	}
-	if f.store.workers < f.machines || f.store.workers > f.machines*5/2 {
-		f.Errorf("%d calls of agents for %d machines", f.store.workers, f.machines)
+	if f.store.agentCalls < f.machines || f.store.agentCalls > f.machines*5/2 {
+		f.Errorf("%d calls of agents for %d machines", f.store.agentCalls, f.machines)
 	}
 }
 
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -13,9 +13,9 @@
 	// failureGrace is how long a failing store may have been silent while readers still wait for it.
 	failureGrace = 500 * units.Millisecond
 
-	maxRevisionReads     = 2 // under way at once
-	minRevisionReadGap   = 10 * units.Millisecond
-	revisionReadRequests = 0.4 // the part of the permitted requests that revision reads may take
+	maxRevisionReads        = 2 // under way at once
+	minRevisionReadInterval = 10 * units.Millisecond
+	revisionReadRequests    = 0.4 // the part of the permitted requests that revision reads may take
 )
 
 // freshness knows up to which moment the replica is proven to be complete.
@@ -70,7 +70,7 @@
 
 // readRevision asks for the store's revision for all that wait, if the request rate permits it now.
 func (f *freshness) readRevision() {
-	tooSoon := f.now-f.readAt < max(minRevisionReadGap, f.store.requestInterval(revisionReadRequests))
+	tooSoon := f.now-f.readAt < max(minRevisionReadInterval, f.store.requestInterval(revisionReadRequests))
 	if len(f.awaitingRead) == 0 || f.readsInFlight >= maxRevisionReads || tooSoon {
 		return
 	}
@@ -109,19 +109,19 @@
 		return
 	}
 	var due, rest []revisionWaiter
-	for _, w := range f.awaitingRevision {
-		if w.revision <= f.replica.watchRevision {
-			due = append(due, w)
+	for _, waiter := range f.awaitingRevision {
+		if waiter.revision <= f.replica.watchRevision {
+			due = append(due, waiter)
 		} else {
-			rest = append(rest, w)
+			rest = append(rest, waiter)
 		}
 	}
 	f.awaitingRevision = rest
-	for _, w := range due {
-		f.provenAt = max(f.provenAt, w.sentAt)
+	for _, waiter := range due {
+		f.provenAt = max(f.provenAt, waiter.sentAt)
 	}
-	for _, w := range due {
-		w.then(true)
+	for _, waiter := range due {
+		waiter.then(true)
 	}
 }
 
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -155,8 +155,8 @@
 // never came up, or is up and silent. The list lags, so it is looked at twice.
 func (a *autoscaler) strayOverdue(listed cloud.ListedMachine) bool {
 	boot := float64(unknownBootSeconds)
-	if t := a.catalog.machineType(listed.Type); t != nil {
-		boot = t.BootSeconds
+	if machineType := a.catalog.machineType(listed.Type); machineType != nil {
+		boot = machineType.BootSeconds
 	}
 	failed := listed.State == cloud.Failed
 	if !failed && (listed.AgeSeconds <= strayBootFactor*boot+strayMarginSeconds || a.heardRecently(listed.Name)) {
--- a/internal/controller/offers.go
+++ b/internal/controller/offers.go
@@ -35,9 +35,9 @@
 		imageGB: averageImageGB(unmet, spotJobs), bestCost: math.Inf(1),
 	}
 	for i := range a.catalog.types {
-		t := &a.catalog.types[i]
-		for _, zone := range t.Zones {
-			search.considerZone(t, zone)
+		machineType := &a.catalog.types[i]
+		for _, zone := range machineType.Zones {
+			search.considerZone(machineType, zone)
 		}
 	}
 	return search.best
@@ -45,21 +45,21 @@
 
 // considerZone considers the offers of a machine type in a zone. A zone that may be partitioned gets no
 // machines.
-func (s *offerSearch) considerZone(t *cloud.MachineType, zone string) {
-	if s.autoscaler.fleet.suspects(zone) || !s.autoscaler.demandFits(s.unmet, t, zone, s.spotJobs) {
+func (s *offerSearch) considerZone(machineType *cloud.MachineType, zone string) {
+	if s.autoscaler.fleet.suspects(zone) || !s.autoscaler.demandFits(s.unmet, machineType, zone, s.spotJobs) {
 		return
 	}
-	s.consider(t, offer{t.Name, zone, false})
+	s.consider(machineType, offer{machineType.Name, zone, false})
 	if s.spotJobs {
-		s.consider(t, offer{t.Name, zone, true})
+		s.consider(machineType, offer{machineType.Name, zone, true})
 	}
 }
 
-func (s *offerSearch) consider(t *cloud.MachineType, candidate offer) {
+func (s *offerSearch) consider(machineType *cloud.MachineType, candidate offer) {
 	if !s.autoscaler.rentals.available(candidate) {
 		return
 	}
-	cost := t.HourlyRate(candidate.spot) / t.CPUs * startupOverhead(t, s.imageGB)
+	cost := machineType.HourlyRate(candidate.spot) / machineType.CPUs * startupOverhead(machineType, s.imageGB)
 	if candidate.spot {
 		cost *= spotRiskFactor
 	}
@@ -69,10 +69,10 @@
 }
 
 // demandFits reports whether a waiting job may use a machine of the type in the zone.
-func (a *autoscaler) demandFits(unmet []unmetDemand, t *cloud.MachineType, zone string, spotJobs bool) bool {
+func (a *autoscaler) demandFits(unmet []unmetDemand, machineType *cloud.MachineType, zone string, spotJobs bool) bool {
 	return slices.ContainsFunc(unmet, func(demand unmetDemand) bool {
 		spec := &demand.job.spec
-		return a.mayUseSpot(demand.job) == spotJobs && api.TaskFits(spec, t) &&
+		return a.mayUseSpot(demand.job) == spotJobs && api.TaskFits(spec, machineType) &&
 			(spec.Zone == "" || spec.Zone == zone) &&
 			(!spec.Spread && !spec.OneZone || zoneAllowed(demand.job, zone))
 	})
@@ -80,12 +80,12 @@
 
 // startupOverhead is how much dearer a machine is than its price says, because it is paid for while it
 // boots and fetches its first images.
-func startupOverhead(t *cloud.MachineType, imageGB float64) float64 {
+func startupOverhead(machineType *cloud.MachineType, imageGB float64) float64 {
 	fetchSeconds := 0.0
-	if t.FetchGBPerSecond > 0 {
-		fetchSeconds = imagesAfterBoot * imageGB / t.FetchGBPerSecond
+	if machineType.FetchGBPerSecond > 0 {
+		fetchSeconds = imagesAfterBoot * imageGB / machineType.FetchGBPerSecond
 	}
-	return 1 + (t.BootSeconds+fetchSeconds)/rentalHorizonSeconds
+	return 1 + (machineType.BootSeconds+fetchSeconds)/rentalHorizonSeconds
 }
 
 // averageImageGB is the size of the images of the tasks that wait, on average.
--- a/internal/controller/plan_registrations.go
+++ b/internal/controller/plan_registrations.go
@@ -52,8 +52,8 @@
 		MachineKind: schema.MachineKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot},
 	}
 	// A machine that had an entry before may have seen higher tokens.
-	if seen := registration.token >> termBits; seen >= shard.shard.handover {
-		document.TokenIncrements = seen - shard.shard.handover + 1
+	if seen := registration.token >> termBits; seen >= shard.shard.handovers {
+		document.TokenIncrements = seen - shard.shard.handovers + 1
 	}
 	shard.addMachine(document)
 	p.writeShard(shard)
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -18,13 +18,13 @@
 // it is deleted.
 type fleetMonitor struct {
 	*environment
-	replica    *replica
-	authority  *authority
-	agents     *agentGateway
-	peers      *peerTable
-	quarantine *quarantineMonitor
-	returns    machineReturns
-	unheard    *unheardPartitions
+	replica        *replica
+	authority      *authority
+	agents         *agentGateway
+	peers          *peerTable
+	quarantine     *quarantineMonitor
+	decommissioner machineDecommissioner
+	unheard        *unheardPartitions
 
 	suspectZones       map[string]zoneSuspicion // that may be cut off
 	zoneLogPeriods     map[string]*period
@@ -32,8 +32,8 @@
 	silenceSuspectedAt units.Micros // when most machines, or those of a zone, were last silent
 }
 
-// machineReturns decommissions machines.
-type machineReturns interface {
+// machineDecommissioner decommissions machines.
+type machineDecommissioner interface {
 	giveUp(reason string, machines ...*machine)
 }
 
@@ -174,7 +174,7 @@
 			f.probe(m)
 		}
 	}
-	f.returns.giveUp("reclaimed", reclaimed...)
+	f.decommissioner.giveUp("reclaimed", reclaimed...)
 }
 
 // expiredNotices lists the machines whose announced reclaim time has come.
@@ -197,13 +197,13 @@
 			gone = append(gone, m)
 		}
 	}
-	f.returns.giveUp("silent", gone...)
-	f.returns.giveUp("unreachable outbound", health.unreachableOutbound...)
+	f.decommissioner.giveUp("silent", gone...)
+	f.decommissioner.giveUp("unreachable outbound", health.unreachableOutbound...)
 	mostReport := health.reporting*2 >= health.total
 	for _, m := range health.unreachableInbound {
 		answers := f.now-m.agent.heardAt < f.cfg.Settings.HeartbeatPeriod()*hearingTenths/10
 		if mostReport && answers && !f.heardByOthers(m.name, true) {
-			f.returns.giveUp("unreachable inbound", m)
+			f.decommissioner.giveUp("unreachable inbound", m)
 		}
 	}
 }
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -145,8 +145,8 @@
 }
 
 func (r *rentals) overdue(granted *rental, catalog *catalog) bool {
-	t := catalog.machineType(granted.request.Type)
-	return t != nil && r.now-granted.grantedAt > units.FromSeconds(t.BootSeconds*rentalBootFactor+rentalMarginSeconds)
+	machineType := catalog.machineType(granted.request.Type)
+	return machineType != nil && r.now-granted.grantedAt > units.FromSeconds(machineType.BootSeconds*rentalBootFactor+rentalMarginSeconds)
 }
 
 // pending reports whether a machine has been granted and has not registered.
--- a/internal/controller/replica_jobs.go
+++ b/internal/controller/replica_jobs.go
@@ -55,7 +55,7 @@
 	}
 	r.jobsByAge = nil
 	previous := s.jobIDs
-	s.jobIDs, s.size, s.spread = make([]string, 0, len(doc.Jobs)), len(value), doc.ShardCount
+	s.jobIDs, s.size, s.splitCount = make([]string, 0, len(doc.Jobs)), len(value), doc.ShardCount
 	r.growJobShards(min(doc.ShardCount, maxShards))
 	r.jobShardCounts = withShardCount(r.jobShardCounts, doc.ShardCount)
 	listed := make(map[string]bool, len(doc.Jobs))
@@ -99,10 +99,10 @@
 // jobMovedToSplit reports whether a job that a job shard lists no more went with a part that was
 // split off. That part is shown next, if it has not been shown yet.
 func (r *replica) jobMovedToSplit(from *jobShard, id string) bool {
-	if r.jobs[id] == nil || from.spread == 0 || schema.JobShardIndex(id, from.spread) == from.number {
+	if r.jobs[id] == nil || from.splitCount == 0 || schema.JobShardIndex(id, from.splitCount) == from.number {
 		return false
 	}
-	to := r.jobShards[schema.JobShardIndex(id, from.spread)]
+	to := r.jobShards[schema.JobShardIndex(id, from.splitCount)]
 	if slices.Contains(to.jobIDs, id) {
 		return true
 	}
--- a/internal/controller/replica_machines.go
+++ b/internal/controller/replica_machines.go
@@ -19,7 +19,7 @@
 	if s.partition != doc.Partition {
 		s.movedAt = r.env.now
 	}
-	s.revision, s.size, s.partition, s.handover, s.spread = revision, len(value), doc.Partition, doc.Handovers, doc.ShardCount
+	s.revision, s.size, s.partition, s.handovers, s.splitCount = revision, len(value), doc.Partition, doc.Handovers, doc.ShardCount
 	r.growMachineShards(min(doc.ShardCount, maxShards))
 	r.machineShardCounts = withShardCount(r.machineShardCounts, doc.ShardCount)
 	s.machines = make([]*machine, 0, len(doc.Machines))
@@ -60,15 +60,15 @@
 // that was split off and is shown next. What is known of the machine stays.
 func (r *replica) machineMovedToSplit(m *machine) bool {
 	from := m.shard
-	if from.spread == 0 || schema.MachineShardIndex(m.name, from.spread) == from.number {
+	if from.splitCount == 0 || schema.MachineShardIndex(m.name, from.splitCount) == from.number {
 		return false
 	}
-	to := r.machineShards[schema.MachineShardIndex(m.name, from.spread)]
+	to := r.machineShards[schema.MachineShardIndex(m.name, from.splitCount)]
 	if to.revision >= from.revision {
 		return false
 	}
 	if to.revision == 0 {
-		to.partition, to.handover = from.partition, from.handover
+		to.partition, to.handovers = from.partition, from.handovers
 	}
 	to.machines = append(to.machines, m)
 	m.shard = to
--- a/internal/controller/replica_shards.go
+++ b/internal/controller/replica_shards.go
@@ -12,25 +12,25 @@
 
 // machineShard is a document of machines; its revision is 0 while there is none.
 type machineShard struct {
-	number    int
-	key       string
-	spread    int // into how many machine shards it was split, this being one; 0: it never was
-	revision  uint64
-	size      int // of the stored value
-	partition int
-	handover  uint64
-	machines  []*machine   // in the order of their names
-	movedAt   units.Micros // when it was last seen to change partitions
-	changedAt units.Micros // when it was last seen to change at all
+	number     int
+	key        string
+	splitCount int // into how many machine shards it was split, this being one; 0: it never was
+	revision   uint64
+	size       int // of the stored value
+	partition  int
+	handovers  uint64
+	machines   []*machine   // in the order of their names
+	movedAt    units.Micros // when it was last seen to change partitions
+	changedAt  units.Micros // when it was last seen to change at all
 }
 
 // jobShard is a document of accepted jobs.
 type jobShard struct {
-	number int
-	key    string
-	spread int // into how many job shards it was split, this being one; 0: it never was
-	size   int // of the stored value
-	jobIDs []string
+	number     int
+	key        string
+	splitCount int // into how many job shards it was split, this being one; 0: it never was
+	size       int // of the stored value
+	jobIDs     []string
 }
 
 // applyLayout takes the store's layout, once, and its format, which may be raised.
@@ -78,12 +78,12 @@
 }
 
 func (r *replica) machineShardOf(machine string) *machineShard {
-	shardCount := func(n int) int { return r.machineShards[n].spread }
+	shardCount := func(n int) int { return r.machineShards[n].splitCount }
 	return r.machineShards[schema.FindShard(machine, r.layout.MachineShards, r.machineShardCounts, shardCount)]
 }
 
 func (r *replica) jobShardOf(job string) *jobShard {
-	shardCount := func(n int) int { return r.jobShards[n].spread }
+	shardCount := func(n int) int { return r.jobShards[n].splitCount }
 	return r.jobShards[schema.FindShard(job, r.layout.JobShards, r.jobShardCounts, shardCount)]
 }
 
@@ -99,7 +99,7 @@
 
 // jobShardDocument is a job shard as it stands, without the given jobs.
 func (r *replica) jobShardDocument(shard *jobShard, without map[string]bool) *schema.JobShard {
-	document := &schema.JobShard{ShardCount: shard.spread}
+	document := &schema.JobShard{ShardCount: shard.splitCount}
 	for _, id := range shard.jobIDs {
 		if !without[id] {
 			document.Jobs = append(document.Jobs, r.jobs[id].spec)
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -15,26 +15,26 @@
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 4
 	c := quietController(cfg)
-	group := func(stamp uint64, machine string, tasks ...schema.Task) {
+	showMachineShard := func(revision uint64, machine string, tasks ...schema.Task) {
 		t.Helper()
 		doc := schema.MachineShard{Machines: []schema.Machine{{Name: machine, Addr: "x", Tasks: tasks}}}
 		raw, err := json.Marshal(doc)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.replica.apply(c.replica.machineShardOf(machine).key, raw, stamp, false)
+		c.replica.apply(c.replica.machineShardOf(machine).key, raw, revision, false)
 	}
 	first := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 5}
 	second := schema.Task{Job: "j-000001", Index: 3, Attempt: 1<<28 | 9}
-	group(100, "n-000010")
-	group(140, "n-000060", second) // read late
-	group(110, "n-000010", first)  // the watch catches up
-	group(120, "n-000010")
+	showMachineShard(100, "n-000010")
+	showMachineShard(140, "n-000060", second) // read late
+	showMachineShard(110, "n-000010", first)  // the watch catches up
+	showMachineShard(120, "n-000010")
 	b, ok := c.replica.jobs["j-000001"].bindings[3]
 	if !ok || b.machine.name != "n-000060" || b.attempt != second.Attempt {
 		t.Fatalf("bound: %v, to %+v", ok, b)
 	}
-	group(150, "n-000060")
+	showMachineShard(150, "n-000060")
 	if j := c.replica.jobs["j-000001"]; j != nil && len(j.bindings) > 0 {
 		t.Errorf("still bound: %+v", j.bindings)
 	}
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -105,6 +105,6 @@
 
 // reservableFor reports whether the machine, once empty, can take a task of the job.
 func (p *plan) reservableFor(j *job, m *stagedMachine) bool {
-	t := p.catalog.machineType(m.machine.doc.Type)
-	return m.shard.ownShard && m.usable && t != nil && api.TaskFits(&j.spec, t) && placementAllowed(j, m.machine)
+	machineType := p.catalog.machineType(m.machine.doc.Type)
+	return m.shard.ownShard && m.usable && machineType != nil && api.TaskFits(&j.spec, machineType) && placementAllowed(j, m.machine)
 }
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -136,18 +136,18 @@
 // split gives the machine shard's document in so many parts.
 func (s *stagedShard) split(parts int) []splitDocument {
 	whole := s.document()
-	spread := max(s.shard.spread, s.planner.replica.layout.MachineShards)
+	splitCount := max(s.shard.splitCount, s.planner.replica.layout.MachineShards)
 	shards := make([]schema.MachineShard, parts)
 	for i := range shards {
-		shards[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: spread * parts, WriteTag: whole.WriteTag}
+		shards[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: splitCount * parts, WriteTag: whole.WriteTag}
 	}
 	for _, machine := range whole.Machines {
-		part := &shards[(schema.MachineShardIndex(machine.Name, spread*parts)-s.shard.number)/spread]
+		part := &shards[(schema.MachineShardIndex(machine.Name, splitCount*parts)-s.shard.number)/splitCount]
 		part.Machines = append(part.Machines, machine)
 	}
 	documents := make([]splitDocument, parts)
 	for i := range shards {
-		documents[i] = splitDocument{schema.MachineShardKey(s.shard.number + i*spread), encode(shards[i])}
+		documents[i] = splitDocument{schema.MachineShardKey(s.shard.number + i*splitCount), encode(shards[i])}
 	}
 	return documents
 }
@@ -219,18 +219,18 @@
 
 // split gives the job shard's document in so many parts.
 func (d *jobShardSplitter) split(shard *jobShard, parts int, writeTag string) []splitDocument {
-	spread := max(shard.spread, d.replica.layout.JobShards)
+	splitCount := max(shard.splitCount, d.replica.layout.JobShards)
 	shards := make([]schema.JobShard, parts)
 	for i := range shards {
-		shards[i] = schema.JobShard{ShardCount: spread * parts, WriteTag: writeTag}
+		shards[i] = schema.JobShard{ShardCount: splitCount * parts, WriteTag: writeTag}
 	}
 	for _, job := range d.replica.jobShardDocument(shard, nil).Jobs {
-		part := &shards[(schema.JobShardIndex(job.ID, spread*parts)-shard.number)/spread]
+		part := &shards[(schema.JobShardIndex(job.ID, splitCount*parts)-shard.number)/splitCount]
 		part.Jobs = append(part.Jobs, job)
 	}
 	documents := make([]splitDocument, parts)
 	for i := range shards {
-		documents[i] = splitDocument{schema.JobShardKey(shard.number + i*spread), encode(shards[i])}
+		documents[i] = splitDocument{schema.JobShardKey(shard.number + i*splitCount), encode(shards[i])}
 	}
 	return documents
 }
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -28,8 +28,8 @@
 			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bindings))
 		}
 		for name, m := range c.replica.machines {
-			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.spread != 3*shards {
-				t.Errorf("%s is in machine shard %d of %d, or made anew", name, m.shard.number, m.shard.spread)
+			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.splitCount != 3*shards {
+				t.Errorf("%s is in machine shard %d of %d, or made anew", name, m.shard.number, m.shard.splitCount)
 			}
 		}
 		if total := machinesInShards(c); total != 6 {
@@ -100,16 +100,16 @@
 			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
 			c.replica.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
 			docs := []struct {
-				key   string
-				doc   schema.JobShard
-				stamp uint64
+				key      string
+				doc      schema.JobShard
+				revision uint64
 			}{
 				{schema.JobShardKey(5), schema.JobShard{ShardCount: 2 * of, Jobs: []schema.Job{stays}}, 20},
 				{schema.JobShardKey(5 + of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{moves}}, 30},
 				{schema.JobShardKey(5 + 3*of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
 			}
 			for _, i := range order {
-				c.replica.apply(docs[i].key, encode(docs[i].doc), docs[i].stamp, false)
+				c.replica.apply(docs[i].key, encode(docs[i].doc), docs[i].revision, false)
 			}
 			for _, want := range []schema.Job{stays, moves, movesTwice} {
 				if j := c.replica.jobs[want.ID]; j == nil || !j.accepted || j.dependency == nil {
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -28,8 +28,8 @@
 
 // idlePeriod is how long a machine may have nothing to do before it is deleted: about as long as it would
 // take to get another.
-func (a *autoscaler) idlePeriod(t *cloud.MachineType) units.Micros {
-	return max(minIdlePeriod, units.FromSeconds(t.BootSeconds*a.policy.ScaleInIdleBoots))
+func (a *autoscaler) idlePeriod(machineType *cloud.MachineType) units.Micros {
+	return max(minIdlePeriod, units.FromSeconds(machineType.BootSeconds*a.policy.ScaleInIdleBoots))
 }
 
 // longestIdlePeriod is that of the type that takes longest to boot.
@@ -75,8 +75,8 @@
 func (a *autoscaler) drainUnderused(waiting bool, starving []*job) {
 	survey := &drainSurvey{autoscaler: a, waiting: waiting, starving: starving}
 	for _, m := range a.replica.sortedMachines() {
-		if t := a.catalog.machineType(m.doc.Type); t != nil && m.part() >= 0 {
-			survey.add(m, t)
+		if machineType := a.catalog.machineType(m.doc.Type); machineType != nil && m.part() >= 0 {
+			survey.add(m, machineType)
 		}
 	}
 	if waiting {
@@ -96,18 +96,18 @@
 }
 
 // add takes one machine into the survey. It ends the draining of a machine that is wanted again.
-func (s *drainSurvey) add(m *machine, t *cloud.MachineType) {
+func (s *drainSurvey) add(m *machine, machineType *cloud.MachineType) {
 	a := s.autoscaler
-	capacity := a.capacity.freeCapacity(m, t)
-	used := t.CPUs - capacity.cpus
+	capacity := a.capacity.freeCapacity(m, machineType)
+	used := machineType.CPUs - capacity.cpus
 	s.usedCPUs += used
 	if m.agent == nil {
 		if _, open := a.acceptance.foreignMachineOpen(m); open {
-			s.freeCPUs += t.CPUs - used
+			s.freeCPUs += machineType.CPUs - used
 		}
 		return
 	}
-	wanted := a.capacity.hasRoomForAny(m, capacity, s.starving)
+	wanted := a.capacity.hasCapacityForAny(m, capacity, s.starving)
 	if s.waiting || wanted {
 		m.agent.stopDraining()
 	}
@@ -118,9 +118,9 @@
 	if !a.acceptance.acceptsTasks(m) {
 		return
 	}
-	s.freeCPUs += t.CPUs - used
-	if used/t.CPUs < maxDrainableUse && !wanted && a.reachedSteadily(m) {
-		s.candidates = append(s.candidates, drainCandidate{m, t, used, t.HourlyRate(m.doc.Spot) * (1 - used/t.CPUs)})
+	s.freeCPUs += machineType.CPUs - used
+	if used/machineType.CPUs < maxDrainableUse && !wanted && a.reachedSteadily(m) {
+		s.candidates = append(s.candidates, drainCandidate{m, machineType, used, machineType.HourlyRate(m.doc.Spot) * (1 - used/machineType.CPUs)})
 	}
 }
 
@@ -134,15 +134,15 @@
 func (a *autoscaler) returnIdle(waiting bool, starving []*job) {
 	var idle []*machine
 	for _, m := range a.replica.sortedMachines() {
-		t := a.catalog.machineType(m.doc.Type)
-		if t == nil || m.agent == nil {
+		machineType := a.catalog.machineType(m.doc.Type)
+		if machineType == nil || m.agent == nil {
 			continue
 		}
-		if waiting || !a.isIdle(m, t, starving) {
+		if waiting || !a.isIdle(m, machineType, starving) {
 			m.agent.noteUsed(a.now)
 			continue
 		}
-		idleLongEnough := a.now-m.agent.idleSince >= a.idlePeriod(t) || m.agent.draining
+		idleLongEnough := a.now-m.agent.idleSince >= a.idlePeriod(machineType) || m.agent.draining
 		if idleLongEnough && !m.agent.command.inFlight() && !m.agent.decommission.decided() {
 			idle = append(idle, m)
 		}
@@ -154,12 +154,12 @@
 
 // isIdle reports whether a machine has nothing to do, and nothing to wait for. One that is not heard may be
 // cut off, and is not idle for sure.
-func (a *autoscaler) isIdle(m *machine, t *cloud.MachineType, starving []*job) bool {
+func (a *autoscaler) isIdle(m *machine, machineType *cloud.MachineType, starving []*job) bool {
 	if slices.ContainsFunc(m.doc.Tasks, func(task schema.Task) bool { return a.replica.unstoredJobOf(task) != nil }) {
 		return false
 	}
 	if a.now-m.agent.heardAt > idleHeartbeatLimit*a.cfg.Settings.HeartbeatPeriod() {
 		return false
 	}
-	return len(starving) == 0 || !a.capacity.hasRoomForAny(m, a.capacity.freeCapacity(m, t), starving)
+	return len(starving) == 0 || !a.capacity.hasCapacityForAny(m, a.capacity.freeCapacity(m, machineType), starving)
 }
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -60,11 +60,11 @@
 // fetchTooSlow reports whether fetching the image on a machine would take longer than the class may
 // wait for its start.
 func (p *plan) fetchTooSlow(j *job, m *machine) bool {
-	t := p.catalog.machineType(m.doc.Type)
+	machineType := p.catalog.machineType(m.doc.Type)
 	// The rate may be a third lower, and a third is left for what comes before and after the fetch.
 	for _, objective := range p.cfg.Settings.Objectives {
-		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && t != nil && t.FetchGBPerSecond > 0 {
-			return j.spec.ImageGB/t.FetchGBPerSecond > objective.WithinS/2
+		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && machineType != nil && machineType.FetchGBPerSecond > 0 {
+			return j.spec.ImageGB/machineType.FetchGBPerSecond > objective.WithinS/2
 		}
 	}
 	return false
--- a/internal/controller/shard_transfers.go
+++ b/internal/controller/shard_transfers.go
@@ -36,8 +36,8 @@
 			transferred++
 			p.transferShard(shard, to)
 			for _, m := range shard.machines {
-				if t := p.catalog.machineType(m.machine.doc.Type); t != nil {
-					lacking -= t.CPUs
+				if machineType := p.catalog.machineType(m.machine.doc.Type); machineType != nil {
+					lacking -= machineType.CPUs
 				}
 			}
 		}
--- a/internal/controller/staged_shard.go
+++ b/internal/controller/staged_shard.go
@@ -37,7 +37,7 @@
 // document is the machine shard as it is to be stored.
 func (s *stagedShard) document() *schema.MachineShard {
 	document := &schema.MachineShard{
-		Partition: s.shard.partition, Handovers: s.shard.handover, ShardCount: s.shard.spread, WriteTag: s.writeTag,
+		Partition: s.shard.partition, Handovers: s.shard.handovers, ShardCount: s.shard.splitCount, WriteTag: s.writeTag,
 		Machines: slices.Clone(s.newMachines),
 	}
 	if s.transferTo >= 0 {
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -31,8 +31,8 @@
 func (p *plan) stageMachine(shard *stagedShard, machine *machine) *stagedMachine {
 	m := &stagedMachine{machine: machine, shard: shard}
 	shard.machines = append(shard.machines, m)
-	t := p.catalog.machineType(machine.doc.Type)
-	if machine.doc.Decommissioned || t == nil || shard.ownShard && machine.agent == nil {
+	machineType := p.catalog.machineType(machine.doc.Type)
+	if machine.doc.Decommissioned || machineType == nil || shard.ownShard && machine.agent == nil {
 		m.keepAll()
 		return m
 	}
@@ -48,7 +48,7 @@
 		m.keepAll()
 		return m
 	}
-	m.occupy(resources{t.CPUs, t.GPUs, t.MemGB}, p.currentOccupancy(machine, shard.ownShard))
+	m.occupy(resources{machineType.CPUs, machineType.GPUs, machineType.MemGB}, p.currentOccupancy(machine, shard.ownShard))
 	return m
 }
 
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -72,7 +72,7 @@
 	env := c.environment
 	c.fleet = &fleetMonitor{
 		environment: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
-		quarantine: c.quarantine, returns: c.decommission,
+		quarantine: c.quarantine, decommissioner: c.decommission,
 		unheard: &unheardPartitions{
 			environment: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
 			leaderships: c.leaderships, peers: c.peers,
