--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -111,7 +111,7 @@
 		}
 		m.replica.apply(key, value, r.Revision, false)
 		m.registered = true
-		m.log.Info("registered", "inc", m.incarnation)
+		m.log.Info("registered", "incarnation", m.incarnation)
 		m.renew()
 	})
 }
