--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -95,3 +95,15 @@
 		}
 	})
 }
+
+// TestIDInOtherCase sends a second id whose name differs in case only: the JSON decoder takes it for the
+// same field. It must neither take the place of the checked id nor end the process.
+func TestIDInOtherCase(t *testing.T) {
+	for _, second := range []string{`null`, `"x/y"`} {
+		body := strings.Replace(validSubmission, `"later":1`, `"UID":`+second, 1)
+		job, id, err := Parse([]byte(body))
+		if err == nil && job.ID != id {
+			t.Errorf("UID %s: job %q is accepted as %q", second, job.ID, id)
+		}
+	}
+}
