--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -2,18 +2,18 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// maxStartProofAge is how old the proof of freshness may be for a start. Agents' leases may be renewed
-// on an older one, so that a short outage costs no task; but a start can wait, and what is cancelled
-// meanwhile must not be started any more.
+// maxStartProofAge is the maximum age of the proof of freshness for starting a task. Agents' leases may
+// be renewed on an older one, so that a short store outage costs no task; but a start can wait, and a
+// task that is cancelled meanwhile must not be started any more.
 const maxStartProofAge = 3 * units.Second
 
-// authority decides whether this process may act on what its replica says. All that acts asks it; there
-// is no second path.
+// authority decides whether this process may act on the contents of its replica. Every component that
+// acts must ask it; there is no second path.
 //
-// Nothing acts without a recent proof of freshness: within the staleness bound of the settings, the
-// replica must be proven to have been complete, leadership and cancellations included. That the
-// registration was renewed proves nothing: after an outage every lease has its full time again, and
-// a leader that went by its renewals alone would start tasks whose cancellation it has not seen.
+// Acting requires a recent proof of freshness: within the staleness bound of the settings, the replica
+// must be proven to have been complete, leadership and cancellations included. A renewed registration
+// proves nothing: after an outage every lease is granted its full time again, and a leader that relied
+// on its renewals alone would start tasks whose cancellation it has not seen.
 type authority struct {
 	*environment
 
@@ -22,15 +22,15 @@
 	freshness  *freshness
 	partitions *partitionTable
 
-	since units.Micros // since when this process may act; 0: it may not
+	since units.Micros // when this process gained the right to act; 0: it may not act
 }
 
-// mayAct reports whether this process may answer an agent, command one, and plan.
+// mayAct reports whether this process may answer agents, command them, and plan.
 func (a *authority) mayAct() bool {
 	return a.membership.registered && a.replica.complete() && a.proofYoungerThan(a.cfg.Settings.StalenessBound())
 }
 
-// mayStartTasks reports whether the replica is recent enough for starts as well.
+// mayStartTasks reports whether this process may act and its replica is recent enough to start tasks.
 func (a *authority) mayStartTasks() bool {
 	return a.mayAct() && a.proofYoungerThan(maxStartProofAge)
 }
@@ -39,9 +39,9 @@
 	return a.freshness.provenAt > 0 && a.now-a.freshness.provenAt < age
 }
 
-// commandsEnd is until when commands that are decided now may leave: as long as the proof that they rest on
-// is recent enough, and so as long as they could be decided on it. One that leaves later may start what
-// was cancelled in view of all others.
+// commandsEnd returns the time before which commands decided now must be sent: when the proof of
+// freshness they are based on becomes too old to decide them. One that is sent later might start a task
+// whose cancellation all other controllers have seen.
 func (a *authority) commandsEnd(withStart bool) units.Micros {
 	if withStart {
 		return a.freshness.provenAt + maxStartProofAge
@@ -49,19 +49,19 @@
 	return a.freshness.provenAt + a.cfg.Settings.StalenessBound()
 }
 
-// leads reports whether this process leads a partition, may act, and has a replica that shows all that
-// the former leader wrote.
+// leads reports whether this process leads a partition, may act, and has a replica that shows everything
+// that the former leader wrote.
 func (a *authority) leads(partition int) bool {
 	led := a.partitions.led[partition]
 	return led != nil && a.replica.watchRevision >= led.revision && a.mayAct()
 }
 
-// leadsAny reports whether this process leads a partition, also while it may not act.
+// leadsAny reports whether this process leads any partition, even while it may not act.
 func (a *authority) leadsAny() bool { return len(a.partitions.led) > 0 }
 
 func (a *authority) currentIncarnation() string { return a.membership.incarnation }
 
-// noteChanges notes since when this process may act, and tells when that changes.
+// noteChanges records when this process gains or loses the right to act, and logs each change.
 func (a *authority) noteChanges() {
 	switch may := a.mayAct(); {
 	case may && a.since == 0:
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -9,7 +9,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// leaderOfOne is a controller that leads partition 0 and may do all that a controller may.
+// leaderOfOne returns a controller that leads partition 0 and has full authority to act and start tasks.
 func leaderOfOne() *Controller {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
@@ -25,7 +25,7 @@
 	return c
 }
 
-// TestAuthority takes one thing at a time from a leader that may act.
+// TestAuthority removes one precondition at a time from a leader that may act, and checks its permissions.
 func TestAuthority(t *testing.T) {
 	for name, tc := range map[string]struct {
 		take                      func(c *Controller)
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestProof proves freshness as of when the read was sent, and only once the watch has come so far.
+// TestProof checks that freshness is proven as of the time the revision read was sent, and only once the
+// watch has reached the revision.
 func TestProof(t *testing.T) {
 	c := leaderOfOne()
 	c.freshness.provenAt = 0
@@ -76,7 +77,7 @@
 	})
 	store.answer(kv.Response{Status: kv.StatusNotFound, Revision: 12})
 	if c.freshness.provenAt != 0 || released != 0 {
-		t.Errorf("proven at %d before the watch has come to the revision", c.freshness.provenAt)
+		t.Errorf("proven at %d before the watch has reached the revision", c.freshness.provenAt)
 	}
 	c.replica.advance(12)
 	c.freshness.releaseWaiters()
@@ -86,8 +87,8 @@
 	}
 }
 
-// TestLeaseExpired gives up all leadership when the store does not know the lease any more, and
-// keeps it while the store does not answer.
+// TestLeaseExpired checks that all leadership is given up once the store no longer knows the lease, and
+// kept while the store is unavailable.
 func TestLeaseExpired(t *testing.T) {
 	c := leaderOfOne()
 	store := &scriptedStore{t: t, c: c}
@@ -95,7 +96,7 @@
 	c.membership.renew()
 	store.answer(kv.Response{Status: kv.StatusUnavailable})
 	if len(c.partitions.led) != 1 || c.membership.incarnation != incarnation {
-		t.Error("leadership given up though the lease may live")
+		t.Error("leadership given up though the lease may not have expired")
 	}
 	store.answer(kv.Response{Status: kv.StatusNotFound, Revision: 12})
 	if len(c.partitions.led) != 0 || c.membership.incarnation == incarnation || c.membership.registered {
@@ -103,7 +104,8 @@
 	}
 }
 
-// TestRegistrationUnclear takes a new incarnation when it is not known whether one was registered.
+// TestRegistrationUnclear checks that the process takes a new incarnation when it is unknown whether one
+// was registered.
 func TestRegistrationUnclear(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -7,45 +7,47 @@
 )
 
 const (
-	proofPeriod      = units.Second            // a revision is read so often though nobody waits for it
-	proofRetryPeriod = 300 * units.Millisecond // the same while the store fails
+	proofPeriod      = units.Second            // time between revision reads when no caller waits for one
+	proofRetryPeriod = 300 * units.Millisecond // the same, while the store fails
 
-	// failureGrace is how long a failing store may have been silent while readers still wait for it.
+	// failureGrace is how long a failing store may go without an answer before new callers are told
+	// at once that the replica can't be proven current.
 	failureGrace = 500 * units.Millisecond
 
-	maxRevisionReads        = 2 // under way at once
+	maxRevisionReads        = 2 // in flight at the same time
 	minRevisionReadInterval = 10 * units.Millisecond
-	revisionReadRequests    = 0.4 // the part of the permitted requests that revision reads may take
+	revisionReadRequests    = 0.4 // share of the permitted requests that revision reads may use
 )
 
-// freshness knows up to which moment the replica is proven to be complete.
+// freshness tracks the time up to which the replica is proven to be complete.
 //
-// The proof: the store's revision is read, and the replica reaches it by its watch. The replica was
-// then complete when the read was sent. Neither the time of the answer nor a renewed lease proves
-// anything: an answer may be late, and after an outage every lease has its full time again.
+// The proof: the store's revision is read, and the replica reaches that revision by its watch. It then
+// includes every change made before the read was sent. Neither the time of the answer nor a renewed
+// lease proves anything: an answer may be late, and after an outage every lease is granted its full time
+// again.
 type freshness struct {
 	*environment
 
 	store   *storeClient
 	replica *replica
 
-	provenAt         units.Micros // the replica is proven to have been complete then; 0: never
-	awaitingRead     []func(current bool)
-	awaitingRevision []revisionWaiter
-	readAt           units.Micros // when the store's revision was last asked for
+	provenAt         units.Micros         // time up to which the replica is proven to be complete; 0: never proven
+	awaitingRead     []func(current bool) // callbacks that wait for the next read
+	awaitingRevision []revisionWaiter     // callbacks that wait for the watch to reach a revision
+	readAt           units.Micros         // when the last read of the store's revision was sent
 	readsInFlight    int
 }
 
-// revisionWaiter is something to do once the replica has reached a revision that was read from the
-// store after it was asked for.
+// revisionWaiter is a callback to run once the replica has reached a revision; the revision was read
+// from the store after the callback was registered.
 type revisionWaiter struct {
 	revision uint64
 	sentAt   units.Micros // when the read that gave the revision was sent
 	then     func(current bool)
 }
 
-// keepProofRecent asks for the revision now and then though nobody waits for it, since the right to
-// act rests on a recent proof.
+// keepProofRecent requests a read of the revision from time to time even if no caller waits for one,
+// since the right to act depends on a recent proof.
 func (f *freshness) keepProofRecent() {
 	again := proofPeriod
 	if f.store.failing {
@@ -56,9 +58,9 @@
 	}
 }
 
-// whenCurrent calls then when the replica is proven to be as fresh as the store was at some moment
-// after this call, so that an answer is never older than any answer given before; or with false when
-// that can't be shown. One read of the store's revision serves all that wait for it.
+// whenCurrent calls then with true once the replica is proven to be as recent as the store was at some
+// moment after this call, so that an answer is never older than any answer given before; or with false
+// when that can't be proven. One read of the store's revision serves all waiting callers.
 func (f *freshness) whenCurrent(then func(current bool)) {
 	if !f.replica.synced || f.store.failingFor(failureGrace) {
 		then(false)
@@ -68,7 +70,7 @@
 	f.readRevision()
 }
 
-// readRevision asks for the store's revision for all that wait, if the request rate permits it now.
+// readRevision reads the store's revision for all waiting callers, if the request rate permits it now.
 func (f *freshness) readRevision() {
 	tooSoon := f.now-f.readAt < max(minRevisionReadInterval, f.store.requestInterval(revisionReadRequests))
 	if len(f.awaitingRead) == 0 || f.readsInFlight >= maxRevisionReads || tooSoon {
@@ -78,11 +80,11 @@
 	f.awaitingRead = nil
 	f.readAt = f.now
 	f.readsInFlight++
-	// No such key exists: the answer is short, and has the store's revision all the same.
+	// The key does not exist: the answer is short, and still carries the store's revision.
 	f.store.call(kv.Request{Kind: kv.Get, Key: schema.RootPrefix + "none"}, read.handleAnswer)
 }
 
-// revisionRead is a read of the store's revision that is under way.
+// revisionRead is a read of the store's revision that is in flight.
 type revisionRead struct {
 	freshness *freshness
 	waiters   []func(current bool)
@@ -102,9 +104,9 @@
 	f.releaseWaiters()
 }
 
-// releaseWaiters releases what waited for a revision that the replica has reached by its watch. All
-// proofs are taken before the first waiter runs. A replica that has just been loaded anew proves nothing
-// before it is complete: it has pages of different revisions.
+// releaseWaiters runs the callbacks whose revision the replica has reached by its watch. All proofs are
+// recorded before the first callback runs. A replica that has just been reloaded proves nothing before
+// it is complete: its pages are of different revisions.
 func (f *freshness) releaseWaiters() {
 	if !f.replica.complete() {
 		return
@@ -126,7 +128,8 @@
 	}
 }
 
-// logAttrs is which revision the replica has reached and how long ago it was proven to be complete.
+// logAttrs returns log attributes: the revision that the replica has reached, and the age of the proof of
+// freshness in seconds, -1 if there is none.
 func (f *freshness) logAttrs() []any {
 	age := -1.0
 	if f.provenAt > 0 {
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// failoverPriority is how long an orphaned partition is left to the process that has the least to
-	// do; then any may take it.
+	// failoverPriority is how long an orphaned partition is reserved for the least loaded process;
+	// after that, any process may take it over.
 	failoverPriority = 2 * units.Second
 
-	minLeadershipTime = 5 * units.Second // before a partition is given to another process
-	minProcessAge     = 8 * units.Second // of a process that is given one
+	minLeadershipTime = 5 * units.Second // minimum time for which a partition is led before it is transferred
+	minProcessAge     = 8 * units.Second // minimum time for which its new leader has been registered
 )
 
-// machineTaker takes a machine that has come under this process's leadership.
+// machineTaker starts to command the agent of a machine whose partition this process leads.
 type machineTaker interface {
 	beginCommand(m *machine, l *leadership)
 }
 
-// leadershipManager acquires leadership of partitions, gives it to others and follows what the
-// partitions' documents say.
+// leadershipManager acquires leadership of partitions, transfers it to other processes and follows
+// changes of the partitions' documents.
 //
-// A partition's document names the process that leads it, with a term that only grows. It is written
-// on the conditions that this process is registered, that the document is unchanged, and that the
-// former leader, unless it is this process, is not registered any more; so two processes never lead
-// one partition in one term, and each write of a leader, which has the document's revision as
-// a condition, fails once another leads. A process leads when its replica shows the document, never
-// because it has asked to.
+// A partition's document names the process that leads it, with a term that only increases. It is
+// written on the conditions that this process is registered, that the document is unchanged, and that
+// the former leader, unless it is this process, is no longer registered. So two processes never lead
+// one partition in one term. Every write of a leader has the document's revision as a condition, and
+// fails once another process leads. A process leads once its replica shows the document, never merely
+// because it has requested leadership.
 type leadershipManager struct {
 	*environment
 
@@ -42,10 +42,10 @@
 	commits    *committer
 	machines   machineTaker
 
-	orphanedSince map[int]units.Micros // when a partition was first seen without a leader
+	orphanedSince map[int]units.Micros // when each partition was first seen without a registered leader
 }
 
-// follow takes a partition's document that is new to the replica.
+// follow updates the led partitions after the replica has received a new document of a partition.
 func (l *leadershipManager) follow(partition int) {
 	p := l.replica.partitions[partition]
 	mine := l.membership.registered && newProcessID(p.doc.Member, p.doc.Incarnation) == l.membership.process()
@@ -59,7 +59,7 @@
 	}
 }
 
-// begin begins to lead a partition, anew if it was led by an earlier revision of its document.
+// begin starts to lead a partition, or restarts if it was led under an earlier revision of its document.
 func (l *leadershipManager) begin(partition int, p *partitionDoc) {
 	own := &leadership{partition: partition, revision: p.revision, term: p.doc.Term, since: l.now, planning: planningState{reservations: newReservationTable()}}
 	l.partitions.lead(own)
@@ -71,8 +71,8 @@
 	}
 }
 
-// balance takes over a partition whose leader is not registered, or gives one away when another process
-// has less to do: one at a time.
+// balance takes over a partition whose leader is not registered, or transfers one to a process with
+// less load. It changes at most one partition at a time.
 func (l *leadershipManager) balance() {
 	if !l.authority.mayAct() || !l.budget.hasCredit() || l.store.failing {
 		return
@@ -92,7 +92,7 @@
 	l.transferSurplus(processes, load)
 }
 
-// loads tells how much each process has to do, and which partitions nobody leads.
+// loads returns the load of each process, and the partitions without a registered leader.
 func (l *leadershipManager) loads(processes []processID) (load map[processID]int, orphans []int) {
 	load = map[processID]int{}
 	for _, process := range processes {
@@ -108,7 +108,7 @@
 	return load, orphans
 }
 
-// leastLoaded is the first of the processes that have the least to do.
+// leastLoaded returns the process with the lowest load, the first one if several have it.
 func leastLoaded(processes []processID, load map[processID]int) processID {
 	var least processID
 	for _, process := range processes {
@@ -119,8 +119,8 @@
 	return least
 }
 
-// mayTakeOver reports whether this process may take over an orphaned partition: at once if it has
-// the least to do, else when the one that has has left it alone for a while.
+// mayTakeOver reports whether this process may take over an orphaned partition: at once if it is the
+// successor, the least loaded process, else once the successor has had failoverPriority to do so.
 func (l *leadershipManager) mayTakeOver(partition int, successor processID) bool {
 	since, known := l.orphanedSince[partition]
 	if !known {
@@ -130,8 +130,8 @@
 	return successor == l.membership.process() || l.now-since > failoverPriority
 }
 
-// removeOwnStaleRegistrations removes a registration of an earlier process of this member: it is
-// surely dead, so its partitions need not wait for its lease to expire.
+// removeOwnStaleRegistrations removes a registration of an earlier process of this member. That process
+// is certainly dead, so its partitions need not wait for its lease to expire.
 func (l *leadershipManager) removeOwnStaleRegistrations() {
 	for _, process := range l.replica.registeredProcesses() {
 		if process.member() != l.cfg.Member || process == l.membership.process() {
@@ -144,8 +144,8 @@
 	}
 }
 
-// transferSurplus hands a partition to a process that has less to do even with it, and has lived long
-// enough to be trusted with one.
+// transferSurplus transfers a partition to a process whose load, even with that partition, stays below
+// this process's own, and that has been registered long enough to be trusted with one.
 func (l *leadershipManager) transferSurplus(processes []processID, load map[processID]int) {
 	ownLoad := load[l.membership.process()]
 	for _, process := range processes {
@@ -164,7 +164,7 @@
 }
 
 // acquire writes the document that makes a process the leader of a partition: this process, or another
-// to which this one gives a partition that it leads.
+// one to which this process transfers a partition that it leads.
 func (l *leadershipManager) acquire(partition int, leader processID) {
 	writeTag := l.commits.newWriteTag()
 	doc := schema.Partition{Term: 1, Member: leader.member(), Incarnation: leader.incarnation(), WriteTag: writeTag}
@@ -175,9 +175,9 @@
 		Conditions: l.acquireConditions(partition, leader),
 		Operations: []kv.Operation{{Set: schema.PartitionKey(partition), Value: encode(doc)}},
 	}
-	own := l.partitions.led[partition] // when it is given away
+	own := l.partitions.led[partition] // nil unless this process transfers the partition
 	if own != nil {
-		own.commitsInFlight++ // no plan meanwhile
+		own.commitsInFlight++ // no plan until the commit is answered
 	}
 	l.log.Info("acquiring leadership", "partition", partition, "for", doc.Member, "term", doc.Term)
 	l.commits.commit(txn, writeTag, func(result commitResult) {
@@ -185,15 +185,15 @@
 			l.log.Info("acquiring leadership failed", "partition", partition, "failed", result.failedKeys)
 		}
 		// Only the count that was raised above is lowered: the watch may have shown the document before
-		// this answer, so that a plan of the new leadership is under way. A second plan beside it could
-		// put a team over its quota.
+		// this answer, so that a plan of the new leadership is in flight. A second plan next to it
+		// could put a team over its quota.
 		if own != nil {
 			own.commitsInFlight--
 		}
 	})
 }
 
-// acquireConditions are what a change of a partition's leader rests on.
+// acquireConditions returns the conditions of the write that changes a partition's leader.
 func (l *leadershipManager) acquireConditions(partition int, leader processID) []kv.Condition {
 	self := l.membership.process().registrationKey()
 	conditions := []kv.Condition{l.unchanged(self)}
@@ -203,7 +203,7 @@
 	}
 	conditions = append(conditions, kv.Condition{Key: schema.PartitionKey(partition), ModRevision: p.revision})
 	if former := schema.RegistrationKey(p.doc.Member, p.doc.Incarnation); former != self {
-		conditions = append(conditions, kv.Condition{Key: former}) // not registered
+		conditions = append(conditions, kv.Condition{Key: former}) // that it is not registered
 	}
 	if target := leader.registrationKey(); target != self {
 		conditions = append(conditions, l.unchanged(target))
@@ -211,7 +211,7 @@
 	return conditions
 }
 
-// unchanged is the condition that a key is as the replica shows it.
+// unchanged returns the condition that a key still has the revision that the replica shows.
 func (l *leadershipManager) unchanged(key string) kv.Condition {
 	return kv.Condition{Key: key, ModRevision: l.replica.revisions[key]}
 }
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -8,8 +8,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestFailover takes over an orphaned partition at once if this process has the least to do, else
-// when the one that has leaves it alone.
+// TestFailover checks that a process takes over an orphaned partition at once if it is the least loaded,
+// and otherwise only after the least loaded process has had failoverPriority to do so.
 func TestFailover(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ownLoad, otherLoad int
@@ -30,14 +30,14 @@
 			c.leaderships.mayTakeOver(1, successor)
 			c.now += tc.waited
 			if got := c.leaderships.mayTakeOver(1, successor); got != tc.want {
-				t.Errorf("takes over: %v", got)
+				t.Errorf("may take over: %v", got)
 			}
 		})
 	}
 }
 
-// TestAcquireConditions rests a change of leaders on the registrations of those concerned: of this
-// process and of the new leader, that they are unchanged; of the former one, that it is gone.
+// TestAcquireConditions checks the conditions of a leader change: the registrations of this process and
+// of the new leader are unchanged, and the former one is no longer registered.
 func TestAcquireConditions(t *testing.T) {
 	c := leaderOfOne()
 	own, other := c.membership.process(), newProcessID("b", "b.1")
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -16,7 +16,7 @@
 	registrationRetryDelay = 300 * units.Millisecond
 )
 
-// processID names a controller process as its registration does: "member/incarnation".
+// processID identifies a controller process as its registration key does: "member/incarnation".
 type processID string
 
 func newProcessID(member, incarnation string) processID {
@@ -33,10 +33,10 @@
 	return incarnation
 }
 
-// registrationKey is the key under which the process is registered.
+// registrationKey returns the key under which the process is registered.
 func (id processID) registrationKey() string { return schema.RegistrationPrefix + string(id) }
 
-// registeredProcesses lists the processes that are registered, by name.
+// registeredProcesses returns the registered processes, sorted by name.
 func (r *replica) registeredProcesses() []processID {
 	var processes []processID
 	for key := range r.registeredSince {
@@ -52,13 +52,12 @@
 	return ok
 }
 
-// membership is this process's registration among the controllers that live: a key under a lease, which
-// is renewed.
+// membership registers this process as a live controller: a key attached to a lease, which is renewed.
 //
-// When the lease has expired, or when it is not clear whether the registration was stored, others may
-// lead what this process led. All leadership is then given up, and the process registers as a new
-// incarnation. An incarnation that was abandoned is never used again: nothing that was written or is
-// still under way in its name counts for the next.
+// When the lease has expired, or when it is unknown whether the registration was stored, other processes
+// may lead the partitions that this process led. It then gives up all leadership and registers as a new
+// incarnation. An abandoned incarnation is never used again: nothing that was written in its name, or is
+// still in flight, counts for the next.
 type membership struct {
 	*environment
 
@@ -67,17 +66,17 @@
 	partitions *partitionTable
 
 	firstIncarnation string
-	abandoned        int // incarnations
+	abandoned        int // number of abandoned incarnations
 	incarnation      string
 	leaseID          uint64
-	registered       bool // and as far as known still so
+	registered       bool // the registration was stored, and as far as known still holds
 }
 
 func newMembership(env *environment, store *storeClient, replica *replica, partitions *partitionTable, incarnation string) *membership {
 	return &membership{environment: env, store: store, replica: replica, partitions: partitions, firstIncarnation: incarnation, incarnation: incarnation}
 }
 
-// process names this process as it is registered, or is about to be.
+// process returns the ID under which this process is registered, or is about to be.
 func (m *membership) process() processID {
 	return newProcessID(m.cfg.Member, m.incarnation)
 }
@@ -104,7 +103,7 @@
 	}
 	m.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(r kv.Response) {
 		if r.Status != kv.StatusOK {
-			// Perhaps registered, perhaps not: a new incarnation is always safe.
+			// The registration may have been stored or not: a new incarnation is always safe.
 			m.abandonIncarnation()
 			m.after(registrationRetryDelay, m.register)
 			return
@@ -116,7 +115,7 @@
 	})
 }
 
-// renew renews the lease, now and for as long as it has not expired.
+// renew renews the lease now, and periodically until it has expired.
 func (m *membership) renew() {
 	m.store.call(kv.Request{Kind: kv.RenewLease, LeaseID: m.leaseID}, func(r kv.Response) {
 		switch r.Status {
@@ -132,7 +131,7 @@
 	})
 }
 
-// abandonIncarnation gives up all leadership and takes a new incarnation, which is not registered yet.
+// abandonIncarnation gives up all leadership and switches to a new incarnation, not yet registered.
 func (m *membership) abandonIncarnation() {
 	m.abandoned++
 	m.incarnation = m.firstIncarnation + "." + strconv.Itoa(m.abandoned)
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// teamPartitions are the partitions that have teams, in order; the first one if there are no teams.
-// Most work is theirs.
+// teamPartitions lists the partitions that have teams, sorted; the first one if there are no teams.
+// They have most of the work.
 type teamPartitions []int
 
 func newTeamPartitions(env *environment) teamPartitions {
@@ -25,10 +25,10 @@
 	return partitions
 }
 
-// ofMachineShard is the partition of a machine shard that has no document yet.
+// ofMachineShard returns the partition of a machine shard that has no document yet.
 func (t teamPartitions) ofMachineShard(shard int) int { return t[shard%len(t)] }
 
-// load is how much work a partition is, against others: one without teams is next to none.
+// load returns the relative amount of work of a partition; one without teams has next to none.
 func (t teamPartitions) load(partition int) int {
 	if slices.Contains(t, partition) {
 		return 100
@@ -36,19 +36,19 @@
 	return 1
 }
 
-// leadership is a partition that this process leads, by one document of the partition: another revision
-// of the document is another leadership.
+// leadership is this process's leadership of a partition under one revision of the partition's document;
+// each later revision that names this process is a new leadership.
 type leadership struct {
 	partition       int
-	revision        uint64 // of the partition's document, a condition of every write
+	revision        uint64 // mod revision of the partition's document, a condition of every write
 	term            uint64
 	since           units.Micros
-	commitsInFlight int // commits of this partition that are outstanding
+	commitsInFlight int // commits of this partition that are not answered yet
 	planning        planningState
 }
 
-// partitionTable knows which partitions this process leads, as far as its replica shows. Whether it may
-// act on that is for authority to say.
+// partitionTable holds the partitions that this process leads according to its replica. Whether it may
+// act on that is decided by authority.
 type partitionTable struct {
 	replica   *replica
 	led       map[int]*leadership
@@ -59,10 +59,10 @@
 	return &partitionTable{replica: replica, led: map[int]*leadership{}, withTeams: withTeams}
 }
 
-// ledPartitions lists the led partitions in order.
+// ledPartitions returns the led partitions, sorted.
 func (t *partitionTable) ledPartitions() []int { return slices.Sorted(maps.Keys(t.led)) }
 
-// terms gives the term of each led partition.
+// terms returns the term of each led partition.
 func (t *partitionTable) terms() map[int]uint64 {
 	terms := make(map[int]uint64, len(t.led))
 	for n, l := range t.led {
@@ -71,10 +71,10 @@
 	return terms
 }
 
-// lead enters a leadership.
+// lead adds a leadership to the table.
 func (t *partitionTable) lead(l *leadership) { t.led[l.partition] = l }
 
-// resign gives up a partition, with what is known of its machines' agents.
+// resign gives up a partition, and discards the agent state of its machines.
 func (t *partitionTable) resign(partition int) {
 	delete(t.led, partition)
 	for _, m := range t.replica.machines {
@@ -84,7 +84,7 @@
 	}
 }
 
-// resignAll gives up all partitions, with what is known of any machine's agent.
+// resignAll gives up all partitions, and discards the agent state of all machines.
 func (t *partitionTable) resignAll() {
 	clear(t.led)
 	for _, m := range t.replica.machines {
