--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -11,35 +11,35 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// commitOutcome is the fate of a transaction, once it is clear.
+// commitOutcome is the final outcome of a transaction.
 type commitOutcome int
 
 const (
 	commitApplied   commitOutcome = iota
-	commitConflict                // a condition failed; the replica will show why
-	commitRefused                 // surely not carried out: try later
-	commitThrottled               // the same, because too much was asked at once
+	commitConflict                // a condition failed; the replica will show the cause
+	commitRefused                 // not carried out: may be tried again later
+	commitThrottled               // not carried out, because the request rate was too high
 )
 
-// commitResult is the fate of a transaction with what the store told of it.
+// commitResult is the outcome of a transaction, with the details that the store returned.
 type commitResult struct {
 	outcome    commitOutcome
-	revision   uint64   // applied: of the transaction; conflict: of the store when it failed; else 0
-	failedKeys []string // conflict: the keys whose conditions failed, as far as known
+	revision   uint64   // applied: of the transaction; conflict: of the store at the failure; else 0
+	failedKeys []string // conflict: keys whose conditions failed, as far as known
 }
 
-// Delays before a request is repeated whose answer was of no use.
+// Delays before a request is repeated whose answer did not settle the outcome.
 const (
 	unclearRetryDelay = 150 * units.Millisecond // the store may have carried it out
-	refusedRetryDelay = 200 * units.Millisecond // this copy was refused, an earlier one may have been carried out
+	refusedRetryDelay = 200 * units.Millisecond // this copy was refused, but an earlier one may have been carried out
 )
 
-// committer carries out transactions and knows which keys they are about to change.
+// committer commits transactions and tracks which keys they are about to change.
 //
-// It promises that the caller of commit learns the fate of its transaction exactly once, and that
-// what was applied is in the replica by then. After an unclear answer it repeats the identical
-// transaction until the answer is clear. It never decides to write: it neither builds transactions nor
-// repeats one whose fate is clear.
+// It guarantees that the caller of commit receives the outcome of its transaction exactly once, and that
+// the changes of an applied one are in the replica by then. While the outcome is unknown it repeats the
+// identical transaction. It never decides to write: it neither builds transactions nor repeats one whose
+// outcome is known.
 type committer struct {
 	*environment
 
@@ -48,58 +48,60 @@
 	budget     *writeBudget
 	membership *membership
 
-	writeTags    uint64          // that were given out
-	keysInFlight map[string]bool // keys in a transaction that is not yet answered
+	writeTags    uint64          // number of the last write tag
+	keysInFlight map[string]bool // keys of transactions whose outcome is not known yet
 }
 
-// newWriteTag makes a value that no other commit has, so that after an unclear answer a reader can
-// tell this commit's writes from all others.
+// newWriteTag returns a value that no other commit has, so that after an unknown outcome a reader can
+// distinguish this commit's writes from all others.
 func (c *committer) newWriteTag() string {
 	c.writeTags++
 	return c.membership.incarnation + "-" + strconv.FormatUint(c.writeTags, 36)
 }
 
-// markInFlight notes that a transaction is about to change its keys.
+// markInFlight records that a transaction is about to change its keys.
 func (c *committer) markInFlight(txn *kv.Txn) {
 	for _, op := range txn.Operations {
 		c.keysInFlight[changedKey(op)] = true
 	}
 }
 
-// clearInFlight notes that the fate of a transaction is clear.
+// clearInFlight records that the outcome of a transaction is known.
 func (c *committer) clearInFlight(txn *kv.Txn) {
 	for _, op := range txn.Operations {
 		delete(c.keysInFlight, changedKey(op))
 	}
 }
 
-// isInFlight reports whether a transaction whose fate is not clear yet changes a key.
+// isInFlight reports whether a transaction whose outcome is not known yet changes a key.
 func (c *committer) isInFlight(key string) bool { return c.keysInFlight[key] }
 
-// changedKey is the key that an operation sets or deletes.
+// changedKey returns the key that an operation sets or deletes.
 func changedKey(op kv.Operation) string { return op.Set + op.Delete }
 
-// commit carries out a transaction whose values carry a write tag. done is called exactly once, with
-// the transaction's fate.
+// commit sends a transaction whose values carry a write tag. done is called exactly once, with the
+// transaction's outcome.
 func (c *committer) commit(txn *kv.Txn, writeTag string, done func(commitResult)) {
 	c.budget.charge(txn.Operations)
 	p := &pendingCommit{committer: c, txn: txn, writeTag: writeTag, done: done}
 	p.send()
 }
 
-// pendingCommit is a transaction whose fate is not clear yet.
+// pendingCommit is a transaction whose outcome is not known yet.
 //
-// After an unclear answer a copy of the transaction may still be applied late. The transaction is then
-// repeated without any change: whichever copy comes second fails on the conditions, so that it is
-// applied once at most. When a repeat fails, the write tag tells whether an earlier copy was applied.
+// While the outcome is unknown, a copy of the transaction may still be applied late. The transaction is
+// repeated without any change: whichever copy arrives second fails on the conditions, so that the
+// transaction is applied once at most. When a repeat fails, the write tag shows whether an earlier copy
+// was applied.
 //
-// A write that another has overwritten before the lookup counts as a conflict. Callers take a conflict as
-// "not by this transaction, as far as is known", and go by what the replica then shows.
+// A write that another one has overwritten before the lookup counts as a conflict. Callers treat a
+// conflict as "not applied by this transaction, as far as is known", and rely on what the replica then
+// shows.
 type pendingCommit struct {
 	committer *committer
 	txn       *kv.Txn
 	writeTag  string
-	unclear   bool // a copy was sent of which it is not known whether it is applied
+	unclear   bool // a copy was sent that may have been applied, or may yet be
 	done      func(commitResult)
 }
 
@@ -121,12 +123,12 @@
 	}
 }
 
-// conflictOf is the result of a transaction whose conditions failed.
+// conflictOf returns the result of a transaction whose conditions failed.
 func conflictOf(r kv.Response) commitResult {
 	return commitResult{outcome: commitConflict, revision: r.Revision, failedKeys: r.FailedKeys}
 }
 
-// handleRefusal takes the refusal of a transaction of which no other copy was sent.
+// handleRefusal handles the refusal of a transaction of which no other copy was sent.
 func (p *pendingCommit) handleRefusal(r kv.Response) {
 	switch r.Status {
 	case kv.StatusConflict:
@@ -142,15 +144,15 @@
 	}
 }
 
-// handleRefusedRepeat takes the refusal of a copy while an earlier one may have been applied.
+// handleRefusedRepeat handles the refusal of a copy when an earlier one may have been applied.
 func (p *pendingCommit) handleRefusedRepeat(r kv.Response) {
 	switch r.Status {
 	case kv.StatusConflict:
 		p.lookUp(func() { p.done(conflictOf(r)) })
 	case kv.StatusMalformed:
-		// The limits have fallen since it was first sent: no copy of it is carried out any more,
-		// and whether one was shows now. Were it repeated until it is taken, its partition would
-		// never plan again.
+		// The limits were lowered after the transaction was first sent: no copy is carried out any
+		// more, so a lookup settles whether one was. If the transaction were repeated until the store
+		// accepts it, its partition would never plan again.
 		p.lookUp(func() { p.done(commitResult{outcome: commitConflict, revision: p.committer.store.seenRevision}) })
 	default:
 		p.committer.after(refusedRetryDelay, p.send)
@@ -158,11 +160,11 @@
 }
 
 // lookUp reads one of the keys that the transaction sets: if the value carries the write tag, an
-// earlier copy was applied. It is repeated until the store answers.
+// earlier copy was applied. The read is repeated until the store answers.
 func (p *pendingCommit) lookUp(notApplied func()) {
 	key := p.firstSetKey()
 	if key == "" {
-		notApplied() // deletions only: the replica shows the rest
+		notApplied() // deletions only: no value carries the tag, and the replica shows whether they were applied
 		return
 	}
 	p.committer.store.call(kv.Request{Kind: kv.Get, Key: key}, func(r kv.Response) {
@@ -177,7 +179,7 @@
 	})
 }
 
-// firstSetKey is the first key that the transaction sets, "" if it only deletes.
+// firstSetKey returns the first key that the transaction sets, or "" if it only deletes.
 func (p *pendingCommit) firstSetKey() string {
 	for _, op := range p.txn.Operations {
 		if op.Set != "" {
@@ -192,7 +194,7 @@
 	return bytes.Contains(schema.PlainJSON(value), []byte(`"`+p.writeTag+`"`))
 }
 
-// applied takes the transaction's changes into the replica, ahead of the watch.
+// applied adds the transaction's changes to the replica, ahead of the watch, and reports the outcome.
 func (p *pendingCommit) applied(revision uint64) {
 	for _, op := range p.txn.Operations {
 		if op.Set != "" {
@@ -205,11 +207,11 @@
 	p.done(commitResult{outcome: commitApplied, revision: revision})
 }
 
-// encode is the stored form of a document.
+// encode returns the stored form of a document.
 func encode(document any) json.RawMessage {
 	b, err := json.Marshal(document)
 	if err != nil {
-		panic(fmt.Sprintf("encode %T: %v", document, err)) // documents are plain data: a fault of the program
+		panic(fmt.Sprintf("encode %T: %v", document, err)) // documents are plain data, so this is a programming error
 	}
 	return b
 }
--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -10,14 +10,14 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// scriptedStore answers the requests of a controller that is not stepped, one after the other.
+// scriptedStore answers the store requests of a controller one by one, without stepping it.
 type scriptedStore struct {
 	t        *testing.T
 	c        *Controller
 	requests []kv.Request
 }
 
-// answer answers the one request that is under way.
+// answer answers the one request in flight, then advances the clock and runs the timers.
 func (s *scriptedStore) answer(response kv.Response) {
 	s.t.Helper()
 	if len(s.c.effects) != 1 {
@@ -34,11 +34,11 @@
 	s.c.runTimers()
 }
 
-// commitTag is the write tag of the transactions that are tested.
+// commitTag is the write tag of the tested transactions.
 const commitTag = "a.1-1"
 
-// commitCase is what a store answers to a transaction and the lookups after it, and what the caller
-// is to learn.
+// commitCase lists the store's answers to a transaction and to the lookups after it, and the expected
+// result for the caller.
 type commitCase struct {
 	answers  []kv.Response
 	outcome  commitOutcome
@@ -46,8 +46,8 @@
 	failed   []string
 }
 
-// TestCommit drives one transaction through every kind of answer: its fate is told once, and true, and
-// until it is clear the very same transaction is sent again.
+// TestCommit drives one transaction through every kind of answer: its outcome is reported once and
+// correctly, and until it is known the identical transaction is sent again.
 func TestCommit(t *testing.T) {
 	key := schema.PartitionKey(0)
 	written := encode(schema.Partition{Term: 2, Member: "a", Incarnation: "a.1", WriteTag: commitTag})
@@ -103,16 +103,16 @@
 	})
 	for i, answer := range tc.answers {
 		if calls != 0 {
-			t.Fatalf("fate told before answer %d", i)
+			t.Fatalf("outcome reported before answer %d", i)
 		}
 		store.answer(answer)
 	}
 	if calls != 1 || len(store.c.effects) != 0 {
-		t.Errorf("fate told %d times, %d effects after it", calls, len(store.c.effects))
+		t.Errorf("outcome reported %d times, %d effects after it", calls, len(store.c.effects))
 	}
 	for _, request := range store.requests {
 		if request.Kind == kv.Transact && request.Txn != txn {
-			t.Error("another transaction was sent")
+			t.Error("a different transaction was sent")
 		}
 	}
 	if shown := store.c.replica.revisions[txn.Operations[0].Set]; (shown != 0) != (tc.outcome == commitApplied) {
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestCommitOfDeletions has nothing to look up: a repeat that fails counts as a conflict.
+// TestCommitOfDeletions checks that a failed repeat counts as a conflict if the transaction only deletes:
+// there is no value to look up.
 func TestCommitOfDeletions(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -10,19 +10,19 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// knownFormat is the latest format of documents that this version knows.
+// knownFormat is the latest document format that this version knows.
 const knownFormat = schema.FormatDependencies
 
-// formatPeriod is the time between two tries to raise the format.
+// formatPeriod is the time between two attempts to raise the format.
 const formatPeriod = units.Second
 
-// dependenciesEnabled reports whether the feature gate is raised: whether all members know jobs that depend
-// on others and documents that are split. Until then nothing may be written that a process of the
-// version before would lose when it writes the document anew.
+// dependenciesEnabled reports whether the feature gate is raised: whether all members know job
+// dependencies and split documents. Until then, nothing may be written that a process of the previous
+// version would drop when it rewrites the document.
 func (r *replica) dependenciesEnabled() bool { return r.format >= schema.FormatDependencies }
 
-// formatGate raises the format of the store's documents once all controllers know it. It is never
-// lowered.
+// formatGate raises the format of the store's documents once all controllers know it. The format is
+// never lowered.
 type formatGate struct {
 	*environment
 
@@ -35,11 +35,11 @@
 	period period
 }
 
-// raise raises the gate once every configured member is registered with a format that allows it and no
-// process with an earlier one is. Every registration that this rests on is a condition of the
-// transaction, which fails if one of them has expired or been replaced meanwhile. A process of the
-// version before may still have writes under way when it is killed: each has the documents that it
-// writes as conditions, and fails if a later one was first.
+// raise raises the format once every configured member is registered as knowing it and no process is
+// registered with an earlier one. Each of these registrations is a condition of the transaction, which
+// fails if one of them has expired or been replaced meanwhile. A process of the previous version may
+// still have writes in flight when it is killed: each has the documents that it writes as conditions,
+// and fails if a later write was first.
 func (g *formatGate) raise() {
 	if g.replica.dependenciesEnabled() || !g.authority.mayAct() || g.store.failing || !g.budget.hasCredit() || g.commits.isInFlight(schema.LayoutKey) {
 		return
@@ -64,8 +64,8 @@
 	})
 }
 
-// memberRegistrations returns the conditions that the registrations of all members are unchanged, and
-// reports whether each member has one and all of them know the format.
+// memberRegistrations returns the conditions that all registrations are unchanged, and reports whether
+// each member has one and all registered processes know the format.
 func (g *formatGate) memberRegistrations() ([]kv.Condition, bool) {
 	members := map[string]bool{}
 	var conditions []kv.Condition
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestRegistrations raises the format only when every configured member is registered with it
-// and no process with an earlier one is.
+// TestRegistrations checks that the format is raised only if every configured member is registered with
+// it and no process is registered with an earlier one.
 func TestRegistrations(t *testing.T) {
 	const now, before = schema.FormatDependencies, schema.FormatInitial
 	for name, tc := range map[string]struct {
@@ -37,7 +37,7 @@
 			}
 			for _, condition := range conditions {
 				if condition.ModRevision == 0 {
-					t.Errorf("the condition on %s is that it is absent", condition.Key)
+					t.Errorf("the condition on %s requires the key to be absent", condition.Key)
 				}
 			}
 		})
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -5,17 +5,17 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// storeClient sends requests to the key-value store and keeps what their answers tell of the store:
-// whether it answers, which revision it has reached, and the limits that it keeps to. It repeats
-// nothing: whether a request may be sent again is decided by who sent it.
+// storeClient sends requests to the key-value store and records what the answers show about the store:
+// whether it answers, which revision it has reached, and its limits. It repeats nothing: the sender
+// decides whether a request may be sent again.
 type storeClient struct {
 	*environment
 
-	calls map[uint64]func(kv.Response) // continuations of requests that are not answered yet
+	calls map[uint64]func(kv.Response) // callbacks of requests that are not answered yet
 
-	answeredAt   units.Micros // when it last answered
-	failing      bool         // it has refused, or not answered, since
-	seenRevision uint64       // the latest that any answer has shown
+	answeredAt   units.Micros // when the store last answered
+	failing      bool         // since then, the store has refused or not answered a request
+	seenRevision uint64       // the latest store revision in any answer
 	limits       storeLimits
 }
 
@@ -30,8 +30,8 @@
 	s.emit(StoreCall{id, request})
 }
 
-// take returns the continuation of an answered request, nil if none waits for it, and notes what the
-// answer tells of the store.
+// take returns the callback of an answered request, nil if none waits for it, and records what the
+// answer shows about the store.
 func (s *storeClient) take(result StoreResult) func(kv.Response) {
 	done := s.calls[result.CallID]
 	if done == nil {
@@ -44,12 +44,12 @@
 		s.seenRevision = max(s.seenRevision, result.Response.Revision)
 	case kv.StatusUnknown, kv.StatusUnavailable:
 		s.failing = true
-	case kv.StatusThrottled, kv.StatusMalformed, kv.StatusUnexpected: // tells nothing of its health
+	case kv.StatusThrottled, kv.StatusMalformed, kv.StatusUnexpected: // shows nothing about the store's health
 	}
 	return done
 }
 
-// storeSilence is how long the store may have given no answer and still count as healthy.
+// storeSilence is how long the store may go without an answer and still count as healthy.
 const storeSilence = 3 * units.Second
 
 // healthy reports whether the store answers this controller.
@@ -57,32 +57,32 @@
 	return !s.failing && s.now-s.answeredAt < storeSilence
 }
 
-// failingFor reports whether the store fails and has given no answer for longer than a time.
+// failingFor reports whether the store is failing and has given no answer for longer than a duration.
 func (s *storeClient) failingFor(long units.Micros) bool {
 	return s.failing && s.now-s.answeredAt > long
 }
 
-// requestInterval is the time between requests of one kind that may take such a share of this
+// requestInterval returns the time between requests of one kind that may use the given share of this
 // controller's part of the permitted requests.
 func (s *storeClient) requestInterval(share float64) units.Micros {
 	return units.FromSeconds(float64(s.cfg.Settings.Size) / (s.limits.RPS * share))
 }
 
-// noteThrottled notes that the store refused a request for its rate.
+// noteThrottled records that the store refused a request for exceeding its rate.
 func (s *storeClient) noteThrottled() {
 	if s.limits.noteThrottled() {
 		s.log.Warn("store throttles, adopting announced limits", "write_rps", s.limits.WriteRPS, "rps", s.limits.RPS)
 	}
 }
 
-// handleStoreResult passes the answer of a request to who sent it.
+// handleStoreResult passes the answer to a request to its sender.
 func (c *Controller) handleStoreResult(result StoreResult) {
 	done := c.store.take(result)
 	if done == nil {
 		return
 	}
-	// Before the gate is raised, processes of the version before may be at work. Their writes count
-	// as well, so that a 429 says nothing of the limits.
+	// Before the gate is raised, processes of the previous version may be running. Their writes count
+	// as well, so a 429 says nothing about the limits.
 	if result.Response.Status == kv.StatusThrottled && c.replica.dependenciesEnabled() {
 		c.store.noteThrottled()
 	}
--- a/internal/controller/storelimits.go
+++ b/internal/controller/storelimits.go
@@ -3,24 +3,24 @@
 import "frostdock.example/frostdock/internal/config"
 
 const (
-	valueMarginBytes    = 100 // that a stored value stays below the store's limit
-	conditionsPerChange = 4   // that the store permits
+	valueMarginBytes    = 100 // margin between the longest stored value and the store's limit
+	conditionsPerChange = 4   // conditions that the store permits for each change of a transaction
 )
 
-// storeLimits are the limits of the key-value store that this controller keeps to. They only ever
+// storeLimits are the limits of the key-value store that this controller observes. They only ever
 // become tighter.
 type storeLimits struct {
 	config.KVLimits
-	next    config.KVLimits // that will hold from some moment on
-	lowered bool            // the rates have been seen to be lower than the present settings say
+	next    config.KVLimits // limits that will take effect at some later time
+	lowered bool            // the store was observed to permit lower rates than the present settings say
 }
 
 func newStoreLimits(s *config.Settings) storeLimits {
 	return storeLimits{KVLimits: s.KVStore.KVLimits, next: s.NextKVLimits()}
 }
 
-// adoptTighter keeps sizes to the tighter of the present and the next limits, since the change
-// comes without notice. The rates stay until the store shows otherwise.
+// adoptTighter restricts sizes to the tighter of the present and the next limits, since the change
+// comes without notice. The rates stay until the store is observed to permit lower ones.
 func (l *storeLimits) adoptTighter() {
 	tighter := l.Min(l.next)
 	l.ValueKB, l.TxnOps = tighter.ValueKB, tighter.TxnOps
@@ -29,8 +29,8 @@
 	}
 }
 
-// noteThrottled learns from a 429 that the next rates may hold already. It reports whether that
-// changes anything.
+// noteThrottled concludes from a 429 that the next rates may already be in effect. It reports whether
+// that changes the limits.
 func (l *storeLimits) noteThrottled() bool {
 	if l.lowered || l.next.WriteRPS >= l.WriteRPS && l.next.RPS >= l.RPS {
 		return false
@@ -40,13 +40,13 @@
 	return true
 }
 
-// maxValueBytes is how long a stored value may be: as the store permits, and so that
-// one transaction takes at least two.
+// maxValueBytes returns the maximum length of a stored value: within the store's limit, and short enough
+// for one transaction to take at least two.
 func (l *storeLimits) maxValueBytes() int { return maxValueBytes(l.ValueKB) }
 
 func maxValueBytes(valueKB float64) int {
 	return min(int(valueKB*1024)-valueMarginBytes, maxTransactionBytes/2-documentOverheadBytes)
 }
 
-// maxConditions is how many conditions a transaction may have.
+// maxConditions returns how many conditions a transaction may have.
 func (l *storeLimits) maxConditions() int { return conditionsPerChange * l.TxnOps }
--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -9,30 +9,30 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Parts of the store's permitted changes. Not all controllers are busy at once, so the parts add up to
-// a little more than the whole; the store's 429 corrects what is too much.
+// Shares of the changes per second that the store permits. Not all controllers are busy at once, so the
+// shares add up to a little more than the whole; the store answers an excess with 429.
 const (
-	baseWriteShare    = 0.2  // of each controller, for accepts and cancellations
-	leadersWriteShare = 0.88 // of the leaders of teams' partitions together
-	targetWriteUse    = 0.92 // that all controllers together aim at
+	baseWriteShare    = 0.2  // each controller's, for accepts and cancellations
+	leadersWriteShare = 0.88 // of the leaders of partitions with teams, together
+	targetWriteUse    = 0.92 // the use that all controllers together aim at
 )
 
-// minSavedChanges is how many changes may be saved up on a slow store, as far as it permits so many a
-// second. A job's outcome is several changes in one transaction: kept below that, no job would ever be
-// over.
+// minSavedChanges is the lower bound of maxCredit, in changes, unless the store permits fewer changes a
+// second. A job's outcome takes several changes in one transaction: with a lower cap on a slow store, no
+// job would ever finish.
 const minSavedChanges = 8
 
-// changeRateWeight is how much the last second counts in the moving average of changes.
+// changeRateWeight is the weight of the last second in the moving average of changes.
 const changeRateWeight = 0.4
 
-// heartbeatSource gives the latest heartbeat of a process, if it is recent.
+// heartbeatSource provides the latest heartbeat of a process, if it is recent.
 type heartbeatSource interface {
 	heartbeatOf(member, incarnation string) (peer.Heartbeat, bool)
 }
 
-// writeBudget is this controller's part of the changes that the store permits: credit that grows with
-// time and that each change takes from. It counts what is written. It refuses nothing itself: who
-// writes asks it first.
+// writeBudget is this controller's share of the changes that the store permits: credit that grows with
+// time and is reduced by each change. It also counts the changes. It refuses nothing itself: a component
+// that writes checks it first.
 type writeBudget struct {
 	*environment
 
@@ -41,18 +41,18 @@
 	partitions *partitionTable
 	heartbeats heartbeatSource
 
-	credit                float64 // changes that may still be made now
-	maxCredit             float64 // that may be saved up
+	credit                float64 // changes that may be made now
+	maxCredit             float64 // cap of credit
 	refilledAt            units.Micros
-	changesByKind         map[string]int // since the last summary, by what they changed
+	changesByKind         map[string]int // changes since the last summary, by document kind
 	changesSinceHeartbeat int
-	averageRate           float64 // changes a second, a moving average
+	averageRate           float64 // moving average of changes per second
 }
 
-// start begins to give credit.
+// start starts the accrual of credit.
 func (b *writeBudget) start() { b.refilledAt = b.now }
 
-// refill gives this controller the changes that it may make since the last time.
+// refill adds the credit earned since the last refill, up to maxCredit.
 func (b *writeBudget) refill() {
 	rate := b.rate()
 	b.credit += rate * (b.now - b.refilledAt).Seconds()
@@ -61,8 +61,8 @@
 	b.refilledAt = b.now
 }
 
-// rate is this controller's part of the permitted changes, per second: most of them go to the leaders
-// of teams' partitions, the rest to all.
+// rate returns this controller's share of the permitted changes, per second: most of them go to the
+// leaders of partitions with teams, the rest to all controllers.
 func (b *writeBudget) rate() float64 {
 	whole := b.store.limits.WriteRPS
 	leaders := map[string]bool{}
@@ -80,8 +80,9 @@
 	return rate
 }
 
-// unusedRate is what the others have left of the permitted changes in the last seconds; 0 while that
-// is not known of each of them. One that wants more takes its own part at once.
+// unusedRate returns how many of the permitted changes per second the other controllers have left unused
+// in the last seconds; 0 while that is not known of each of them. One that needs more takes its own
+// share at once.
 func (b *writeBudget) unusedRate() float64 {
 	if !b.replica.dependenciesEnabled() {
 		return 0
@@ -100,11 +101,11 @@
 	return targetWriteUse*b.store.limits.WriteRPS - used
 }
 
-// hasCredit reports whether what goes before the rest may still be written. Accepts and leadership may
-// run up a debt of one second's changes, which everything else has to wait for.
+// hasCredit reports whether a prioritized change may still be written. Accepts and leadership changes
+// may overdraw the credit by one second's changes; all other writes wait until that is repaid.
 func (b *writeBudget) hasCredit() bool { return b.credit >= -b.store.limits.WriteRPS }
 
-// charge takes the changes of a transaction from the credit. Repeats of a transaction are not charged.
+// charge deducts the changes of a transaction from the credit. Repeats of a transaction are not charged.
 func (b *writeBudget) charge(operations []kv.Operation) {
 	b.credit -= float64(len(operations))
 	b.changesSinceHeartbeat += len(operations)
@@ -113,24 +114,24 @@
 	}
 }
 
-// noteThrottled takes all credit: the store has refused a transaction for its rate.
+// noteThrottled removes all credit, since the store has refused a transaction for exceeding its rate.
 func (b *writeBudget) noteThrottled() { b.credit = min(b.credit, -1) }
 
-// updateAverageRate takes the changes since the last heartbeat into the moving average and returns it.
+// updateAverageRate adds the changes since the last heartbeat to the moving average and returns it.
 func (b *writeBudget) updateAverageRate() float64 {
 	b.averageRate += (float64(b.changesSinceHeartbeat) - b.averageRate) * changeRateWeight
 	b.changesSinceHeartbeat = 0
 	return b.averageRate
 }
 
-// takeChangesByKind returns the changes since it was last called, by what they changed.
+// takeChangesByKind returns the changes since the last call, by document kind, and resets the counts.
 func (b *writeBudget) takeChangesByKind() map[string]int {
 	changes := b.changesByKind
 	b.changesByKind = map[string]int{}
 	return changes
 }
 
-// documentKind is what a key stores, as the log calls it.
+// documentKind returns the kind of document that a key stores, as named in the log.
 func documentKind(key string) string {
 	switch {
 	case strings.HasPrefix(key, schema.MachineShardPrefix):
