--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,8 +8,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Controller is the state of one controller process. Each duty keeps its own state in a type of its
-// own; the controller passes messages to them and runs them in a fixed order. All of it belongs to
+// Controller is the state of one controller process. Each duty keeps its state in a type of its own;
+// the controller passes messages to the duties and runs them in a fixed order. All of it belongs to
 // the one goroutine that calls Step.
 type Controller struct {
 	*environment
@@ -56,8 +56,8 @@
 	duties []duty
 }
 
-// New returns a controller that knows nothing yet. incarnation must be unique among all processes
-// that ever run.
+// New returns a controller with an empty replica. incarnation must be unique among all processes that
+// ever run.
 func New(cfg *config.Config, pol *policy.Policy, log *slog.Logger, incarnation string) *Controller {
 	env := &environment{cfg: cfg, policy: pol, log: log.With("node", cfg.Member)}
 	c := &Controller{
@@ -79,7 +79,8 @@
 	return c
 }
 
-// Step takes what happened since the last step and returns what to do.
+// Step handles the messages that arrived since the last step and returns the effects to carry out. now
+// is by the monotonic clock, timeOfDay by the wall clock.
 func (c *Controller) Step(now, timeOfDay units.Micros, messages []Message) []Effect {
 	first := c.now == 0
 	c.now, c.timeOfDay, c.effects = now, timeOfDay, nil
@@ -92,8 +93,8 @@
 		c.handle(m)
 	}
 	c.runTimers()
-	// Agents are answered and told only now: what starts a task must not leave beside the news, in
-	// the same step, that cancels its job.
+	// Agents are answered and sent commands only now: a command that starts a task must not be sent
+	// if a message of the same step cancels its job.
 	c.agents.answerHeartbeats()
 	c.agents.pushCommands()
 	c.runDuties()
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -2,13 +2,13 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// period tells when something that is done now and then is due again. The zero value is due.
+// period determines when a periodic action is due again. The zero value is due at once.
 type period struct {
 	lastAt units.Micros
 	begun  bool
 }
 
-// due reports whether the time has passed since it last was, and begins anew if so.
+// due reports whether length has passed since the action was last due; if so, a new period begins.
 func (p *period) due(now, length units.Micros) bool {
 	if p.begun && now-p.lastAt < length {
 		return false
@@ -17,7 +17,7 @@
 	return true
 }
 
-// periodOf is the period of a key, begun when it is first asked for.
+// periodOf returns the period of a key, which is created on first use.
 func periodOf[K comparable](periods map[K]*period, key K) *period {
 	p := periods[key]
 	if p == nil {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// duty is something that a controller does without being asked.
+// duty is an action that a controller performs without a request.
 type duty struct {
 	name   string
 	every  units.Micros // 0: at each step
@@ -65,7 +65,7 @@
 	}
 }
 
-// runDuties runs what is due.
+// runDuties runs the duties that are due.
 func (c *Controller) runDuties() {
 	for i := range c.duties {
 		if d := &c.duties[i]; d.period.due(c.now, d.every) {
@@ -74,7 +74,7 @@
 	}
 }
 
-// superviseLeadership looks after what leadership rests on: the watch, the partitions, the store's
+// superviseLeadership maintains what leadership depends on: the watch, the partitions, the store's
 // format and the machines.
 func (c *Controller) superviseLeadership() {
 	c.replicator.checkLag()
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -10,14 +10,14 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// environment is what all duties of a controller share: its configuration, the clocks of the present
-// step, the effects that the step has so far, and timers.
+// environment is the state that all duties of a controller share: its configuration, the clocks of the
+// present step, the effects that the step has so far, and timers.
 type environment struct {
 	cfg    *config.Config
 	policy *policy.Policy
 	log    *slog.Logger
 
-	now       units.Micros // steady clock
+	now       units.Micros // monotonic clock
 	timeOfDay units.Micros
 	effects   []Effect // of this step, in order
 
@@ -26,7 +26,7 @@
 	timers     []timer
 }
 
-// timer runs a function once, at the first step at or after a moment.
+// timer runs a function once, at the first step at or after dueAt.
 type timer struct {
 	dueAt units.Micros
 	run   func()
@@ -40,7 +40,7 @@
 	e.timers = append(e.timers, timer{e.now + delay, run})
 }
 
-// runTimers runs the timers that are due, in the order in which they were set, those included that
+// runTimers runs the timers that are due, in the order in which they were set, including those that
 // are set meanwhile.
 func (e *environment) runTimers() {
 	for {
@@ -54,18 +54,18 @@
 	}
 }
 
-// newCallID numbers a call, so that its result can be matched to it.
+// newCallID returns the ID of a new call, by which its result is matched to it.
 func (e *environment) newCallID() uint64 {
 	e.lastCallID++
 	return e.lastCallID
 }
 
-// reply answers a request that needs no further thought.
+// reply emits the reply to a request.
 func (e *environment) reply(requestID uint64, status int, body any) {
 	e.emit(Reply{RequestID: requestID, Status: status, Body: body})
 }
 
-// team is a team of the settings; nil if there is none of that name.
+// team returns the team of that name in the settings, or nil if there is none.
 func (e *environment) team(name string) *config.Team {
 	for i := range e.cfg.Settings.Teams {
 		if e.cfg.Settings.Teams[i].Name == name {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// partitionOf parts the teams among the partitions, by their order in the settings.
+// partitionOf returns the partition of a team. Teams are distributed by their order in the settings.
 func (e *environment) partitionOf(team string) int {
 	for i, t := range e.cfg.Settings.Teams {
 		if t.Name == team {
@@ -85,7 +85,7 @@
 	return 0
 }
 
-// decode reads a stored document. An unreadable one is logged and left out.
+// decode reads a stored document and reports whether it could; an unreadable one is logged.
 func (e *environment) decode(key string, value json.RawMessage, into any) bool {
 	if err := json.Unmarshal(value, into); err != nil {
 		e.log.Error("unreadable document", "key", key, "err", err)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Message is something that happened outside the controller: a request, the answer to a call, or a
-// heartbeat. The set is closed: the types of this file are all that there are.
+// Message is an event from outside the controller: a request, the answer to a call, or a heartbeat.
+// The set is closed: all message types are in this file.
 //
 //sumtype:decl
 type Message interface{ isMessage() }
@@ -23,14 +23,14 @@
 func (AgentResult) isMessage()      {}
 func (PeerHeartbeat) isMessage()    {}
 
-// UserRequestKind tells what a user asks for.
+// UserRequestKind is the operation that a user requests.
 type UserRequestKind int
 
-// What users ask for.
+// Operations that users request.
 const (
-	SubmitJob UserRequestKind = iota // accept a job; of a job that exists already, its status
-	QueryJob                         // a job's status
-	CancelJob                        // cancel a job; of a job that is over already, its status
+	SubmitJob UserRequestKind = iota // accept a job, or return its status if it exists already
+	QueryJob                         // return a job's status
+	CancelJob                        // cancel a job, or return its status if it is over already
 )
 
 // UserRequest is a user's request. It is answered by exactly one Reply, unless the process ends.
@@ -38,14 +38,14 @@
 	RequestID uint64
 	Kind      UserRequestKind
 	JobID     string      // empty when a submission is too malformed to have one
-	Job       *schema.Job // of a submission; nil when it is malformed
-	Malformed error       // what is malformed
+	Job       *schema.Job // the submitted job; nil when it is malformed
+	Malformed error       // the fault of a malformed request
 }
 
 // ReadyRequest is a health probe of a load balancer. It is answered in the same step.
 type ReadyRequest struct{ RequestID uint64 }
 
-// HeartbeatRequest is a worker agent's heartbeat. Its answer has the agent's commands.
+// HeartbeatRequest is a worker agent's heartbeat. Its answer carries the agent's commands.
 type HeartbeatRequest struct {
 	RequestID uint64
 	Heartbeat agent.Heartbeat
@@ -57,7 +57,7 @@
 	Response kv.Response
 }
 
-// CloudResult answers the CloudCall of the same id. What the operation does not return is zero.
+// CloudResult answers the CloudCall of the same id. Fields that the operation does not return are zero.
 type CloudResult struct {
 	CallID   uint64
 	Status   cloud.Status
@@ -67,19 +67,19 @@
 }
 
 // AgentResult answers the AgentCall of the same id. Heartbeat is nil if there was no answer: the
-// commands may yet be carried out, unless NotSent says that they never left.
+// commands may yet be carried out, unless NotSent says that they were never sent.
 type AgentResult struct {
 	CallID    uint64
 	Heartbeat *agent.Heartbeat
-	NotSent   bool         // the call could not leave in time: nothing was sent, and nothing will be
-	Waited    units.Micros // how long it waited for its turn; 0: not at all
+	NotSent   bool         // the call could not be sent in time: nothing was sent, and nothing will be
+	Waited    units.Micros // how long the call waited for a free slot; 0: not at all
 }
 
 // PeerHeartbeat is another controller's heartbeat. It may be late, repeated or lost.
 type PeerHeartbeat struct{ Heartbeat peer.Heartbeat }
 
-// Effect is something to do outside the controller. Effects are begun in their order. The set is
-// closed: the types of this file are all that there are.
+// Effect is an action to carry out outside the controller. Effects are started in their order. The set
+// is closed: all effect types are in this file.
 //
 //sumtype:decl
 type Effect interface{ isEffect() }
@@ -93,9 +93,9 @@
 // Reply answers the request of the same id.
 type Reply struct {
 	RequestID         uint64
-	Status            int // of HTTP
+	Status            int // HTTP status code
 	Body              any // encoded as JSON; nil: no body
-	RetryAfterSeconds int // when the request may be tried again; 0: not said
+	RetryAfterSeconds int // sent as Retry-After: when the request may be tried again; 0: not sent
 }
 
 // StoreCall calls the key-value store.
@@ -119,9 +119,9 @@
 type CloudCall struct {
 	CallID   uint64
 	Op       CloudOp
-	Rental   cloud.RentalRequest // of CloudRent
-	Machines cloud.MachineNames  // of CloudDelete
-	After    string              // of CloudList: the last machine of the page before
+	Rental   cloud.RentalRequest // for CloudRent
+	Machines cloud.MachineNames  // for CloudDelete
+	After    string              // for CloudList: the last machine of the previous page
 }
 
 // AgentCall pushes commands to a worker agent, or asks for its heartbeat when Commands is nil.
@@ -129,8 +129,8 @@
 	CallID   uint64
 	Address  string
 	Commands *agent.CommandRequest
-	// LeaveBefore is when the right ends under which the commands were decided, by the steady clock of
-	// Step: later they must not be sent. 0: no such moment.
+	// LeaveBefore is the time, by the monotonic clock of Step, from which the commands must not be sent
+	// any more: the proof of freshness they were decided on is then too old. 0: no such time.
 	LeaveBefore units.Micros
 }
 
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -7,10 +7,10 @@
 	"frostdock.example/frostdock/internal/peer"
 )
 
-// peerHeartbeat tells the other controllers now and then what is known here, as evidence for them: which
-// machines are heard, which of those that this controller commands take tasks, whether it reaches the
-// key-value store, which tasks have completed on its machines, and how many changes it makes. A
-// heartbeat may be lost, late or repeated; nobody waits for an answer.
+// peerHeartbeat periodically sends the other controllers what this controller knows, as evidence: which
+// machines it hears, which of those that it commands take tasks, whether it reaches the key-value store,
+// which tasks have completed on its machines, and how many changes it makes. A heartbeat may be lost,
+// late or repeated, and has no answer.
 type peerHeartbeat struct {
 	*environment
 	store       *storeClient
@@ -23,7 +23,7 @@
 	machines    taskAcceptance
 }
 
-// taskAcceptance tells which machines take tasks.
+// taskAcceptance decides which machines take tasks.
 type taskAcceptance interface {
 	// acceptsTasks reports whether a machine that this controller commands may be given tasks.
 	acceptsTasks(m *machine) bool
@@ -42,7 +42,7 @@
 	h.emit(BroadcastHeartbeat{heartbeat})
 }
 
-// openMachines lists the machines of led partitions that take tasks, with the images that are there.
+// openMachines returns the machines of led partitions that take tasks, with the images on each.
 func (h *peerHeartbeat) openMachines() map[string][]string {
 	open := map[string][]string{}
 	for name, m := range h.replica.machines {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,8 +5,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// peerTable keeps the latest heartbeat of each other controller. What a heartbeat says is evidence that
-// something was so a moment ago, never permission to act: that comes from the key-value store alone.
+// peerTable keeps the latest heartbeat of each other controller. A heartbeat is evidence of a state a
+// moment ago, never permission to act: only the key-value store grants that.
 type peerTable struct {
 	*environment
 	latest map[string]peerState // by member
@@ -22,23 +22,23 @@
 	return &peerTable{environment: env, latest: map[string]peerState{}}
 }
 
-// Times for which a heartbeat tells of the present.
+// Maximum ages of a heartbeat that counts as evidence of the present state.
 const (
 	peerHeartbeatLife = 3 * units.Second
-	peerWitnessLife   = 4 * units.Second // as a witness that a machine is heard
+	peerWitnessLife   = 4 * units.Second // as evidence that its sender hears a machine
 )
 
-// receive keeps a heartbeat.
+// receive stores a heartbeat as the latest one of its sender.
 func (t *peerTable) receive(heartbeat peer.Heartbeat) {
 	t.latest[heartbeat.Member] = peerState{receivedAt: t.now, heartbeat: heartbeat}
 }
 
-// heartbeatOf is the latest heartbeat of one process, if it is recent.
+// heartbeatOf returns the latest heartbeat of one process, if it is recent.
 func (t *peerTable) heartbeatOf(member, incarnation string) (peer.Heartbeat, bool) {
 	return t.heartbeatWithin(member, incarnation, peerHeartbeatLife)
 }
 
-// heartbeatWithin is the latest heartbeat of one process, if it is not older than that.
+// heartbeatWithin returns the latest heartbeat of one process, if it is not older than maxAge.
 func (t *peerTable) heartbeatWithin(member, incarnation string, maxAge units.Micros) (peer.Heartbeat, bool) {
 	state, ok := t.latest[member]
 	if !ok || state.heartbeat.Inc != incarnation || t.now-state.receivedAt > maxAge {
@@ -47,7 +47,7 @@
 	return state.heartbeat, true
 }
 
-// hears reports whether a process hears a machine; known is false if it cannot be asked.
+// hears reports whether a process hears a machine; known is false without a recent heartbeat from it.
 func (t *peerTable) hears(member, incarnation, machine string) (heard, known bool) {
 	heartbeat, known := t.heartbeatWithin(member, incarnation, peerWitnessLife)
 	if !known {
@@ -57,7 +57,7 @@
 	return listed && units.Micros(ago) < 2*t.cfg.Settings.HeartbeatPeriod(), true
 }
 
-// anyHeardWithin reports whether any other controller heard a machine less than so long ago.
+// anyHeardWithin reports whether any other controller heard a machine less than length ago.
 func (t *peerTable) anyHeardWithin(machine string, length units.Micros) bool {
 	for _, state := range t.latest {
 		if ago, ok := state.heartbeat.Heard[machine]; ok && t.now-state.receivedAt+units.Micros(ago) < length {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// anyReachesStore reports whether another controller says that it reaches the key-value store.
+// anyReachesStore reports whether a recent heartbeat says that its sender reaches the key-value store.
 func (t *peerTable) anyReachesStore() bool {
 	for _, state := range t.latest {
 		if t.now-state.receivedAt < peerHeartbeatLife && state.heartbeat.StateOK {
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	loadRetryDelay     = 300 * units.Millisecond // before a page is read again
-	layoutRetryDelay   = 100 * units.Millisecond // before all is loaded again by the layout that now is stored
-	watchWait          = 10 * units.Second       // that the store may wait with its answer for a change
-	watchRetryDelay    = 200 * units.Millisecond
-	watchRefusalDelay  = 100 * units.Millisecond
-	watchRequestsShare = 0.4 // the part of the permitted requests that the watch may take
+	loadRetryDelay     = 300 * units.Millisecond // before a failed read of a page is repeated
+	layoutRetryDelay   = 100 * units.Millisecond // before a reload with the layout that is stored by then
+	watchWait          = 10 * units.Second       // how long the store may hold a watch open without a change
+	watchRetryDelay    = 200 * units.Millisecond // before the next watch after an error
+	watchRefusalDelay  = 100 * units.Millisecond // before the next watch after a refused one
+	watchRequestsShare = 0.4                     // share of the permitted requests that the watch may use
 
 	unlocatedLogPeriod = units.Second
 
-	// maxWatchLag is how long the watch may lag behind what other answers show.
+	// maxWatchLag is how long the watch may lag behind the revision that other answers show.
 	maxWatchLag = units.Second
 )
 
@@ -28,20 +28,20 @@
 	return r.synced && r.watchRevision >= r.completeRevision
 }
 
-// beginLoad notes that the replica is not to be relied on until it has been loaded anew.
+// beginLoad marks the replica as unreliable until it has been reloaded.
 func (r *replica) beginLoad() { r.synced = false }
 
-// notePage notes the revision of a page. Pages are read at different moments, and what went from one
-// document to another meanwhile may stand in neither: the replica is complete only when the watch has
-// passed the latest page.
+// notePage records the revision of a page. Pages are read at different times, and an entry that moved
+// from one document to another meanwhile may be in neither: the replica is complete only once the watch
+// has passed the latest page.
 func (r *replica) notePage(revision uint64) { r.completeRevision = max(r.completeRevision, revision) }
 
-// beginSync notes that the replica follows the store from a revision as of which it was loaded.
+// beginSync records that the replica follows the store from the revision as of which it was loaded.
 func (r *replica) beginSync(revision uint64) {
 	r.watchRevision, r.synced = revision, true
 }
 
-// advance notes that the replica shows all changes up to a revision.
+// advance records that the replica shows all changes up to a revision.
 func (r *replica) advance(revision uint64) {
 	r.watchRevision = max(r.watchRevision, revision)
 	for key, deletedAt := range r.tombstones {
@@ -54,16 +54,16 @@
 	r.jobDirectory.advance(r.watchRevision)
 }
 
-// noteUnlocated tells of jobs and machines whose shard, since a split, was not shown at the end of an answer.
-// The watch shows it later; that it does not within an answer is unusual.
+// noteUnlocated logs jobs and machines whose shard after a split was not shown by the end of an answer.
+// The watch shows the shard later; it is unusual that the same answer does not.
 func (r *replica) noteUnlocated() {
 	if count := len(r.unlocatedJobs) + len(r.unlocatedMachines); count > 0 && r.unlocatedLog.due(r.env.now, unlocatedLogPeriod) {
 		r.env.log.Info("shards after a split not shown yet", "jobs", len(r.unlocatedJobs), "machines", len(r.unlocatedMachines), "revision", r.watchRevision)
 	}
 }
 
-// noteDeleted notes that a key was deleted by a commit of this process: until the watch has come so far
-// it may still show the key as it was before.
+// noteDeleted records that a commit of this process deleted a key: until the watch has reached that
+// revision, it may still show the key as it was before.
 func (r *replica) noteDeleted(key string, revision uint64) {
 	if revision > r.watchRevision {
 		r.tombstones[key] = revision
@@ -72,9 +72,9 @@
 
 // replicator loads the replica from the store and keeps it up to date by one watch.
 //
-// It promises that the replica is synced only while every change that the store made after the load
-// reaches it. What the store no longer has it loads anew from the start. It decides nothing on what it
-// shows, and does not say whether the replica is recent: that is freshness.
+// It guarantees that the replica is synced only while every change that the store made after the load
+// reaches it. If the store no longer has a change that the watch needs, everything is reloaded. It makes
+// no decisions on the contents, and does not track whether the replica is recent: freshness does.
 type replicator struct {
 	*environment
 
@@ -82,27 +82,27 @@
 	replica   *replica
 	freshness *freshness
 
-	watchID     int          // the watch that counts; answers to older ones are passed over
-	behindSince units.Micros // since when other answers show later changes than the watch; 0: they do not
+	watchID     int          // of the current watch; answers to older ones are ignored
+	behindSince units.Micros // since when other answers show later revisions than the watch; 0: they do not
 }
 
-// load reads everything under schema.ActivePrefix, then watches. It is the way in at the start and
-// whenever the watch has lost its place.
+// load reads everything under schema.ActivePrefix, then opens a watch. It runs at the start, and
+// whenever the watch can't continue from its revision.
 func (r *replicator) load() {
 	r.replica.beginLoad()
-	r.watchID++ // an answer to the present watch counts no more
+	r.watchID++ // an answer to the present watch is ignored from now on
 	l := &replicaLoad{replicator: r, seen: map[string]bool{}}
 	l.readPage("")
 }
 
-// replicaLoad reads the store page by page.
+// replicaLoad is one load of the replica, which reads the store page by page.
 type replicaLoad struct {
 	*replicator
-	seen         map[string]bool // keys that the pages have
-	baseRevision uint64          // of the first page: later changes are shown by the watch
+	seen         map[string]bool // keys on the pages read so far
+	baseRevision uint64          // of the first page; the watch shows later changes
 }
 
-// readPage reads the page after a key, until the store gives it.
+// readPage reads the page after a key, and retries until the store returns it.
 func (l *replicaLoad) readPage(after string) {
 	l.store.call(kv.Request{Kind: kv.List, Key: schema.ActivePrefix, After: after}, func(page kv.Response) {
 		if page.Status != kv.StatusOK {
@@ -129,7 +129,7 @@
 	l.finish()
 }
 
-// finish follows the last page.
+// finish completes the load after the last page, and stores a layout if the store has none.
 func (l *replicaLoad) finish() {
 	l.removeUnlisted()
 	if l.replica.layoutKnown {
@@ -139,7 +139,7 @@
 	}
 }
 
-// removeUnlisted removes from the replica what the pages do not have and was not written since.
+// removeUnlisted removes the keys that no page has and that were not written after the first page.
 func (l *replicaLoad) removeUnlisted() {
 	for key, revision := range l.replica.revisions {
 		if !l.seen[key] && revision <= l.baseRevision {
@@ -148,25 +148,25 @@
 	}
 }
 
-// beginWatch begins to follow the store from the revision as of which the replica was loaded.
+// beginWatch starts to follow the store from the revision as of which the replica was loaded.
 func (r *replicator) beginWatch(revision uint64) {
 	r.replica.beginSync(revision)
 	r.log.Info("replica loaded", "revision", revision, "complete_revision", r.replica.completeRevision, "jobs", len(r.replica.jobs), "machines", len(r.replica.machines))
 	r.watch()
 }
 
-// newLayout is the layout of a store that has none yet: one that fits what the store will permit.
+// newLayout returns the layout for a store that has none yet: one that fits its present and next limits.
 func newLayout(settings *config.Settings) schema.Layout {
 	tighter := settings.KVStore.Min(settings.NextKVLimits())
 	return schema.NewLayout(tighter.ValueKB, settings.TotalCPUQuota())
 }
 
-// writeLayout stores the layout of a store that has none. If another controller was first, or the
-// replica was loaded by another layout, all is loaded anew.
+// writeLayout stores a layout in a store that has none. If another controller was first, or the replica
+// was loaded with another layout, everything is reloaded.
 func (r *replicator) writeLayout(loadedRevision uint64) {
 	layout := newLayout(&r.cfg.Settings)
 	for key := range r.replica.revisions {
-		if strings.HasPrefix(key, schema.MachineShardPrefix) { // of a version without layouts
+		if strings.HasPrefix(key, schema.MachineShardPrefix) { // written by a version without layouts
 			layout = schema.InitialLayout(r.cfg.Settings.KVStore.ValueKB)
 		}
 	}
@@ -187,8 +187,9 @@
 	})
 }
 
-// checkLag opens a new watch when the present one has fallen behind: after a cut its connection may be
-// dead without an error, and when this controller alone was refused it waits as in an outage.
+// checkLag opens a new watch when the present one has fallen behind: after a network partition its
+// connection may be dead without an error, and if the store refused this controller alone, the watch
+// stays without changes as in an outage.
 func (r *replicator) checkLag() {
 	if !r.replica.synced || r.store.seenRevision <= r.replica.watchRevision {
 		r.behindSince = 0
@@ -198,13 +199,13 @@
 		r.behindSince = r.now
 	}
 	if r.now-r.behindSince > maxWatchLag {
-		r.behindSince = r.now + maxWatchLag // give the new one time before the next
+		r.behindSince = r.now + maxWatchLag // give the new watch time before the next one
 		r.log.Info("watch lagging, reopening", "revision", r.replica.watchRevision, "seen", r.store.seenRevision)
 		r.watch()
 	}
 }
 
-// watch asks for the changes after those that the replica shows; it takes the place of any other watch.
+// watch requests the changes after those that the replica shows, and replaces any other watch.
 func (r *replicator) watch() {
 	r.watchID++
 	w := &watchCall{replicator: r, id: r.watchID, openedAt: r.now}
@@ -216,8 +217,8 @@
 	}, w.handleAnswer)
 }
 
-// watchCall is a request for changes that is under way, or has been answered and is to be followed by
-// the next.
+// watchCall is a watch request that is in flight, or that was answered and will be followed by the next
+// one.
 type watchCall struct {
 	*replicator
 	id       int
@@ -252,16 +253,16 @@
 	w.freshness.releaseWaiters()
 }
 
-// delay is how long the next request waits after an answer.
+// delay returns how long to wait after an answer before the next request.
 func (w *watchCall) delay(answer kv.Response) units.Micros {
 	if len(answer.Events) == 0 && answer.Revision < w.store.seenRevision {
-		return watchRefusalDelay // the watch was refused: the answer tells nothing
+		return watchRefusalDelay // the watch was refused: the answer shows nothing
 	}
-	// While much changes, one answer should tell several changes.
+	// While changes are frequent, one answer should carry several of them.
 	return max(0, w.openedAt+w.store.requestInterval(watchRequestsShare)-w.now)
 }
 
-// continueWatch asks for further changes unless another watch has been opened.
+// continueWatch requests further changes, unless another watch or a reload has replaced this one.
 func (w *watchCall) continueWatch() {
 	if w.id == w.watchID && w.replica.synced {
 		w.watch()
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -8,20 +8,20 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestLayout starts controllers on stores that were laid out before. A controller with
-// other settings must go by the store's layout: it would look for machines in the wrong
-// documents, and start their tasks once more.
+// TestLayout starts controllers on new stores and on stores that have a layout. A controller with other
+// settings must use the stored layout: otherwise it would look for machines in the wrong documents and
+// start their tasks once more.
 func TestLayout(t *testing.T) {
 	const valueKB = 8
 	limited, unlimited := []config.Team{{Name: "red", QuotaCPUs: 1000}}, []config.Team{{Name: "red"}}
 	narrow, wide := schema.NewLayout(valueKB, 1000), schema.NewLayout(valueKB, 0)
 	if narrow == wide {
-		t.Fatal("the limit makes no difference")
+		t.Fatal("the quota makes no difference to the layout")
 	}
 	for name, tc := range map[string]struct {
 		teams  []config.Team
 		stored *schema.Layout
-		shards bool // of a store from before layouts
+		shards bool // the store has a machine shard from a version without layouts
 		want   schema.Layout
 	}{
 		"new store, limited":     {teams: limited, want: narrow},
@@ -53,7 +53,7 @@
 	}
 }
 
-// layoutConfig has one member, with such teams and longest value.
+// layoutConfig returns the configuration of one member with the given teams and value limit.
 func layoutConfig(teams []config.Team, valueKB float64) *config.Config {
 	cfg := &config.Config{Member: "a"}
 	settings := &cfg.Settings
@@ -63,7 +63,7 @@
 	return cfg
 }
 
-// startController runs a controller on the store until it has surely loaded.
+// startController runs a controller on the store for enough steps to load the replica.
 func (o *fakeStore) startController(t *testing.T, cfg *config.Config) *Controller {
 	t.Helper()
 	c := quietController(cfg)
@@ -77,13 +77,14 @@
 	return c
 }
 
-// registered is a registration as a page or an event of the store shows it.
+// registered returns a registration as a page or an event of the store shows it.
 func registered(member string, revision uint64) kv.KeyValue {
 	key := schema.RegistrationKey(member, member+".1")
 	return kv.KeyValue{Key: key, Value: encode(schema.Registration{Incarnation: member + ".1"}), ModRevision: revision}
 }
 
-// TestLoad loads two pages that were read at different moments over an earlier replica.
+// TestLoad reloads a replica from two pages that were read at different times. Keys that no page lists
+// are dropped, unless they were written after the first page.
 func TestLoad(t *testing.T) {
 	c := leaderOfOne()
 	store := &scriptedStore{t: t, c: c}
@@ -119,14 +120,14 @@
 	}
 }
 
-// TestWatchCompacted loads all anew when the store no longer has the changes that the watch lacks.
+// TestWatchCompacted checks that everything is reloaded once the store lacks changes that the watch needs.
 func TestWatchCompacted(t *testing.T) {
 	c := leaderOfOne()
 	store := &scriptedStore{t: t, c: c}
 	c.replicator.watch()
 	store.answer(kv.Response{Status: kv.StatusCompacted, Revision: 900})
 	if c.replica.synced || c.authority.mayAct() {
-		t.Error("a replica that lacks changes is relied on")
+		t.Error("a replica that lacks changes still counts as synced, or permits acting")
 	}
 	store.answer(kv.Response{Status: kv.StatusUnavailable})
 	if kind := store.requests[1].Kind; kind != kv.List {
@@ -134,8 +135,8 @@
 	}
 }
 
-// TestWatchLag opens a new watch when other answers show later changes for too long; what the old one
-// then still brings is passed over.
+// TestWatchLag checks that a new watch is opened when other answers show later changes for too long, and
+// that a late answer to the old one is ignored.
 func TestWatchLag(t *testing.T) {
 	c := leaderOfOne()
 	store := &scriptedStore{t: t, c: c}
@@ -147,7 +148,7 @@
 	c.now += maxWatchLag
 	c.replicator.checkLag()
 	if len(c.effects) != 0 {
-		t.Error("reopened before its time")
+		t.Error("watch reopened too early")
 	}
 	c.now++
 	c.replicator.checkLag()
@@ -160,12 +161,12 @@
 	c.effects = lagging
 	store.answer(kv.Response{Status: kv.StatusOK, Revision: 40})
 	if c.replica.watchRevision != 10 || len(c.effects) != 0 {
-		t.Errorf("the old watch brings the replica to %d", c.replica.watchRevision)
+		t.Errorf("the old watch advances the replica to revision %d", c.replica.watchRevision)
 	}
 	c.effects = reopened
 	event := registered("b", 35)
 	store.answer(kv.Response{Status: kv.StatusOK, Revision: 40, Events: []kv.Event{{Set: event.Key, Value: event.Value, ModRevision: 35}}})
 	if c.replica.watchRevision != 40 || c.replica.revisions[event.Key] != 35 {
-		t.Errorf("the new watch brings the replica to %d", c.replica.watchRevision)
+		t.Errorf("the new watch advances the replica to revision %d", c.replica.watchRevision)
 	}
 }
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -1,9 +1,9 @@
 package controller
 
-// stageShards stages every machine shard as it stands. A partition puts tasks of its own teams on any
-// machine, by writing them into the machine's shard; the leader of the machine's partition sees that
-// and commands the agent. So a team's quota is kept in one place, and each machine is commanded by one
-// controller only.
+// stageShards stages the present state of every machine shard that has no commit in flight. A partition
+// places tasks of its own teams on any machine by writing them into the machine's shard; the leader of
+// the machine's partition sees that and commands the agent. So a team's quota is enforced in one place,
+// and each machine is commanded by one controller only.
 func (p *plan) stageShards() {
 	for _, shard := range p.replica.machineShards {
 		if p.commits.isInFlight(shard.key) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// stageMachine stages a machine of a shard: whether it takes tasks, and what is free there.
+// stageMachine stages a machine of a shard: whether it takes tasks, and its free capacity.
 func (p *plan) stageMachine(shard *stagedShard, machine *machine) *stagedMachine {
 	m := &stagedMachine{machine: machine, shard: shard}
 	shard.machines = append(shard.machines, m)
@@ -52,7 +52,7 @@
 	return m
 }
 
-// currentOccupancy is what may be on a machine, worked out anew only when it may have changed.
+// currentOccupancy returns the occupancy of a machine, recomputed only when it may have changed.
 func (p *plan) currentOccupancy(m *machine, ownShard bool) *occupancy {
 	known := &m.occupancies[0]
 	if ownShard {
@@ -69,7 +69,7 @@
 	return shard.changed || !shard.oversized && p.budget.changes > 0 && p.budget.hasBytesFor(shard.shard.size)
 }
 
-// writeShard has the shard written by this plan.
+// writeShard marks the shard to be written by this plan and deducts it from the plan's budget.
 func (p *plan) writeShard(shard *stagedShard) {
 	if shard.markChanged() {
 		p.budget.takeChanges(1)
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -2,10 +2,10 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// This file builds the components and connects them. New calls these functions in the order in which they
-// stand: each uses only components that the ones before it have built.
+// This file builds the components and connects them. New calls its functions from top to bottom: each
+// uses only components that the ones before it have built.
 
-// wireReplication connects what keeps the replica.
+// wireReplication connects the components that maintain the replica.
 func (c *Controller) wireReplication() {
 	env := c.environment
 	withTeams := newTeamPartitions(env)
@@ -16,7 +16,7 @@
 	c.replicator = &replicator{environment: env, store: c.store, replica: c.replica, freshness: c.freshness}
 }
 
-// wireAuthority connects what decides whether this process may act and write.
+// wireAuthority connects the components that decide whether this process may act and write.
 func (c *Controller) wireAuthority(incarnation string) {
 	env := c.environment
 	c.membership = newMembership(env, c.store, c.replica, c.partitions, incarnation)
@@ -31,7 +31,7 @@
 	}
 }
 
-// wireCloud connects what deals with the cloud and with what its machines can take.
+// wireCloud connects the components for the cloud and for the capacity of its machines.
 func (c *Controller) wireCloud() {
 	c.cloud = newCloudClient(c.environment)
 	c.catalog = newCatalog(c.environment, c.cloud)
@@ -39,7 +39,7 @@
 	c.decommission = &decommissioner{environment: c.environment, replica: c.replica}
 }
 
-// wireAgents connects what deals with worker agents.
+// wireAgents connects the components for worker agents.
 func (c *Controller) wireAgents() {
 	env := c.environment
 	c.facts = &factSource{environment: env, replica: c.replica, authority: c.authority}
@@ -56,7 +56,7 @@
 	}
 }
 
-// wireLeadership connects what acquires partitions and raises the store's format.
+// wireLeadership connects the components that acquire partitions and raise the store's format.
 func (c *Controller) wireLeadership() {
 	env := c.environment
 	c.leaderships = &leadershipManager{
@@ -67,7 +67,7 @@
 	c.gate = &formatGate{environment: env, store: c.store, replica: c.replica, authority: c.authority, budget: c.budget, commits: c.commits}
 }
 
-// wireFleet connects what looks after machines that cannot be reached, and tells which may be given tasks.
+// wireFleet connects the components that handle unreachable machines and decide which may be given tasks.
 func (c *Controller) wireFleet() {
 	env := c.environment
 	c.fleet = &fleetMonitor{
@@ -83,12 +83,12 @@
 	c.acceptance = &machineAcceptance{environment: env, replica: c.replica, peers: c.peers, fleet: c.fleet}
 }
 
-// wireDemand connects what finds unmet demand.
+// wireDemand connects the component that finds unmet demand.
 func (c *Controller) wireDemand() {
 	c.demand = &demandFinder{environment: c.environment, replica: c.replica, catalog: c.catalog, writes: c.budget}
 }
 
-// wireAutoscaler connects what rents and returns machines.
+// wireAutoscaler connects the component that rents and returns machines.
 func (c *Controller) wireAutoscaler() {
 	c.autoscaler = newAutoscaler(c.environment, autoscalerDependencies{
 		replica: c.replica, cloud: c.cloud, catalog: c.catalog, decommission: c.decommission,
@@ -97,7 +97,7 @@
 	})
 }
 
-// wireRequests connects what answers users.
+// wireRequests connects the components that answer users, probes and other controllers.
 func (c *Controller) wireRequests() {
 	env := c.environment
 	c.dependencies = &dependencyGraph{environment: env, replica: c.replica}
@@ -123,7 +123,7 @@
 	}
 }
 
-// wirePlanner connects what plans.
+// wirePlanner connects the planner and the components that split documents.
 func (c *Controller) wirePlanner() {
 	env := c.environment
 	c.splits = &documentSplitter{environment: env, store: c.store, replica: c.replica, writes: c.budget}
@@ -131,8 +131,8 @@
 	c.planner = newPlanner(c)
 }
 
-// wireObserver connects what tells the duties of changes to the replica. It needs them, and they the
-// replica, so that it comes last; the replica is still empty.
+// wireObserver connects the component that informs the duties of changes to the replica. It needs the
+// duties, and they need the replica, so it comes last; the replica is still empty.
 func (c *Controller) wireObserver() {
 	c.replica.observer = &changeDispatcher{
 		environment: c.environment, store: c.store, replica: c.replica, partitions: c.partitions,
