--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -40,7 +40,7 @@
 }
 
 // commandsEnd returns the time before which commands decided now must be sent: when the proof of
-// freshness they are based on becomes too old to decide them. One that is sent later might start a task
+// freshness that they are based on becomes too old to decide them. One that is sent later might start a task
 // whose cancellation all other controllers have seen.
 func (a *authority) commandsEnd(withStart bool) units.Micros {
 	if withStart {
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -9,8 +9,9 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// leaderOfOne returns a controller that leads partition 0 and has full authority to act and start tasks.
-func leaderOfOne() *Controller {
+// newPartitionLeader returns a controller that leads partition 0 and has full authority to act and start
+// tasks.
+func newPartitionLeader() *Controller {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	cfg.Settings.Workers.HeartbeatS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 6, 31, 56
@@ -28,7 +29,7 @@
 // TestAuthority removes one precondition at a time from a leader that may act, and checks its permissions.
 func TestAuthority(t *testing.T) {
 	for name, tc := range map[string]struct {
-		take                      func(c *Controller)
+		remove                    func(c *Controller)
 		mayAct, mayStart, leading bool
 	}{
 		"nothing":            {func(*Controller) {}, true, true, true},
@@ -46,8 +47,8 @@
 		"the lease, but for a new entry": {func(c *Controller) { c.membership.abandonIncarnation(); c.membership.registered = true }, true, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := leaderOfOne()
-			tc.take(c)
+			c := newPartitionLeader()
+			tc.remove(c)
 			if got := c.authority.mayAct(); got != tc.mayAct {
 				t.Errorf("may act: %v", got)
 			}
@@ -64,7 +65,7 @@
 // TestProof checks that freshness is proven as of the time the revision read was sent, and only once the
 // watch has reached the revision.
 func TestProof(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	c.freshness.provenAt = 0
 	store := &scriptedStore{t: t, c: c}
 	sentAt := c.now
@@ -90,7 +91,7 @@
 // TestLeaseExpired checks that all leadership is given up once the store no longer knows the lease, and
 // kept while the store is unavailable.
 func TestLeaseExpired(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	store := &scriptedStore{t: t, c: c}
 	incarnation := c.membership.incarnation
 	c.membership.renew()
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -30,8 +30,8 @@
 
 // Delays before a request is repeated whose answer did not settle the outcome.
 const (
-	unclearRetryDelay = 150 * units.Millisecond // the store may have carried it out
-	refusedRetryDelay = 200 * units.Millisecond // this copy was refused, but an earlier one may have been carried out
+	unknownOutcomeRetryDelay = 150 * units.Millisecond // the store may have carried it out
+	refusedRetryDelay        = 200 * units.Millisecond // this copy was refused, but an earlier one may have been carried out
 )
 
 // committer commits transactions and tracks which keys they are about to change.
@@ -48,15 +48,15 @@
 	budget     *writeBudget
 	membership *membership
 
-	writeTags    uint64          // number of the last write tag
+	lastWriteTag uint64          // number of the last write tag
 	keysInFlight map[string]bool // keys of transactions whose outcome is not known yet
 }
 
 // newWriteTag returns a value that no other commit has, so that after an unknown outcome a reader can
 // distinguish this commit's writes from all others.
 func (c *committer) newWriteTag() string {
-	c.writeTags++
-	return c.membership.incarnation + "-" + strconv.FormatUint(c.writeTags, 36)
+	c.lastWriteTag++
+	return c.membership.incarnation + "-" + strconv.FormatUint(c.lastWriteTag, 36)
 }
 
 // markInFlight records that a transaction is about to change its keys.
@@ -98,11 +98,11 @@
 // conflict as "not applied by this transaction, as far as is known", and rely on what the replica then
 // shows.
 type pendingCommit struct {
-	committer *committer
-	txn       *kv.Txn
-	writeTag  string
-	unclear   bool // a copy was sent that may have been applied, or may yet be
-	done      func(commitResult)
+	committer      *committer
+	txn            *kv.Txn
+	writeTag       string
+	outcomeUnknown bool // a copy was sent that may have been applied, or may yet be
+	done           func(commitResult)
 }
 
 func (p *pendingCommit) send() {
@@ -114,9 +114,9 @@
 	case r.Status == kv.StatusOK:
 		p.applied(r.Revision)
 	case r.Status == kv.StatusUnknown:
-		p.unclear = true
-		p.committer.after(unclearRetryDelay, p.send)
-	case p.unclear:
+		p.outcomeUnknown = true
+		p.committer.after(unknownOutcomeRetryDelay, p.send)
+	case p.outcomeUnknown:
 		p.handleRefusedRepeat(r)
 	default:
 		p.handleRefusal(r)
@@ -174,7 +174,7 @@
 		case r.Status == kv.StatusOK, r.Status == kv.StatusNotFound:
 			notApplied()
 		default:
-			p.committer.after(unclearRetryDelay, func() { p.lookUp(notApplied) })
+			p.committer.after(unknownOutcomeRetryDelay, func() { p.lookUp(notApplied) })
 		}
 	})
 }
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -10,17 +10,17 @@
 // TestRegistrations checks that the format is raised only if every configured member is registered with
 // it and no process is registered with an earlier one.
 func TestRegistrations(t *testing.T) {
-	const now, before = schema.FormatDependencies, schema.FormatInitial
+	const current, previous = schema.FormatDependencies, schema.FormatInitial
 	for name, tc := range map[string]struct {
 		formats map[string]int // by member and incarnation
 		want    bool
 	}{
-		"all new":                       {map[string]int{"a/1": now, "b/1": now, "c/1": now}, true},
-		"one is missing":                {map[string]int{"a/1": now, "b/1": now}, false},
-		"one is old":                    {map[string]int{"a/1": now, "b/1": before, "c/1": now}, false},
-		"an old self is registered yet": {map[string]int{"a/1": now, "b/1": before, "b/2": now, "c/1": now}, false},
-		"one is registered twice":       {map[string]int{"a/1": now, "a/2": now, "b/1": now}, false},
-		"a stranger is old":             {map[string]int{"a/1": now, "b/1": now, "c/1": now, "d/1": before}, false},
+		"all new":                       {map[string]int{"a/1": current, "b/1": current, "c/1": current}, true},
+		"one is missing":                {map[string]int{"a/1": current, "b/1": current}, false},
+		"one is old":                    {map[string]int{"a/1": current, "b/1": previous, "c/1": current}, false},
+		"an old self is registered yet": {map[string]int{"a/1": current, "b/1": previous, "b/2": current, "c/1": current}, false},
+		"one is registered twice":       {map[string]int{"a/1": current, "a/2": current, "b/1": current}, false},
+		"a stranger is old":             {map[string]int{"a/1": current, "b/1": current, "c/1": current, "d/1": previous}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}, {Member: "c"}}}
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -14,9 +14,9 @@
 	// at once that the replica can't be proven current.
 	failureGrace = 500 * units.Millisecond
 
-	maxRevisionReads        = 2 // in flight at the same time
-	minRevisionReadInterval = 10 * units.Millisecond
-	revisionReadRequests    = 0.4 // share of the permitted requests that revision reads may use
+	maxRevisionReads          = 2 // in flight at the same time
+	minRevisionReadInterval   = 10 * units.Millisecond
+	revisionReadRequestsShare = 0.4 // share of the permitted requests that revision reads may use
 )
 
 // freshness tracks the time up to which the replica is proven to be complete.
@@ -49,30 +49,30 @@
 // keepProofRecent requests a read of the revision from time to time even if no caller waits for one,
 // since the right to act depends on a recent proof.
 func (f *freshness) keepProofRecent() {
-	again := proofPeriod
+	readInterval := proofPeriod
 	if f.store.failing {
-		again = proofRetryPeriod
+		readInterval = proofRetryPeriod
 	}
-	if f.replica.synced && len(f.awaitingRead) == 0 && f.now-f.readAt > again {
+	if f.replica.synced && len(f.awaitingRead) == 0 && f.now-f.readAt > readInterval {
 		f.awaitingRead = append(f.awaitingRead, func(bool) {})
 	}
 }
 
-// whenCurrent calls then with true once the replica is proven to be as recent as the store was at some
+// whenCurrent calls done with true once the replica is proven to be as recent as the store was at some
 // moment after this call, so that an answer is never older than any answer given before; or with false
 // when that can't be proven. One read of the store's revision serves all waiting callers.
-func (f *freshness) whenCurrent(then func(current bool)) {
+func (f *freshness) whenCurrent(done func(current bool)) {
 	if !f.replica.synced || f.store.failingFor(failureGrace) {
-		then(false)
+		done(false)
 		return
 	}
-	f.awaitingRead = append(f.awaitingRead, then)
+	f.awaitingRead = append(f.awaitingRead, done)
 	f.readRevision()
 }
 
 // readRevision reads the store's revision for all waiting callers, if the request rate permits it now.
 func (f *freshness) readRevision() {
-	tooSoon := f.now-f.readAt < max(minRevisionReadInterval, f.store.requestInterval(revisionReadRequests))
+	tooSoon := f.now-f.readAt < max(minRevisionReadInterval, f.store.requestInterval(revisionReadRequestsShare))
 	if len(f.awaitingRead) == 0 || f.readsInFlight >= maxRevisionReads || tooSoon {
 		return
 	}
@@ -94,12 +94,12 @@
 func (r *revisionRead) handleAnswer(response kv.Response) {
 	f := r.freshness
 	f.readsInFlight--
-	for _, then := range r.waiters {
+	for _, done := range r.waiters {
 		if response.Status != kv.StatusNotFound || response.Revision == 0 {
-			then(false)
+			done(false)
 			continue
 		}
-		f.awaitingRevision = append(f.awaitingRevision, revisionWaiter{response.Revision, r.sentAt, then})
+		f.awaitingRevision = append(f.awaitingRevision, revisionWaiter{response.Revision, r.sentAt, done})
 	}
 	f.releaseWaiters()
 }
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// failoverPriority is how long an orphaned partition is reserved for the least loaded process;
+	// failoverPriorityPeriod is how long an orphaned partition is reserved for the least loaded process;
 	// after that, any process may take it over.
-	failoverPriority = 2 * units.Second
+	failoverPriorityPeriod = 2 * units.Second
 
 	minLeadershipTime = 5 * units.Second // minimum time for which a partition is led before it is transferred
 	minProcessAge     = 8 * units.Second // minimum time for which its new leader has been registered
 )
 
-// machineTaker starts to command the agent of a machine whose partition this process leads.
-type machineTaker interface {
+// machineCommander starts to command the agent of a machine whose partition this process leads.
+type machineCommander interface {
 	beginCommand(m *machine, l *leadership)
 }
 
@@ -40,7 +40,7 @@
 	partitions *partitionTable
 	budget     *writeBudget
 	commits    *committer
-	machines   machineTaker
+	machines   machineCommander
 
 	orphanedSince map[int]units.Micros // when each partition was first seen without a registered leader
 }
@@ -120,14 +120,14 @@
 }
 
 // mayTakeOver reports whether this process may take over an orphaned partition: at once if it is the
-// successor, the least loaded process, else once the successor has had failoverPriority to do so.
+// successor, the least loaded process, else once failoverPriorityPeriod has passed.
 func (l *leadershipManager) mayTakeOver(partition int, successor processID) bool {
 	since, known := l.orphanedSince[partition]
 	if !known {
 		since = l.now
 		l.orphanedSince[partition] = since
 	}
-	return successor == l.membership.process() || l.now-since > failoverPriority
+	return successor == l.membership.process() || l.now-since > failoverPriorityPeriod
 }
 
 // removeOwnStaleRegistrations removes a registration of an earlier process of this member. That process
@@ -154,8 +154,8 @@
 		}
 		for _, partition := range l.partitions.ledPartitions() {
 			own := l.partitions.led[partition]
-			quiet := own.commitsInFlight == 0 && l.now-own.since > minLeadershipTime
-			if quiet && load[process]+l.partitions.withTeams.load(partition) < ownLoad {
+			transferable := own.commitsInFlight == 0 && l.now-own.since > minLeadershipTime
+			if transferable && load[process]+l.partitions.withTeams.load(partition) < ownLoad {
 				l.acquire(partition, process)
 				return
 			}
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestFailover checks that a process takes over an orphaned partition at once if it is the least loaded,
-// and otherwise only after the least loaded process has had failoverPriority to do so.
+// and otherwise only once failoverPriorityPeriod has passed.
 func TestFailover(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ownLoad, otherLoad int
@@ -19,11 +19,11 @@
 		"least to do":                {1, 100, 0, true},
 		"as much to do, first named": {100, 100, 0, true},
 		"more to do":                 {100, 1, 0, false},
-		"more to do, not long":       {100, 1, failoverPriority, false},
-		"more to do, let lie":        {100, 1, failoverPriority + 1, true},
+		"more to do, not long":       {100, 1, failoverPriorityPeriod, false},
+		"more to do, let lie":        {100, 1, failoverPriorityPeriod + 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := leaderOfOne()
+			c := newPartitionLeader()
 			own, other := c.membership.process(), newProcessID("b", "b.1")
 			load := map[processID]int{own: tc.ownLoad, other: tc.otherLoad}
 			successor := leastLoaded([]processID{own, other}, load)
@@ -39,7 +39,7 @@
 // TestAcquireConditions checks the conditions of a leader change: the registrations of this process and
 // of the new leader are unchanged, and the former one is no longer registered.
 func TestAcquireConditions(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	own, other := c.membership.process(), newProcessID("b", "b.1")
 	c.replica.revisions[own.registrationKey()] = 4
 	c.replica.revisions[other.registrationKey()] = 5
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -65,11 +65,11 @@
 	replica    *replica
 	partitions *partitionTable
 
-	firstIncarnation string
-	abandoned        int // number of abandoned incarnations
-	incarnation      string
-	leaseID          uint64
-	registered       bool // the registration was stored, and as far as known still holds
+	firstIncarnation      string
+	abandonedIncarnations int // count
+	incarnation           string
+	leaseID               uint64
+	registered            bool // the registration was stored, and is not known to have expired
 }
 
 func newMembership(env *environment, store *storeClient, replica *replica, partitions *partitionTable, incarnation string) *membership {
@@ -133,8 +133,8 @@
 
 // abandonIncarnation gives up all leadership and switches to a new incarnation, not yet registered.
 func (m *membership) abandonIncarnation() {
-	m.abandoned++
-	m.incarnation = m.firstIncarnation + "." + strconv.Itoa(m.abandoned)
+	m.abandonedIncarnations++
+	m.incarnation = m.firstIncarnation + "." + strconv.Itoa(m.abandonedIncarnations)
 	m.registered = false
 	m.partitions.resignAll()
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -24,8 +24,8 @@
 
 // Maximum ages of a heartbeat that counts as evidence of the present state.
 const (
-	peerHeartbeatLife = 3 * units.Second
-	peerWitnessLife   = 4 * units.Second // as evidence that its sender hears a machine
+	peerHeartbeatMaxAge = 3 * units.Second
+	peerHeardMaxAge     = 4 * units.Second // as evidence that its sender hears a machine
 )
 
 // receive stores a heartbeat as the latest one of its sender.
@@ -35,7 +35,7 @@
 
 // heartbeatOf returns the latest heartbeat of one process, if it is recent.
 func (t *peerTable) heartbeatOf(member, incarnation string) (peer.Heartbeat, bool) {
-	return t.heartbeatWithin(member, incarnation, peerHeartbeatLife)
+	return t.heartbeatWithin(member, incarnation, peerHeartbeatMaxAge)
 }
 
 // heartbeatWithin returns the latest heartbeat of one process, if it is not older than maxAge.
@@ -49,7 +49,7 @@
 
 // hears reports whether a process hears a machine; known is false without a recent heartbeat from it.
 func (t *peerTable) hears(member, incarnation, machine string) (heard, known bool) {
-	heartbeat, known := t.heartbeatWithin(member, incarnation, peerWitnessLife)
+	heartbeat, known := t.heartbeatWithin(member, incarnation, peerHeardMaxAge)
 	if !known {
 		return false, false
 	}
@@ -70,7 +70,7 @@
 // anyReachesStore reports whether a recent heartbeat says that its sender reaches the key-value store.
 func (t *peerTable) anyReachesStore() bool {
 	for _, state := range t.latest {
-		if t.now-state.receivedAt < peerHeartbeatLife && state.heartbeat.StateOK {
+		if t.now-state.receivedAt < peerHeartbeatMaxAge && state.heartbeat.StateOK {
 			return true
 		}
 	}
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -176,9 +176,9 @@
 		Conditions: []kv.Condition{{Key: schema.LayoutKey}},
 		Operations: []kv.Operation{{Set: schema.LayoutKey, Value: value}},
 	}
-	asLoaded := layout == r.replica.layout
+	sameLayout := layout == r.replica.layout
 	r.store.call(kv.Request{Kind: kv.Transact, Txn: txn}, func(response kv.Response) {
-		if response.Status != kv.StatusOK || !asLoaded {
+		if response.Status != kv.StatusOK || !sameLayout {
 			r.after(layoutRetryDelay, r.load)
 			return
 		}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -86,7 +86,7 @@
 // TestLoad reloads a replica from two pages that were read at different times. Keys that no page lists
 // are dropped, unless they were written after the first page.
 func TestLoad(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	store := &scriptedStore{t: t, c: c}
 	for _, item := range []kv.KeyValue{registered("gone", 3), registered("since", 50)} {
 		c.replica.apply(item.Key, item.Value, item.ModRevision, false)
@@ -122,7 +122,7 @@
 
 // TestWatchCompacted checks that everything is reloaded once the store lacks changes that the watch needs.
 func TestWatchCompacted(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	store := &scriptedStore{t: t, c: c}
 	c.replicator.watch()
 	store.answer(kv.Response{Status: kv.StatusCompacted, Revision: 900})
@@ -138,7 +138,7 @@
 // TestWatchLag checks that a new watch is opened when other answers show later changes for too long, and
 // that a late answer to the old one is ignored.
 func TestWatchLag(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	store := &scriptedStore{t: t, c: c}
 	c.replicator.watch()
 	lagging := c.effects
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -49,17 +49,17 @@
 	return done
 }
 
-// storeSilence is how long the store may go without an answer and still count as healthy.
-const storeSilence = 3 * units.Second
+// maxStoreSilence is how long the store may go without an answer and still count as healthy.
+const maxStoreSilence = 3 * units.Second
 
 // healthy reports whether the store answers this controller.
 func (s *storeClient) healthy() bool {
-	return !s.failing && s.now-s.answeredAt < storeSilence
+	return !s.failing && s.now-s.answeredAt < maxStoreSilence
 }
 
 // failingFor reports whether the store is failing and has given no answer for longer than a duration.
-func (s *storeClient) failingFor(long units.Micros) bool {
-	return s.failing && s.now-s.answeredAt > long
+func (s *storeClient) failingFor(duration units.Micros) bool {
+	return s.failing && s.now-s.answeredAt > duration
 }
 
 // requestInterval returns the time between requests of one kind that may use the given share of this
--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -12,9 +12,9 @@
 // Shares of the changes per second that the store permits. Not all controllers are busy at once, so the
 // shares add up to a little more than the whole; the store answers an excess with 429.
 const (
-	baseWriteShare    = 0.2  // each controller's, for accepts and cancellations
-	leadersWriteShare = 0.88 // of the leaders of partitions with teams, together
-	targetWriteUse    = 0.92 // the use that all controllers together aim at
+	baseWriteShare    = 0.2  // guaranteed to each controller, for accepts and cancellations
+	leadersWriteShare = 0.88 // divided among the leaders of partitions with teams
+	targetWriteUse    = 0.92 // that all controllers together aim to use
 )
 
 // minSavedChanges is the lower bound of maxCredit, in changes, unless the store permits fewer changes a
@@ -64,7 +64,7 @@
 // rate returns this controller's share of the permitted changes, per second: most of them go to the
 // leaders of partitions with teams, the rest to all controllers.
 func (b *writeBudget) rate() float64 {
-	whole := b.store.limits.WriteRPS
+	permittedRate := b.store.limits.WriteRPS
 	leaders := map[string]bool{}
 	leading := false
 	for _, n := range b.partitions.withTeams {
@@ -73,9 +73,9 @@
 		}
 		leading = leading || b.partitions.led[n] != nil
 	}
-	rate := baseWriteShare * whole
+	rate := baseWriteShare * permittedRate
 	if leading {
-		rate = max(rate, leadersWriteShare*whole/float64(max(1, len(leaders))), b.unusedRate())
+		rate = max(rate, leadersWriteShare*permittedRate/float64(max(1, len(leaders))), b.unusedRate())
 	}
 	return rate
 }
