--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -10,7 +10,7 @@
 )
 
 // Shares of the changes per second that the store permits. Not all controllers are busy at once, so the
-// shares add up to a little more than the whole; the store answers an excess with 429.
+// shares add up to a little more than the whole; the 429 of the store corrects what is too much.
 const (
 	baseWriteShare    = 0.2  // guaranteed to each controller, for accepts and cancellations
 	leadersWriteShare = 0.88 // divided among the leaders of partitions with teams
