--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -9,8 +9,9 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// leaderOfOne is a controller that leads partition 0 and may do all that a controller may.
-func leaderOfOne() *Controller {
+// newPartitionLeader returns a controller that leads partition 0 and has full authority to act and start
+// tasks.
+func newPartitionLeader() *Controller {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	cfg.Settings.Workers.HeartbeatS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 6, 31, 56
@@ -25,10 +26,10 @@
 	return c
 }
 
-// TestAuthority takes one thing at a time from a leader that may act.
+// TestAuthority removes one precondition at a time from a leader that may act, and checks its permissions.
 func TestAuthority(t *testing.T) {
 	for name, tc := range map[string]struct {
-		take                      func(c *Controller)
+		remove                    func(c *Controller)
 		mayAct, mayStart, leading bool
 	}{
 		"nothing":            {func(*Controller) {}, true, true, true},
@@ -46,8 +47,8 @@
 		"the lease, but for a new entry": {func(c *Controller) { c.membership.abandonIncarnation(); c.membership.registered = true }, true, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := leaderOfOne()
-			tc.take(c)
+			c := newPartitionLeader()
+			tc.remove(c)
 			if got := c.authority.mayAct(); got != tc.mayAct {
 				t.Errorf("may act: %v", got)
 			}
@@ -61,9 +62,10 @@
 	}
 }
 
-// TestProof proves freshness as of when the read was sent, and only once the watch has come so far.
+// TestProof checks that freshness is proven as of the time the revision read was sent, and only once the
+// watch has reached the revision.
 func TestProof(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	c.freshness.provenAt = 0
 	store := &scriptedStore{t: t, c: c}
 	sentAt := c.now
@@ -76,7 +78,7 @@
 	})
 	store.answer(kv.Response{Status: kv.StatusNotFound, Revision: 12})
 	if c.freshness.provenAt != 0 || released != 0 {
-		t.Errorf("proven at %d before the watch has come to the revision", c.freshness.provenAt)
+		t.Errorf("proven at %d before the watch has reached the revision", c.freshness.provenAt)
 	}
 	c.replica.advance(12)
 	c.freshness.releaseWaiters()
@@ -86,16 +88,16 @@
 	}
 }
 
-// TestLeaseExpired gives up all leadership when the store does not know the lease any more, and
-// keeps it while the store does not answer.
+// TestLeaseExpired checks that all leadership is given up once the store no longer knows the lease, and
+// kept while the store is unavailable.
 func TestLeaseExpired(t *testing.T) {
-	c := leaderOfOne()
+	c := newPartitionLeader()
 	store := &scriptedStore{t: t, c: c}
 	incarnation := c.membership.incarnation
 	c.membership.renew()
 	store.answer(kv.Response{Status: kv.StatusUnavailable})
 	if len(c.partitions.led) != 1 || c.membership.incarnation != incarnation {
-		t.Error("leadership given up though the lease may live")
+		t.Error("leadership given up though the lease may not have expired")
 	}
 	store.answer(kv.Response{Status: kv.StatusNotFound, Revision: 12})
 	if len(c.partitions.led) != 0 || c.membership.incarnation == incarnation || c.membership.registered {
@@ -103,7 +105,8 @@
 	}
 }
 
-// TestRegistrationUnclear takes a new incarnation when it is not known whether one was registered.
+// TestRegistrationUnclear checks that the process takes a new incarnation when it is unknown whether one
+// was registered.
 func TestRegistrationUnclear(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
