--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,12 +1,12 @@
-// Package api reads and checks what users submit: Parse turns a request body into a
-// [schema.Job], and CheckFeasible tells whether a job can ever run.
+// Package api parses and validates job submissions: Parse turns a request body into a
+// [schema.Job], and CheckFeasible checks whether the job can ever run.
 //
-// A body that is no valid submission gives a *MalformedError, a job that can never run an
-// *InfeasibleError. Their texts are shown to users and are part of the API: they name fields as
+// Parse returns a *MalformedError for an invalid body, and CheckFeasible an *InfeasibleError for a
+// job that can never run. Their texts are shown to users and are part of the API: they name fields as
 // users write them.
 //
-// Parse accepts only jobs whose values are in range, so nobody else checks them. It knows fields by
-// their exact names and ignores all others: a name in other case is another field. Of a name that
-// stands twice the last value counts, for every field. The package keeps no state and asks nobody:
-// what is accepted depends on the arguments alone.
+// Parse accepts only jobs whose values are in range, so later code does not check them again. It matches
+// field names exactly, including case, and ignores unknown fields. If a name occurs twice, the last value
+// counts, for every field. The package keeps no state and calls no other service: the results depend
+// on the arguments alone.
 package api
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -2,14 +2,14 @@
 
 import "errors"
 
-// MalformedError says why a request body is no valid submission.
+// MalformedError reports why a request body is not a valid submission.
 type MalformedError struct {
-	Field  string // the field that is wrong, as users write it; empty: the body as a whole
+	Field  string // name of the invalid field, as users write it; empty: the body as a whole
 	Reason string
-	Err    error // of the JSON decoder, or nil
+	Err    error // from the JSON decoder, or nil
 }
 
-// Error is the text that users are shown.
+// Error returns the text that is shown to users.
 func (e *MalformedError) Error() string {
 	text := e.Reason
 	if e.Field != "" {
@@ -24,11 +24,11 @@
 // Unwrap returns the error of the JSON decoder, or nil.
 func (e *MalformedError) Unwrap() error { return e.Err }
 
-// InfeasibleError says why a job can never run. It wraps one of ErrOverQuota, ErrNoMachineType
+// InfeasibleError reports why a job can never run. It wraps one of ErrOverQuota, ErrNoMachineType
 // and config.ErrUnknownTeam.
 type InfeasibleError struct{ Reason error }
 
-// Error is the text that users are shown.
+// Error returns the text that is shown to users.
 func (e *InfeasibleError) Error() string { return e.Reason.Error() }
 
 // Unwrap returns the reason.
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -9,9 +9,9 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// CheckFeasible returns an *InfeasibleError if a job can never run, whatever else does: if
+// CheckFeasible returns an *InfeasibleError if a job can never run, even on an idle cluster: if
 // its team is unknown, if it needs more than the team's quota, or if no machine type
-// takes one of its tasks in a zone that the job allows.
+// fits one of its tasks in a zone that the job allows.
 func CheckFeasible(job *schema.Job, teams []config.Team, types []cloud.MachineType) error {
 	team := findTeam(teams, job.Team)
 	switch {
@@ -25,7 +25,7 @@
 	return nil
 }
 
-// findTeam returns the settings of a team, or nil. Of teams with the same name the last one counts.
+// findTeam returns the settings of a team, or nil. If several teams have the name, the last one counts.
 func findTeam(teams []config.Team, name string) *config.Team {
 	var found *config.Team
 	for i := range teams {
@@ -47,7 +47,7 @@
 		team.QuotaGPUs > 0 && job.GPUs*tasksAtOnce > team.QuotaGPUs
 }
 
-// fitsAnyType reports whether some machine type takes a task, and is offered in an allowed zone.
+// fitsAnyType reports whether a task fits some machine type that is offered in an allowed zone.
 func fitsAnyType(job *schema.Job, types []cloud.MachineType) bool {
 	for i := range types {
 		if TaskFits(job, &types[i]) && offeredInZone(&types[i], job.Zone) {
@@ -57,7 +57,7 @@
 	return false
 }
 
-// offeredInZone reports whether a type is offered in the zone, or, if that is empty, in any.
+// offeredInZone reports whether a type is offered in the zone; if zone is empty, in any zone.
 func offeredInZone(machineType *cloud.MachineType, zone string) bool {
 	if zone == "" {
 		return len(machineType.Zones) > 0
@@ -70,7 +70,7 @@
 	return AllowsType(job, machineType.Name) && job.CPUs <= machineType.CPUs && job.GPUs <= machineType.GPUs && job.MemGB <= machineType.MemGB
 }
 
-// AllowsType reports whether the job names the machine type, or none at all.
+// AllowsType reports whether the job allows the machine type: it lists the type, or lists none.
 func AllowsType(job *schema.Job, name string) bool {
 	return len(job.Types) == 0 || slices.Contains(job.Types, name)
 }
--- a/internal/api/feasibility_test.go
+++ b/internal/api/feasibility_test.go
@@ -9,7 +9,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestCheckFeasible tells why a job can never run, by its error and by the text that users see.
+// TestCheckFeasible checks the error of infeasible jobs, and its text, which users see.
 func TestCheckFeasible(t *testing.T) {
 	teams := []config.Team{{Name: "vision", QuotaCPUs: 32, QuotaGPUs: 2}, {Name: "open"}}
 	types := []cloud.MachineType{
--- a/internal/api/submission.go
+++ b/internal/api/submission.go
@@ -13,7 +13,7 @@
 
 // Limits of a submission.
 const (
-	MaxBodyBytes = 64 << 10 // of the request body
+	MaxBodyBytes = 64 << 10 // length of the request body
 	MaxTasks     = schema.MaxTasks
 
 	maxTextLength     = 200
@@ -36,8 +36,8 @@
 // ValidJobID reports whether id has the form of a job id.
 func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// submission is the body of a submission but for the job's id; pointers tell a missing field from a zero.
-// It is decoded by decode, not by encoding/json, which would also take names in other case.
+// submission is the body of a submission without the job's id. Pointers distinguish a missing field from a
+// zero value. It is decoded by decode, since encoding/json would also match names that differ in case.
 type submission struct {
 	Class                     *string  `json:"lot"`
 	Team                      *string  `json:"crew"`
@@ -61,9 +61,9 @@
 	Needs                     []string `json:"waitsOn"`
 }
 
-// Parse decodes a submission. Errors are of type *MalformedError. When the body is malformed but
-// its id can be read, the id is returned with the error: a repeat of a known job is answered
-// by its id, whatever else the body says.
+// Parse decodes a submission and returns the job and its id. Errors are of type *MalformedError. If the
+// body is malformed but its id is valid, the id is returned with the error: the repeated submission
+// of an existing job is answered by the id, whatever else the body contains.
 func Parse(body []byte) (*schema.Job, string, error) {
 	fields, err := parseFields(body)
 	if err != nil {
@@ -84,12 +84,12 @@
 	return job, id, nil
 }
 
-// rawFields is a body read once: values by the exact names of the fields. All that is checked and used is
-// taken from here, so that no two parts of the program can read the body differently. Of a name that
-// stands twice the last value counts.
+// rawFields holds the values of a body, parsed once, by exact field name. All checks and uses read the
+// fields from here, so that no two parts of the program can interpret the body differently. If a name
+// occurs twice, the last value counts.
 type rawFields map[string]json.RawMessage
 
-// parseFields reads a body that is one JSON object, whatever is in it.
+// parseFields parses a body, which must be one JSON object, without checking its fields.
 func parseFields(body []byte) (rawFields, error) {
 	if len(body) > MaxBodyBytes {
 		return nil, &MalformedError{Reason: "body over 64 KiB"}
@@ -108,7 +108,7 @@
 	return object, nil
 }
 
-// jobID reads the id of the job.
+// jobID returns the id of the job, or an error if it is missing or invalid.
 func (f rawFields) jobID() (string, error) {
 	var id string
 	if err := json.Unmarshal(f["uid"], &id); err != nil || !ValidJobID(id) {
@@ -117,8 +117,8 @@
 	return id, nil
 }
 
-// decode takes the fields by the exact names in the tags of s, or returns an error for the first one of
-// another JSON type.
+// decode sets the fields of s by the exact names in their tags. It returns an error for the first field
+// with the wrong JSON type.
 func (s *submission) decode(fields rawFields) error {
 	target := reflect.ValueOf(s).Elem()
 	for i := range target.NumField() {
@@ -129,7 +129,7 @@
 		}
 		if err := json.Unmarshal(raw, target.Field(i).Addr().Interface()); err != nil {
 			var typeError *json.UnmarshalTypeError
-			if errors.As(err, &typeError) { // as the decoder tells of the field of a struct
+			if errors.As(err, &typeError) { // as encoding/json sets them for a field of a struct
 				typeError.Struct, typeError.Field = target.Type().Name(), name
 			}
 			return &MalformedError{Reason: "field", Err: err}
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// job checks all fields and returns the job, or an error for the first field that is wrong. The
-// order of the checks decides which field that is.
+// job checks all fields and returns the job, or an error for the first invalid field, in the order of
+// the checks.
 func (s *submission) job(id string) (*schema.Job, error) {
 	var check validator
 	job := &schema.Job{
@@ -168,8 +168,8 @@
 		job.Zone = check.text("yard", s.Zone)
 	}
 	job.Needs = check.jobIDs("waitsOn", s.Needs)
-	if check.first != nil {
-		return nil, check.first
+	if check.firstError != nil {
+		return nil, check.firstError
 	}
 	return job, nil
 }
--- a/internal/api/submission_test.go
+++ b/internal/api/submission_test.go
@@ -13,7 +13,7 @@
  "cpus":8.0,"cards":1.0,"memoryGb":64.0,"pattern":"img-07","sizeGb":6.2,"stocks":["g8"],"yard":null,
  "samePlace":true,"spread":false,"loaners":true,"sawS":240.0,"stackS":30.0,"stowS":4.0,"dueS":900.0,"later":1}`
 
-// TestParse reads a submission, and of malformed ones the id where it can be read.
+// TestParse parses a valid submission, and malformed ones, of which the id is returned if it is valid.
 func TestParse(t *testing.T) {
 	j, id, err := Parse([]byte(validSubmission))
 	if err != nil || id != "j-000412" || j.Tasks != 16 || j.Priority != 2 || !j.OneZone || j.Zone != "" || j.DeadlineSeconds != 900 {
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestMalformedError names the field that is wrong, in the text that users see.
+// TestMalformedError checks which field an error names, and its text, which users see.
 func TestMalformedError(t *testing.T) {
 	for _, tc := range []struct{ old, new, field, text string }{
 		{validSubmission, `null`, "", "not an object"},
@@ -54,7 +54,7 @@
 		{`"urgent"`, `null`, "grade", "grade: missing, empty or too long"},
 		{`"pieces":16`, `"pieces":0`, "pieces", "pieces: missing or not from 1 to 100000"},
 		{`"later":1`, `"waitsOn":["x-1"]`, "waitsOn", `waitsOn: "x-1" is not of the form j-000412`},
-		{`"crew":"vision","cut":"array"`, `"crew":"","cut":""`, "crew", "crew: missing, empty or too long"}, // of two, the first
+		{`"crew":"vision","cut":"array"`, `"crew":"","cut":""`, "crew", "crew: missing, empty or too long"}, // of two invalid fields, the first
 	} {
 		_, _, err := Parse([]byte(strings.Replace(validSubmission, tc.old, tc.new, 1)))
 		var malformed *MalformedError
@@ -64,7 +64,7 @@
 	}
 }
 
-// TestNeeds reads which jobs a submission waits for: none, null and repeats are normal.
+// TestNeeds parses the dependencies of a submission. An absent, null or empty list and repeated ids are valid.
 func TestNeeds(t *testing.T) {
 	for text, want := range map[string][]string{
 		`"later":1`:      nil,
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestFieldNames sends names in other case, which are unknown fields, and names that stand twice, of
-// which the last one counts. The id of the job is always the one that was checked.
+// TestFieldNames parses names that differ in case, which are unknown fields, and names that occur twice, of
+// which the last value counts. The id of the job is always the one that was checked.
 func TestFieldNames(t *testing.T) {
 	for _, tc := range []struct{ name, old, new, id, text string }{
 		{"known by exact name only", `"later":1`, `"CPUS":-1,"Crew":"","PIECES":"x","waitson":7`, "j-000412", ""},
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestFieldOfOtherType has a field of another type, which is told in the words of the JSON decoder, before
-// whatever else is wrong.
+// TestFieldOfOtherType parses fields of the wrong JSON type: the error has the text of the JSON decoder and
+// takes precedence over other errors.
 func TestFieldOfOtherType(t *testing.T) {
 	for _, tc := range []struct{ old, new, text string }{
 		{`"sawS":240.0`, `"sawS":"long"`, "field: json: cannot unmarshal string into Go struct field submission.sawS of type float64"},
@@ -123,8 +123,8 @@
 	}
 }
 
-// FuzzParse checks that whatever is accepted is in range and can be stored, under the id that was
-// checked, and that it is what the body without its unknown fields says.
+// FuzzParse checks that an accepted job is in range, can be encoded and has the checked id, and that
+// removing unknown fields from the body does not change it.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"uid":"j-1"}`))
@@ -149,7 +149,7 @@
 	})
 }
 
-// withoutUnknownFields returns the body with the fields of a submission alone.
+// withoutUnknownFields returns the body with only the fields of a submission.
 func withoutUnknownFields(t *testing.T, body []byte) []byte {
 	t.Helper()
 	var all map[string]json.RawMessage
@@ -172,17 +172,12 @@
 	return encoded
 }
 
-// TestIDInOtherCase sends a second id whose name differs in case only: the JSON decoder takes it for the
-// same field. It must neither take the place of the checked id nor end the process.
+// TestIDInOtherCase parses a second id whose name differs in case only, "UID", which encoding/json matches
+// to the same struct field. The second id must neither replace the checked one nor crash the process.
 //
-// What happened: a controller that got "uid" and "UID":null ended with "invalid memory address or nil
-// pointer dereference" in (*submission).job, called by Parse, and so did the next one to which the user
-// repeated the submission. With a text in "UID" the job was accepted under that text, unchecked.
-//
-// Why: the body was read twice, by two rules. The id was checked in a map, whose names are exact; all
-// fields, the id again among them, were decoded into a struct, for which encoding/json also takes names
-// in other case. Two built controllers on loopback showed it: both sent no answer, and their logs held
-// the panic with that stack.
+// The body was once read twice, by two rules: the id was checked in a map with exact names, and all fields
+// were decoded into a struct. "UID":null then caused a nil pointer dereference in (*submission).job, in
+// both of two controllers that got the submission, and a text in "UID" was accepted unchecked as the id.
 func TestIDInOtherCase(t *testing.T) {
 	for _, second := range []string{`null`, `"x/y"`} {
 		body := strings.Replace(validSubmission, `"later":1`, `"UID":`+second, 1)
--- a/internal/api/validator.go
+++ b/internal/api/validator.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// validator reads the fields of a submission and keeps the error of the first one that is wrong.
-// Its methods return the value of a field; after an error the value means nothing.
-type validator struct{ first *MalformedError }
+// validator checks the fields of a submission and keeps the error of the first invalid one.
+// Its methods return the value of a field; after an error the value is meaningless.
+type validator struct{ firstError *MalformedError }
 
-// require notes an error unless the condition holds or one has been noted before.
+// require records an error if the condition is false and none has been recorded before.
 func (v *validator) require(condition bool, field, reason string) {
-	if !condition && v.first == nil {
-		v.first = &MalformedError{Field: field, Reason: reason}
+	if !condition && v.firstError == nil {
+		v.firstError = &MalformedError{Field: field, Reason: reason}
 	}
 }
 
-// text reads a field that must be there and not be empty.
+// text returns a string field, which must be present, not empty and not longer than maxTextLength.
 func (v *validator) text(field string, value *string) string {
 	if value == nil || *value == "" || len(*value) > maxTextLength {
 		v.require(false, field, "missing, empty or too long")
@@ -26,13 +26,13 @@
 	return *value
 }
 
-// number reads a field that must be there and not be negative.
+// number returns a numeric field, which must be present and from 0 to maxNumber.
 func (v *validator) number(field string, value *float64) float64 {
 	v.require(value != nil, field, "missing")
 	return v.optionalNumber(field, value)
 }
 
-// optionalNumber reads a field that must not be negative; 0 if it is missing.
+// optionalNumber returns a numeric field, which must be from 0 to maxNumber; 0 if it is missing.
 func (v *validator) optionalNumber(field string, value *float64) float64 {
 	if value == nil {
 		return 0
@@ -42,7 +42,7 @@
 	return *value
 }
 
-// flag reads a field that must be there.
+// flag returns a Boolean field, which must be present.
 func (v *validator) flag(field string, value *bool) bool {
 	if value == nil {
 		v.require(false, field, "missing")
@@ -51,21 +51,21 @@
 	return *value
 }
 
-// service reads the kind of a job: whether it is a service, and not an array.
+// service checks the kind of a job and reports whether it is a service; otherwise it is an array.
 func (v *validator) service(field string, value *string) bool {
 	kind := v.text(field, value)
 	v.require(kind == kindArray || kind == kindService, field, "unknown")
 	return kind == kindService
 }
 
-// priority reads the rank of a priority.
+// priority returns the rank of a priority name.
 func (v *validator) priority(field string, value *string) int {
 	rank, known := priorities[v.text(field, value)]
 	v.require(known, field, "unknown")
 	return rank
 }
 
-// taskCount reads how many tasks a job has.
+// taskCount returns the number of tasks, which must be from 1 to MaxTasks.
 func (v *validator) taskCount(field string, value *int) int {
 	if value == nil || *value < 1 || *value > MaxTasks {
 		v.require(false, field, "missing or not from 1 to 100000")
@@ -74,7 +74,7 @@
 	return *value
 }
 
-// typeNames reads the allowed machine types; a list that is missing allows all.
+// typeNames returns the allowed machine types. A missing list allows all types; an empty one is an error.
 func (v *validator) typeNames(field string, names []string) []string {
 	v.require(names == nil || len(names) > 0, field, "empty")
 	v.require(len(names) <= maxTypes, field, "too many")
@@ -84,7 +84,7 @@
 	return names
 }
 
-// jobIDs reads the ids of jobs, each once.
+// jobIDs returns a list of job ids without duplicates.
 func (v *validator) jobIDs(field string, ids []string) []string {
 	invalid := func(id string) bool { return !ValidJobID(id) }
 	if i := slices.IndexFunc(ids, invalid); i >= 0 {
@@ -93,7 +93,7 @@
 	return deduplicate(ids)
 }
 
-// deduplicate keeps the first of equal names.
+// deduplicate returns the names in their order, each once.
 func deduplicate(names []string) []string {
 	var unique []string
 	seen := make(map[string]bool, len(names))
--- a/internal/controller/acceptance.go
+++ b/internal/controller/acceptance.go
@@ -1,7 +1,7 @@
 package controller
 
-// machineAcceptance tells which machines may be given tasks: of those that this controller commands by
-// what it knows of their agents, of others by what their leaders say in heartbeats. It keeps nothing.
+// machineAcceptance decides which machines may be given tasks: for machines that this controller commands
+// by the state of their agents, for others by the heartbeats of their leaders. It keeps no state.
 type machineAcceptance struct {
 	*environment
 	replica *replica
@@ -17,8 +17,8 @@
 		state.tokenSeen == a.replica.fencingToken(m) && !state.command.unclear() && !a.fleet.unreachableInbound(m)
 }
 
-// foreignMachineOpen reports whether the leader of another partition's machine says that it takes work,
-// and which images are there.
+// foreignMachineOpen reports whether the heartbeat of the leader that commands a machine lists it as
+// accepting tasks, and which images the machine holds.
 func (a *machineAcceptance) foreignMachineOpen(m *machine) ([]string, bool) {
 	partition := a.replica.partitions[m.shard.partition]
 	if partition == nil {
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -12,10 +12,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// acceptQueue stores submissions. It owns those that wait to be stored and the one transaction that
-// stores some of them. It promises that a job is durable before its submission is answered 201, that
-// a job is entered once, and that none is entered that has an outcome already. It never decides whether
-// a submission may be accepted: what is queued has been validated, and its dependencies are resolved.
+// acceptQueue stores submissions. It owns the submissions that wait to be stored and the one transaction in
+// flight that stores some of them. It guarantees that a job is durable before its submission is answered
+// 201, that a job is stored once, and that no job with an outcome is stored. It never decides whether a
+// submission may be accepted: queued submissions are validated, and their dependencies are resolved.
 type acceptQueue struct {
 	*environment
 	store    *storeClient
@@ -25,19 +25,19 @@
 	budget   *writeBudget
 	commits  shardWriter
 
-	pending       []pendingAccept
+	pending       []pendingSubmission
 	inFlight      bool
-	notBefore     units.Micros // when the store may take more
-	afterRevision uint64       // the replica must have come this far before the next are stored
+	notBefore     units.Micros // no transaction before this time, after the store has throttled one
+	afterRevision uint64       // revision that the replica must have reached before the next transaction
 }
 
-// transactor carries out transactions on the store. done runs once, with the truth.
+// transactor commits transactions to the store. done runs once, with the definite result.
 type transactor interface {
 	newWriteTag() string
 	commit(txn *kv.Txn, writeTag string, done func(commitResult))
 }
 
-// shardWriter is what the accept queue needs to write job shards beside others who do.
+// shardWriter is a transactor that also tracks which keys are being written by a transaction in flight.
 type shardWriter interface {
 	transactor
 	isInFlight(key string) bool
@@ -45,8 +45,8 @@
 	clearInFlight(txn *kv.Txn)
 }
 
-// pendingAccept is a submission that waits to be stored.
-type pendingAccept struct {
+// pendingSubmission is a submission that waits to be stored.
+type pendingSubmission struct {
 	job         *schema.Job
 	requestID   uint64
 	requestedAt units.Micros
@@ -55,26 +55,27 @@
 var errTooLarge = errors.New("too large to be stored")
 
 const (
-	// throttledRetry is when a transaction that was refused for its rate is tried again.
+	// throttledRetry is the delay before a throttled transaction is retried.
 	throttledRetry = 150 * units.Millisecond
-	// urgencyOfOne is how much each waiting submission counts, beside the time that it has waited.
-	urgencyOfOne = units.Second / 4
+	// urgencyPerSubmission is what each waiting submission adds to the urgency of its job shard, on top
+	// of its waiting time.
+	urgencyPerSubmission = units.Second / 4
 )
 
-// enqueue queues a submission that can run to be stored.
+// enqueue queues a validated submission and stores it if that is possible now.
 func (q *acceptQueue) enqueue(request UserRequest) {
 	request.Job.AcceptedAt = int64(q.timeOfDay)
-	q.pending = append(q.pending, pendingAccept{job: request.Job, requestID: request.RequestID, requestedAt: q.now})
+	q.pending = append(q.pending, pendingSubmission{job: request.Job, requestID: request.RequestID, requestedAt: q.now})
 	q.storePending()
 }
 
-// mayStore reports whether waiting submissions may be stored now.
+// mayStore reports whether waiting submissions exist and may be stored now.
 func (q *acceptQueue) mayStore() bool {
 	return len(q.pending) > 0 && !q.inFlight && q.replica.watchRevision >= q.afterRevision &&
 		q.budget.hasCredit() && q.now >= q.notBefore
 }
 
-// storePending stores waiting submissions, as many as one transaction takes.
+// storePending stores as many waiting submissions as fit into one transaction.
 func (q *acceptQueue) storePending() {
 	if !q.mayStore() {
 		return
@@ -88,37 +89,38 @@
 		}
 		txn.addShard(shard, pending[shard])
 	}
-	if len(txn.accepts) > 0 {
+	if len(txn.submissions) > 0 {
 		txn.send()
 	}
 }
 
-// takePending takes from the queue the submissions whose users still wait, by job shard. Those whose job
-// shard was not shown yet stay: in any other one they would not be found again.
-func (q *acceptQueue) takePending() map[*jobShard][]pendingAccept {
-	pending := map[*jobShard][]pendingAccept{}
-	var waiting []pendingAccept
-	for _, accept := range q.pending {
-		if !q.users.isOpen(accept.requestID) {
+// takePending removes the submissions whose requests are still open from the queue and returns them by job
+// shard. Submissions whose owning shard the replica has not seen yet stay queued: in any other shard the
+// job would not be found again.
+func (q *acceptQueue) takePending() map[*jobShard][]pendingSubmission {
+	pending := map[*jobShard][]pendingSubmission{}
+	var waiting []pendingSubmission
+	for _, submission := range q.pending {
+		if !q.users.isOpen(submission.requestID) {
 			continue
 		}
-		owner, shown := q.replica.jobDirectory.owner(accept.job.ID)
+		owner, shown := q.replica.jobDirectory.owner(submission.job.ID)
 		if !shown {
-			waiting = append(waiting, accept)
+			waiting = append(waiting, submission)
 			continue
 		}
 		shard := q.replica.jobShards[owner]
-		pending[shard] = append(pending[shard], accept)
+		pending[shard] = append(pending[shard], submission)
 	}
 	q.pending = waiting
 	return pending
 }
 
-// shardsByUrgency orders the job shards that submissions wait for: where many wait, and have done so for
-// long, one change accepts most. In a fixed order those for the last job shards would wait in vain
-// whenever many come at once. Each controller begins at job shards of its own, so that two seldom
-// write the same.
-func (q *acceptQueue) shardsByUrgency(pending map[*jobShard][]pendingAccept) []*jobShard {
+// shardsByUrgency returns the job shards with waiting submissions, the most urgent first: the more
+// submissions wait for a shard, and the longer, the more urgent it is. A fixed order would starve the
+// last shards whenever many submissions arrive at once. For equal urgency each controller begins at a
+// different shard, so that two controllers seldom write the same one.
+func (q *acceptQueue) shardsByUrgency(pending map[*jobShard][]pendingSubmission) []*jobShard {
 	var shards []*jobShard
 	urgency := map[*jobShard]units.Micros{}
 	all := q.replica.jobShards
@@ -129,15 +131,15 @@
 			continue
 		}
 		shards = append(shards, shard)
-		for _, accept := range pending[shard] {
-			urgency[shard] += q.now - accept.requestedAt + urgencyOfOne
+		for _, submission := range pending[shard] {
+			urgency[shard] += q.now - submission.requestedAt + urgencyPerSubmission
 		}
 	}
 	slices.SortStableFunc(shards, func(a, b *jobShard) int { return cmp.Compare(urgency[b], urgency[a]) })
 	return shards
 }
 
-// memberRank is this member's place among all, by name.
+// memberRank returns this member's position, from 0, among all members ordered by name.
 func (q *acceptQueue) memberRank() int {
 	rank := 0
 	for _, peer := range q.cfg.Peers {
@@ -148,41 +150,42 @@
 	return rank
 }
 
-// answerExisting answers a submission of a job that is known already.
-func (q *acceptQueue) answerExisting(accept pendingAccept) {
-	q.statuses.current(accept.job.ID, func(result statusResult) { q.users.answerExisting(accept.requestID, result) })
+// answerExisting answers a submission of an existing job with the job's status.
+func (q *acceptQueue) answerExisting(submission pendingSubmission) {
+	q.statuses.current(submission.job.ID, func(result statusResult) { q.users.answerExisting(submission.requestID, result) })
 }
 
-// acceptTransaction is a transaction that stores submissions.
+// acceptTransaction is a transaction that stores submissions in job shards.
 type acceptTransaction struct {
-	queue    *acceptQueue
-	txn      *kv.Txn
-	writeTag string
-	bytes    int             // of the documents
-	accepts  []pendingAccept // that it stores
+	queue       *acceptQueue
+	txn         *kv.Txn
+	writeTag    string
+	bytes       int                 // total length of the documents
+	submissions []pendingSubmission // stored by the transaction
 }
 
-// full reports whether no further job shard may be added. Half of what a transaction can take is left: of
-// many job shards in one transaction, one that another controller has just written makes all fail.
+// full reports whether no further job shard may be added. Only half of the limits of a transaction is
+// used: of many job shards in one transaction, one that another controller has just written makes the
+// whole transaction fail.
 func (t *acceptTransaction) full() bool {
 	return len(t.txn.Operations) >= max(1, t.queue.store.limits.TxnOps/2) || t.bytes > maxTransactionBytes/2
 }
 
-// addShard enters as many submissions as the job shard and the transaction can take. The others are
-// answered or go back to the queue. The transaction fails if the document has been changed, or if a
-// job has an outcome.
-func (t *acceptTransaction) addShard(shard *jobShard, pending []pendingAccept) {
-	accepts, value := t.queue.fillShard(shard, pending, t.writeTag, len(t.txn.Conditions))
-	if len(accepts) == 0 {
+// addShard adds as many submissions as fit into the job shard and the transaction. The others are
+// answered or go back to the queue. The transaction will fail if the document has changed since, or if
+// one of the jobs has an outcome.
+func (t *acceptTransaction) addShard(shard *jobShard, pending []pendingSubmission) {
+	submissions, value := t.queue.fillShard(shard, pending, t.writeTag, len(t.txn.Conditions))
+	if len(submissions) == 0 {
 		return
 	}
 	t.bytes += len(value)
 	t.txn.Conditions = append(t.txn.Conditions, kv.Condition{Key: shard.key, ModRevision: t.queue.replica.revisions[shard.key]})
-	for _, accept := range accepts {
-		t.txn.Conditions = append(t.txn.Conditions, kv.Condition{Key: schema.OutcomePrefix + accept.job.ID})
+	for _, submission := range submissions {
+		t.txn.Conditions = append(t.txn.Conditions, kv.Condition{Key: schema.OutcomePrefix + submission.job.ID})
 	}
 	t.txn.Operations = append(t.txn.Operations, kv.Operation{Set: shard.key, Value: value})
-	t.accepts = append(t.accepts, accepts...)
+	t.submissions = append(t.submissions, submissions...)
 }
 
 func (t *acceptTransaction) send() {
@@ -191,7 +194,7 @@
 	t.queue.commits.commit(t.txn, t.writeTag, t.settle)
 }
 
-// settle takes the outcome of the transaction.
+// settle handles the result of the transaction.
 func (t *acceptTransaction) settle(result commitResult) {
 	q := t.queue
 	q.inFlight = false
@@ -200,91 +203,91 @@
 	case commitThrottled:
 		q.notBefore = q.now + throttledRetry
 	case commitConflict:
-		q.afterRevision = result.revision // the job shards as they now are must be seen first
+		q.afterRevision = result.revision // the replica must show the changed job shards first
 	case commitApplied, commitRefused:
 	}
-	for _, accept := range t.accepts {
-		q.settle(accept, result)
+	for _, submission := range t.submissions {
+		q.settle(submission, result)
 	}
 }
 
-// settle answers a submission whose transaction is completed, or lets it wait for the next one.
-func (q *acceptQueue) settle(accept pendingAccept, result commitResult) {
+// settle answers a submission by the result of its transaction, or queues it again for the next one.
+func (q *acceptQueue) settle(submission pendingSubmission, result commitResult) {
 	switch {
 	case result.outcome == commitApplied:
-		q.users.answerStatus(accept.requestID, http.StatusCreated, &JobStatus{ID: accept.job.ID, Stage: StagePending})
+		q.users.answerStatus(submission.requestID, http.StatusCreated, &JobStatus{ID: submission.job.ID, Stage: StagePending})
 	case result.outcome == commitRefused:
-		q.users.askToRetry(accept.requestID)
-	case result.outcome == commitConflict && slices.Contains(result.failedKeys, schema.OutcomePrefix+accept.job.ID): // over already
-		q.answerExisting(accept)
+		q.users.askToRetry(submission.requestID)
+	case result.outcome == commitConflict && slices.Contains(result.failedKeys, schema.OutcomePrefix+submission.job.ID): // the job has ended already
+		q.answerExisting(submission)
 	default:
-		q.pending = append(q.pending, accept)
+		q.pending = append(q.pending, submission)
 	}
 }
 
-// fillShard enters as many submissions as the job shard and the transaction, which has so many conditions
-// already, can take. It returns those and the job shard's new document, and answers or puts back
-// the others.
-func (q *acceptQueue) fillShard(shard *jobShard, pending []pendingAccept, writeTag string, conditions int) ([]pendingAccept, json.RawMessage) {
+// fillShard adds as many submissions to the job shard as fit into it and into the transaction; conditions
+// is the number of conditions that the transaction already has. It returns the added submissions and the
+// shard's new document, and answers the others or puts them back into the queue.
+func (q *acceptQueue) fillShard(shard *jobShard, pending []pendingSubmission, writeTag string, conditions int) ([]pendingSubmission, json.RawMessage) {
 	fill := &shardFill{
 		queue: q, document: q.replica.jobShardDocument(shard, nil), conditions: conditions,
 		bytesLeft: q.store.limits.maxValueBytes() - shard.size,
 	}
-	for _, accept := range pending {
-		fill.add(accept)
+	for _, submission := range pending {
+		fill.add(submission)
 	}
-	if len(fill.accepts) == 0 {
+	if len(fill.submissions) == 0 {
 		return nil, nil
 	}
 	fill.document.WriteTag = writeTag
 	value := encode(fill.document)
-	if len(value) > q.store.limits.maxValueBytes() { // what was added is longer than was reckoned
+	if len(value) > q.store.limits.maxValueBytes() { // the size of the added jobs was underestimated
 		q.log.Error("job shard exceeds value limit", "shard", shard.key, "bytes", len(value))
-		for _, accept := range fill.accepts {
-			q.users.askToRetry(accept.requestID)
+		for _, submission := range fill.submissions {
+			q.users.askToRetry(submission.requestID)
 		}
 		return nil, nil
 	}
-	return fill.accepts, value
+	return fill.submissions, value
 }
 
-// shardFill is a job shard's document to which submissions are added.
+// shardFill is a job shard's document while submissions are added to it.
 type shardFill struct {
-	queue      *acceptQueue
-	document   *schema.JobShard
-	conditions int // that the transaction has without this job shard
-	bytesLeft  int // that the document may still grow
-	accepts    []pendingAccept
+	queue       *acceptQueue
+	document    *schema.JobShard
+	conditions  int // conditions of the transaction without those of this job shard
+	bytesLeft   int // by how much the document may still grow
+	submissions []pendingSubmission
 }
 
-// add enters a submission, answers it, or puts it back.
-func (f *shardFill) add(accept pendingAccept) {
+// add adds a submission to the document, answers it, or puts it back into the queue.
+func (f *shardFill) add(submission pendingSubmission) {
 	q := f.queue
-	known := q.replica.jobs[accept.job.ID]
-	size := schema.MaxStoredSize(len(encode(accept.job)))
+	known := q.replica.jobs[submission.job.ID]
+	size := schema.MaxStoredSize(len(encode(submission.job)))
 	switch {
-	case known != nil && known.accepted: // entered meanwhile, by way of another controller
-		q.answerExisting(accept)
+	case known != nil && known.accepted: // stored meanwhile by another controller
+		q.answerExisting(submission)
 	case size > q.store.limits.maxValueBytes()-documentOverheadBytes:
-		q.users.reject(accept.requestID, http.StatusUnprocessableEntity, errTooLarge)
-	case f.has(accept.job.ID) || !f.conditionsLeft():
-		q.pending = append(q.pending, accept)
-	case size > f.bytesLeft: // the job shard is full: others must end first
-		q.users.askToRetry(accept.requestID)
+		q.users.reject(submission.requestID, http.StatusUnprocessableEntity, errTooLarge)
+	case f.has(submission.job.ID) || !f.conditionsLeft():
+		q.pending = append(q.pending, submission)
+	case size > f.bytesLeft: // the job shard is full until some of its jobs have ended
+		q.users.askToRetry(submission.requestID)
 	default:
 		f.bytesLeft -= size
-		f.accepts = append(f.accepts, accept)
-		f.document.Jobs = append(f.document.Jobs, *accept.job)
+		f.submissions = append(f.submissions, submission)
+		f.document.Jobs = append(f.document.Jobs, *submission.job)
 	}
 }
 
-// has reports whether a submission of the job has been entered just now.
+// has reports whether this fill already contains a submission of the job.
 func (f *shardFill) has(id string) bool {
-	return slices.ContainsFunc(f.accepts, func(accept pendingAccept) bool { return accept.job.ID == id })
+	return slices.ContainsFunc(f.submissions, func(submission pendingSubmission) bool { return submission.job.ID == id })
 }
 
-// conditionsLeft reports whether the transaction can take the conditions of one more submission: one for
-// the job shard, and one for each job.
+// conditionsLeft reports whether the transaction can take the conditions of one more submission. A shard
+// needs one condition, and so does each of its new jobs.
 func (f *shardFill) conditionsLeft() bool {
-	return f.conditions+1+len(f.accepts)+1 <= f.queue.store.limits.maxConditions()
+	return f.conditions+1+len(f.submissions)+1 <= f.queue.store.limits.maxConditions()
 }
--- a/internal/controller/accepts_test.go
+++ b/internal/controller/accepts_test.go
@@ -11,7 +11,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeShardWriter keeps the last transaction, whose outcome the test tells, and stores nothing.
+// fakeShardWriter records the last transaction and stores nothing. The test calls settle with its result.
 type fakeShardWriter struct {
 	inFlight map[string]bool
 	commits  int
@@ -39,7 +39,7 @@
 	w.txn, w.settle = txn, done
 }
 
-// newTestAccepts is a controller whose accept queue writes to a fake.
+// newTestAccepts returns a controller whose accept queue writes to a fake, and that fake.
 func newTestAccepts() (*Controller, *fakeShardWriter) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
@@ -58,14 +58,14 @@
 	c.accepts.enqueue(request)
 }
 
-// TestAcceptIsDurableFirst answers a submission when its transaction is completed, and not before.
+// TestAcceptIsDurableFirst checks that a submission is answered only after its transaction has completed.
 func TestAcceptIsDurableFirst(t *testing.T) {
 	outcomeKey := schema.OutcomePrefix + "j-000001"
 	for _, tc := range []struct {
 		name       string
 		outcome    commitOutcome
 		failedKeys []string
-		status     int // of the answer; 0: none yet
+		status     int // HTTP status of the answer; 0: not answered
 		pending    int
 	}{
 		{name: "applied", outcome: commitApplied, status: http.StatusCreated},
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestAcceptWaits does not store the next submissions while a transaction is under way, before the replica
-// shows what failed the last one, or too soon after a throttled one.
+// TestAcceptWaits checks that the next submissions are not stored while a transaction is in flight, before
+// the replica shows the change that failed the last one, or too soon after a throttled one.
 func TestAcceptWaits(t *testing.T) {
 	c, writer := newTestAccepts()
 	submit(c, 1, "j-000001")
@@ -116,16 +116,16 @@
 	writer.settle(commitResult{outcome: commitThrottled})
 	c.accepts.storePending()
 	if writer.commits != 2 {
-		t.Error("stored at once after the store has throttled")
+		t.Error("stored without a delay after the store has throttled")
 	}
 	c.now += throttledRetry
 	c.accepts.storePending()
 	if writer.commits != 3 {
-		t.Error("not stored later")
+		t.Error("not stored after the retry delay")
 	}
 }
 
-// TestAcceptSameJobTwice enters a job once though it was submitted twice: the second waits.
+// TestAcceptSameJobTwice submits a job twice: it is stored once, and the second submission stays queued.
 func TestAcceptSameJobTwice(t *testing.T) {
 	c, writer := newTestAccepts()
 	c.accepts.inFlight = true
@@ -142,12 +142,12 @@
 	}
 }
 
-// TestShardsByUrgency orders job shards by how many submissions wait for them, and for how long.
+// TestShardsByUrgency checks that job shards are ordered by the number and waiting time of their submissions.
 func TestShardsByUrgency(t *testing.T) {
 	c, _ := newTestAccepts()
 	c.now = 10 * units.Second
 	shards := c.replica.jobShards
-	pending := map[*jobShard][]pendingAccept{
+	pending := map[*jobShard][]pendingSubmission{
 		shards[0]: {{requestedAt: 10 * units.Second}},
 		shards[1]: {{requestedAt: 8 * units.Second}},
 		shards[2]: {{requestedAt: 10 * units.Second}, {requestedAt: 10 * units.Second}},
@@ -155,6 +155,6 @@
 	}
 	want := []*jobShard{shards[1], shards[2], shards[0], shards[3]}
 	if got := c.accepts.shardsByUrgency(pending); !slices.Equal(got, want) {
-		t.Errorf("order %v", got)
+		t.Errorf("wrong order of job shards: %v", got)
 	}
 }
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -7,10 +7,10 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// cancellations writes the outcome "cancelled" of jobs when users ask for it. It promises that a job has
-// one outcome, written once: each transaction fails if there is an outcome already, and then the
-// stored one is what users are told. It never stops tasks: the leader of the job's partition sees
-// the outcome and does.
+// cancellations writes the outcome "cancelled" of jobs at the request of users. It guarantees that a job has
+// one outcome, written once: each transaction fails if an outcome exists already, and the user then gets
+// the stored one. It never stops tasks: the leader of the job's partition does so when it sees the
+// cancellation.
 type cancellations struct {
 	*environment
 	replica  *replica
@@ -19,8 +19,8 @@
 	commits  transactor
 }
 
-// cancel cancels an accepted job. onConflict handles the request anew when the job has got an outcome
-// meanwhile.
+// cancel cancels an accepted job. If the job has got an outcome meanwhile, onConflict handles the request
+// again.
 func (c *cancellations) cancel(request UserRequest, onConflict func(UserRequest)) {
 	cancellation := &pendingCancellation{cancellations: c, request: request, onConflict: onConflict}
 	cancellation.send()
@@ -34,7 +34,8 @@
 	onConflict func(UserRequest)
 }
 
-// send writes the outcome, and beside it the news of the cancellation, which the watch shows to all.
+// send writes the outcome and, in the same transaction, a cancellation document, which the watch shows to
+// all controllers.
 func (p *pendingCancellation) send() {
 	id := p.request.JobID
 	if p.replica.acceptedJob(id) == nil {
@@ -50,12 +51,12 @@
 	p.commits.commit(txn, writeTag, p.settle)
 }
 
-// settle takes the outcome of the transaction.
+// settle handles the result of the transaction.
 func (p *pendingCancellation) settle(result commitResult) {
 	switch result.outcome {
 	case commitApplied:
 		p.users.answerStatus(p.request.RequestID, http.StatusOK, outcomeStatus(p.request.JobID, p.outcome))
-	case commitConflict: // it ended, or another controller cancelled it, at the same time
+	case commitConflict: // the job ended, or another controller cancelled it, at the same time
 		if p.users.isOpen(p.request.RequestID) {
 			p.onConflict(p.request)
 		}
@@ -66,42 +67,42 @@
 	}
 }
 
-// retry sends the cancellation again if its user still waits.
+// retry sends the cancellation again if its request is still open.
 func (p *pendingCancellation) retry() {
 	if p.users.isOpen(p.request.RequestID) {
 		p.send()
 	}
 }
 
-// acceptCancelled accepts a job with a cancelled dependency: all that is stored of it is its outcome.
+// acceptCancelled accepts a job with a cancelled dependency: only its outcome is stored, not the job.
 func (c *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
 	writeTag := c.commits.newWriteTag()
-	accept := &cancelledAccept{cancellations: c, request: request, outcome: schema.Outcome{
+	submission := &cancelledSubmission{cancellations: c, request: request, outcome: schema.Outcome{
 		State: StageCancelled, RecordedAt: int64(c.timeOfDay), CancelledBy: cancelledBy, WriteTag: writeTag,
 	}}
-	c.commits.commit(outcomeTransaction(request.JobID, accept.outcome), writeTag, accept.settle)
+	c.commits.commit(outcomeTransaction(request.JobID, submission.outcome), writeTag, submission.settle)
 }
 
-// cancelledAccept is the submission of a job that is cancelled already, while its outcome is stored.
-type cancelledAccept struct {
+// cancelledSubmission is the submission of a job with a cancelled dependency, while its outcome is written.
+type cancelledSubmission struct {
 	*cancellations
 	request UserRequest
 	outcome schema.Outcome
 }
 
-// settle takes the outcome of the transaction.
-func (a *cancelledAccept) settle(result commitResult) {
+// settle handles the result of the transaction.
+func (a *cancelledSubmission) settle(result commitResult) {
 	switch result.outcome {
 	case commitApplied:
 		a.users.answerStatus(a.request.RequestID, http.StatusCreated, outcomeStatus(a.request.JobID, a.outcome))
-	case commitConflict: // it is over already
+	case commitConflict: // the job has an outcome already
 		a.statuses.current(a.request.JobID, func(result statusResult) { a.users.answerExisting(a.request.RequestID, result) })
 	case commitRefused, commitThrottled:
 		a.users.askToRetry(a.request.RequestID)
 	}
 }
 
-// outcomeTransaction writes a job's outcome if it has none.
+// outcomeTransaction returns a transaction that writes a job's outcome if the job has none.
 func outcomeTransaction(id string, outcome schema.Outcome) *kv.Txn {
 	key := schema.OutcomePrefix + id
 	return &kv.Txn{
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -9,10 +9,10 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestOutcomeStoredBesideEntry loads a store in which a job is among the accepted ones and has an outcome
-// as well: two controllers accepted it at the moment at which a dependency was cancelled. The
-// leader, whose replica does not have that outcome, must not try to write one for ever: that fails,
-// and with it all that is in the same transaction.
+// TestOutcomeStoredBesideEntry loads a store in which a job both is listed in a job shard and has an
+// outcome: at the moment at which a dependency was cancelled, two controllers accepted it, one of them as
+// cancelled. The leader, whose replica lacks that outcome, must not retry for ever to write one: each try
+// fails, and with it everything else in the same transaction.
 func TestOutcomeStoredBesideEntry(t *testing.T) {
 	c, store := storeWithDependencies(schema.Outcome{State: StageCancelled, RecordedAt: 77})
 	store.put(schema.OutcomePrefix+"j-000002", schema.Outcome{State: StageCancelled, RecordedAt: 78, CancelledBy: "j-000001"})
@@ -29,10 +29,10 @@
 	}
 }
 
-// TestCancellationMeetsOutcome cancels a job that is over in the store, while the replica does not show it
-// yet: the stored outcome is what the user is told, and stays.
+// TestCancellationMeetsOutcome cancels a job whose outcome is stored but not yet shown by the replica: the
+// user gets the stored outcome, and it is not overwritten.
 func TestCancellationMeetsOutcome(t *testing.T) {
-	w := newRequestWorld(t, schema.Outcome{State: StageDone, TasksDone: 1})
+	w := newRequestHarness(t, schema.Outcome{State: StageDone, TasksDone: 1})
 	key := schema.OutcomePrefix + "j-000003"
 	done := schema.Outcome{State: StageDone, TasksDone: 1}
 	w.answer = func(request kv.Request) (kv.Response, bool) {
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestCancellationIsRetried cancels a job though the store throttles twice.
+// TestCancellationIsRetried checks that a cancellation succeeds after the store has throttled it twice.
 func TestCancellationIsRetried(t *testing.T) {
-	w := newRequestWorld(t, schema.Outcome{State: StageDone, TasksDone: 1})
+	w := newRequestHarness(t, schema.Outcome{State: StageDone, TasksDone: 1})
 	throttled := 0
 	w.answer = func(request kv.Request) (kv.Response, bool) {
 		if request.Kind != kv.Transact || throttled == 2 {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -6,17 +6,17 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// dependencyGraph keeps the graph of jobs with dependencies in step with the replica. What an outcome is,
-// only the store says: a job may start when all its dependencies have a stored outcome "done". Its
-// cancellation is derived from the stored outcome of any of its dependencies, direct or
-// transitive; so one write cancels all dependents, and no order of crashes or late submissions leaves
-// one out. The dependents' own outcomes are written afterwards. It never writes to the store.
+// dependencyGraph keeps the graph of jobs with dependencies in step with the replica. Only stored outcomes
+// count: a job may start when all its dependencies have a stored outcome "done", and is cancelled as soon as
+// any of its dependencies, direct or transitive, has a stored outcome "cancelled". So one write cancels
+// all dependents, and no order of crashes or late submissions leaves one out. The dependents' own
+// outcomes are written afterwards, by other components: dependencyGraph never writes to the store.
 type dependencyGraph struct {
 	*environment
 	replica *replica
 }
 
-// dagOutcome is a stored outcome as the graph sees it.
+// dagOutcome converts a stored outcome to one of package dag.
 func dagOutcome(outcome schema.Outcome) dag.Outcome {
 	state := dag.Cancelled
 	if outcome.State == StageDone {
@@ -25,18 +25,18 @@
 	return dag.Outcome{State: state, At: units.Micros(outcome.RecordedAt)}
 }
 
-// learnOutcome takes a stored outcome. A job has one, which is written once and never changes.
+// learnOutcome records a stored outcome. A job has one, which is written once and never changes.
 func (g *dependencyGraph) learnOutcome(id string, outcome schema.Outcome) {
 	g.replica.outcomes.put(id, outcome)
 	g.propagateOutcome(id, dagOutcome(outcome))
 }
 
-// noteCancellation takes the news that a job is cancelled before its outcome is known.
+// noteCancellation records that a job is cancelled, before its outcome is known.
 func (g *dependencyGraph) noteCancellation(id string) {
 	g.propagateOutcome(id, dag.Outcome{State: dag.Cancelled})
 }
 
-// propagateOutcome passes an outcome on to the dependents of the job that is over.
+// propagateOutcome applies the outcome of an ended job to its dependents.
 func (g *dependencyGraph) propagateOutcome(id string, outcome dag.Outcome) {
 	cancelled, ready := g.replica.dependencies.RecordOutcome(id, outcome)
 	if j := g.replica.jobs[id]; j != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// noteDerivedCancellations notes that jobs are cancelled because of a dependency.
+// noteDerivedCancellations handles jobs that are now cancelled because of a dependency.
 func (g *dependencyGraph) noteDerivedCancellations(ids []string) {
 	for _, id := range ids {
 		if j := g.replica.acceptedJob(id); j != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// add enters an accepted job in the graph.
+// add adds an accepted job to the graph.
 func (g *dependencyGraph) add(j *job) {
 	graph := g.replica.dependencies
 	entry := dag.Job{ID: j.id, Needs: j.spec.Needs, Priority: j.spec.Priority}
@@ -71,31 +71,31 @@
 	}
 	cancelled := graph.Add(entry, g.knownOutcome)
 	j.dependency = graph.Node(j.id)
-	if j.cancellationShown { // it was shown before the job itself
+	if j.cancellationShown { // the watch showed the cancellation before the job
 		g.noteCancellation(j.id)
 	}
 	g.noteDerivedCancellations(cancelled)
 }
 
-// knownOutcome tells the graph an outcome that the replica holds.
+// knownOutcome returns a job's outcome if the replica holds it.
 func (g *dependencyGraph) knownOutcome(id string) (dag.Outcome, bool) {
 	outcome, ok := g.replica.outcomes.get(id)
 	return dagOutcome(outcome), ok
 }
 
-// remove takes a job that is over out of the graph.
+// remove removes an ended job from the graph.
 func (g *dependencyGraph) remove(j *job) {
 	g.replica.dependencies.Remove(j.id)
 	j.dependency = nil
 }
 
-// eligibleSince is from when on a job counts as waiting for capacity: its submission, or the moment when
-// its last dependency is done.
+// eligibleSince returns the time of day since which a job may wait for capacity: when it was accepted, or
+// when the last of its dependencies was done, whichever is later.
 func (j *job) eligibleSince() units.Micros {
 	return max(units.Micros(j.spec.AcceptedAt), j.dependency.ReadyAt())
 }
 
-// priority is the job's priority: the highest of its own and those of all its dependents.
+// priority returns the highest priority of the job itself and of all its dependents.
 func (j *job) priority() int {
 	if j.dependency == nil {
 		return j.spec.Priority
@@ -103,5 +103,5 @@
 	return j.dependency.Priority()
 }
 
-// blocked reports whether a job waits for others, so that it demands nothing for now.
+// blocked reports whether a job waits for its dependencies, so that it demands no capacity for now.
 func (j *job) blocked() bool { return !j.cancelled() && !j.dependency.Ready() }
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// storeWithDependencies is a store in which j-000002 depends on j-000001, whose outcome is as given, and
-// j-000003 depends on j-000002; with a controller that has loaded nothing yet.
+// storeWithDependencies returns a controller that has loaded nothing yet, and its store, in which j-000001
+// has the given outcome, j-000002 depends on j-000001, and j-000003 depends on j-000002.
 func storeWithDependencies(outcome schema.Outcome) (*Controller, *fakeStore) {
 	cfg := &config.Config{Member: "a"}
 	settings := &cfg.Settings
@@ -30,8 +30,8 @@
 	return c, store
 }
 
-// TestNeededOutcomeIsRead has a controller that has just loaded read the outcomes of dependencies by
-// itself: its replica does not have them, and a job that waits for one would wait for good.
+// TestNeededOutcomeIsRead checks that a controller reads the outcomes of dependencies after it has loaded.
+// The loaded replica does not hold them, and a job that depends on one would never start.
 func TestNeededOutcomeIsRead(t *testing.T) {
 	c, store := storeWithDependencies(schema.Outcome{State: StageDone, TasksDone: 1, RecordedAt: 77})
 	step := store.stepper(c)
@@ -47,14 +47,14 @@
 	}
 }
 
-// slowOutcomeStore answers reads of one outcome later than all else.
+// slowOutcomeStore holds back the answers to reads of one outcome until release is called.
 type slowOutcomeStore struct {
 	*fakeStore
 	slowKey string
 	delayed []Message // the answers to reads of that key
 }
 
-// answer gives the messages that an effect brings back at once.
+// answer returns the messages that an effect causes without delay.
 func (s *slowOutcomeStore) answer(effect Effect) []Message {
 	messages := s.fakeStore.answer(effect)
 	if call, ok := effect.(StoreCall); ok && call.Request.Key == s.slowKey {
@@ -64,14 +64,14 @@
 	return messages
 }
 
-// release gives the answers that were kept back.
+// release returns the answers that were held back.
 func (s *slowOutcomeStore) release() []Message {
 	messages := s.delayed
 	s.delayed = nil
 	return messages
 }
 
-// replyTo is the reply to a request among effects; false if there is none.
+// replyTo returns the reply to a request among effects, or false if there is none.
 func replyTo(requestID uint64, effects []Effect) (Reply, bool) {
 	for _, effect := range effects {
 		if reply, ok := effect.(Reply); ok && reply.RequestID == requestID {
@@ -81,8 +81,8 @@
 	return Reply{}, false
 }
 
-// TestStatusWaitsForNeededOutcome asks about a job before the outcome of a transitive dependency
-// has been read: it must not be called pending, since it is cancelled.
+// TestStatusWaitsForNeededOutcome queries a cancelled job before the outcome of the transitive dependency
+// that cancelled it has been read. The answer must wait for that outcome and not be "pending".
 func TestStatusWaitsForNeededOutcome(t *testing.T) {
 	c, fake := storeWithDependencies(schema.Outcome{State: StageCancelled})
 	store := &slowOutcomeStore{fakeStore: fake, slowKey: schema.OutcomePrefix + "j-000001"}
@@ -111,5 +111,5 @@
 			messages = append(messages, store.answer(effect)...)
 		}
 	}
-	t.Error("not answered")
+	t.Error("the query is not answered after 400 steps")
 }
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -8,39 +8,39 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// Why a submission can't name a job as its dependency.
+// Reasons why a submission can't depend on a job.
 var (
 	errDependsOnItself   = errors.New("a job can't wait for itself")
 	errDependsOnService  = errors.New("a service is never done")
 	errUnknownDependency = errors.New("no such job was accepted")
 )
 
-// dependencyError tells users which of the jobs that they named can't be a dependency, and why.
+// dependencyError returns the error text for users: which job can't be a dependency, and why.
 func dependencyError(id string, cause error) error { return fmt.Errorf("waitsOn: %s: %w", id, cause) }
 
-// dependencyResult is what became of a submission's dependencies.
+// dependencyResult is the result of checking a submission's dependencies.
 type dependencyResult struct {
-	unmet       []string // not over
-	cancelledBy string   // one that is cancelled; empty: none is
-	rejection   error    // why the submission can't be accepted; nil: it can
-	undecided   bool     // it can't be decided now
+	unmet       []string // dependencies that have not ended
+	cancelledBy string   // a cancelled dependency; empty: none
+	rejection   error    // why the submission can't be accepted; nil: it can be
+	undecided   bool     // an outcome could not be read: no decision now
 }
 
-// dependencyCheck finds out what became of a submission's dependencies. The replica must be as
-// recent as the submission: users name a job the moment another controller has accepted it. A job
-// that is not among the accepted ones then is over, and has an outcome, or was never accepted. The
-// check owns no more than its own result and never writes; what it reads stays known, so that a
-// repeated submission goes on where this one was given up.
+// dependencyCheck looks up the state of a submission's dependencies. The replica must be as recent as
+// the submission, since users may name a job as soon as another controller has accepted it. A job that
+// such a replica does not list as accepted either has ended, with a stored outcome, or was never accepted.
+// The check owns only its result and never writes. The outcomes that it reads are kept by the replica, so
+// a repeated submission continues where one that timed out stopped.
 type dependencyCheck struct {
 	replica  *replica
 	outcomes *outcomeReads
 	result   dependencyResult
-	unread   []string // jobs whose outcomes are to be read
-	awaited  int      // reads under way
+	unread   []string // jobs whose outcomes are still to be read
+	awaited  int      // reads in flight
 	done     func(dependencyResult)
 }
 
-// checkDependencies checks the dependencies of a submission. done runs once.
+// checkDependencies checks the dependencies of a submission and calls done once with the result.
 func checkDependencies(replica *replica, outcomes *outcomeReads, submission UserRequest, done func(dependencyResult)) {
 	check := &dependencyCheck{replica: replica, outcomes: outcomes, done: done}
 	for _, id := range submission.Job.Needs {
@@ -49,7 +49,7 @@
 	check.readNext()
 }
 
-// lookUp notes what the replica tells of a dependency.
+// lookUp records the state of a dependency as the replica shows it.
 func (d *dependencyCheck) lookUp(id, submittedID string) {
 	j := d.replica.jobs[id]
 	outcome, over := d.replica.outcomes.get(id)
@@ -69,14 +69,14 @@
 	}
 }
 
-// noteOutcome notes the outcome of a dependency. One that is done need not be waited for.
+// noteOutcome records the outcome of a dependency. A dependency that is done is met and not recorded.
 func (d *dependencyCheck) noteOutcome(id string, outcome schema.Outcome) {
 	if dagOutcome(outcome).State == dag.Cancelled {
 		d.result.cancelledBy = id
 	}
 }
 
-// readNext reads the next few outcomes, or ends the check when none is left or the result stands.
+// readNext reads the next batch of outcomes, or ends the check if none is left or the result is final.
 func (d *dependencyCheck) readNext() {
 	if len(d.unread) == 0 || d.result.rejection != nil || d.result.undecided {
 		d.done(d.result)
@@ -90,7 +90,7 @@
 	}
 }
 
-// noteRead notes what the store says of a dependency's outcome.
+// noteRead records the result of reading a dependency's outcome from the store.
 func (d *dependencyCheck) noteRead(id string, read outcomeResult) {
 	switch read.lookup {
 	case lookupFound:
--- a/internal/controller/dependencycheck_test.go
+++ b/internal/controller/dependencycheck_test.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestDependencyCheck checks the dependencies of submissions of j-000009, in a store that has the outcomes of
-// j-000001 (done) and j-000002 (cancelled), while j-000003 is accepted, and the service j-000004.
+// TestDependencyCheck checks the dependencies of submissions of j-000009. The store has the outcomes of
+// j-000001 (done) and j-000002 (cancelled); j-000003 and the service j-000004 are accepted.
 func TestDependencyCheck(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -40,13 +40,13 @@
 				t.Errorf("rejected: %v, want %v", result.rejection, tc.cause)
 			}
 			if tc.cause != nil && result.rejection.Error() != tc.text {
-				t.Errorf("told %q, want %q", result.rejection, tc.text)
+				t.Errorf("error text %q, want %q", result.rejection, tc.text)
 			}
 		})
 	}
 }
 
-// TestDependencyCheckUndecided reads an outcome from a store that does not answer.
+// TestDependencyCheckUndecided checks a dependency whose outcome can't be read: the store is unavailable.
 func TestDependencyCheckUndecided(t *testing.T) {
 	unavailable := func(_ *fakeStore, effect Effect) []Message {
 		call, ok := effect.(StoreCall)
@@ -60,7 +60,8 @@
 	}
 }
 
-// checkDependenciesOf checks the dependencies of a submission of j-000009, with a store that answers as given.
+// checkDependenciesOf returns the result of checking the dependencies of a submission of j-000009; answer
+// gives the store's answers.
 func checkDependenciesOf(t *testing.T, needs []string, answer func(*fakeStore, Effect) []Message) dependencyResult {
 	t.Helper()
 	c, store := storeWithDependencies(schema.Outcome{State: StageDone})
@@ -82,7 +83,7 @@
 		}
 	}
 	if len(results) != 1 {
-		t.Fatalf("answered %d times", len(results))
+		t.Fatalf("done was called %d times, want once", len(results))
 	}
 	return results[0]
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -6,66 +6,66 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// job is all that is known of a job that is not over. An entry also exists for tasks on machines whose
-// job is gone, until those machines release them.
+// job is what the replica and this controller know of a job that has not ended. A job also remains here
+// after its removal while entries of machines still list tasks of it.
 type job struct {
 	id                 string
 	accepted           bool
-	left               bool      // it was accepted, and its shard was shown to have dropped it
-	shard              *jobShard // that lists it; nil: none that was shown does
+	left               bool      // it was accepted, and its shard has since been seen without it
+	shard              *jobShard // the shard that lists it; nil: none in the replica does
 	spec               schema.Job
 	done               schema.TaskSet   // tasks whose completion is stored
-	storedRanges       string           // these, as they are stored
-	progressSegment    *progressSegment // where its progress is stored, if any is
-	storedAverage      units.Micros     // stored average time of done tasks
-	storedAverageCount int              // and of how many
-	cancellationShown  bool             // its cancellation is stored
+	storedRanges       string           // done in its stored text form
+	progressSegment    *progressSegment // segment with its stored progress; nil: none is stored
+	storedAverage      units.Micros     // stored average run time of done tasks
+	storedAverageCount int              // number of tasks in storedAverage
+	cancellationShown  bool             // the replica shows its cancellation document
 	partition          int
-	dependency         *dag.Node // which jobs it waits for; nil: none was ever named
-	maxGaps            *int      // gaps that its stored progress may have; nil: the usual number
-
-	bindings        map[int]binding // by task number: where it may be
-	activeCount     int             // of bindings, those not known to be done; -1 when that must be counted
-	unstoredCount   int             // of bindings, those whose completion is not stored; counted with activeCount
-	recordedInEntry map[int]bool    // of bindings, those whose completion stands in their machine's entry
-
-	// What only this controller knows, lost with it.
-	unstoredCompletions map[int]bool   // known to be done, not yet stored
-	allDone             schema.TaskSet // done, and what is not stored yet
-	runSum              units.Micros   // task times that are not part of the stored average yet
+	dependency         *dag.Node // its node in the dependency graph; nil: not in the graph
+	maxGaps            *int      // limit of gaps in its stored progress; nil: the constant maxProgressGaps
+
+	bindings        map[int]binding // by task number: where the task may be
+	activeCount     int             // bindings whose task is not known to be done; -1: to be counted again
+	unstoredCount   int             // bindings whose task's completion is not stored; counted with activeCount
+	recordedInEntry map[int]bool    // bindings whose task's completion is stored in the machine's entry
+
+	// Known only to this controller, and lost when its process ends.
+	unstoredCompletions map[int]bool   // tasks known to be done, not yet stored as such
+	allDone             schema.TaskSet // done and unstoredCompletions together
+	runSum              units.Micros   // total run time of runCount tasks that the stored average does not include yet
 	runCount            int
-	share               float64 // in CPUs, as fairshare allocated it last
-	failures            int     // in a row
+	share               float64 // in CPUs, as last allocated by package fairshare
+	failures            int     // consecutive task failures
 	failedAt            units.Micros
-	failedOn            map[string]bool // machines that this controller commands, on which it failed
-	succeeded           bool            // one of its tasks completed
-	retryAt             units.Micros    // nothing of it is placed before
-	observed            units.Micros    // average with what running tasks have taken
-	observedAt          units.Micros    // when that was worked out
+	failedOn            map[string]bool // machines commanded by this controller on which it failed
+	succeeded           bool            // at least one of its tasks has completed
+	retryAt             units.Micros    // no task of it is placed before this time
+	observed            units.Micros    // average run time, including the elapsed time of running tasks
+	observedAt          units.Micros    // when observed was computed
 	progressWrittenAt   units.Micros
-	waitingSince        units.Micros // since when tasks of it wait and none was placed; 0: none waits
+	waitingSince        units.Micros // since when its tasks wait without one being placed; 0: none waits
 }
 
-// binding is where a task may be, and under which attempt.
+// binding is a machine on which a task may be, with the task's attempt number.
 type binding struct {
 	machine *machine
 	attempt uint64
 }
 
-// cancelled reports whether the job is known to be cancelled: by its stored cancellation, by its own
-// outcome, or by that of a job that it depends on, directly or through others.
+// cancelled reports whether the job is known to be cancelled: by its cancellation document, by its own
+// outcome, or by that of a direct or transitive dependency.
 func (j *job) cancelled() bool { return j.cancellationShown || j.dependency.Cancelled() }
 
-// active counts the tasks that may be running.
+// active returns how many tasks may be running.
 func (j *job) active() int {
 	j.countBindings()
 	return j.activeCount
 }
 
-// countedForQuota counts the tasks that count for their team's quota: all whose completion is not
-// stored. A completion that only this process knows is lost with it, and if the machine's lease expires
-// too the task is started once more, beside those that took its place: counted by what is known here
-// only, a team could exceed its quota that way, and a job be in two zones.
+// countedForQuota returns how many tasks count against the team's quota: all bound tasks whose completion
+// is not stored. A completion that only this process knows is lost with the process, and if the machine's
+// lease expires too, the task is started once more, beside the tasks that took its place. If such
+// completions freed quota, a team could exceed its quota that way, and a job could run in two zones.
 func (j *job) countedForQuota() int {
 	j.countBindings()
 	return j.unstoredCount
@@ -86,10 +86,10 @@
 	}
 }
 
-// completionStored reports whether the completion of a task is stored, so that nobody starts it again.
+// completionStored reports whether the completion of a task is stored, so that no controller starts it again.
 func (j *job) completionStored(n int) bool { return j.done.Contains(n) || j.recordedInEntry[n] }
 
-// removeBinding notes that a task is free.
+// removeBinding records that a task is no longer on any machine.
 func (j *job) removeBinding(n int) {
 	delete(j.bindings, n)
 	delete(j.recordedInEntry, n)
@@ -98,8 +98,7 @@
 
 func (j *job) isDone(n int) bool { return j.unstoredCompletions[n] || j.done.Contains(n) }
 
-// noteCompletion notes a task that has completed, and how long it ran if that is
-// known.
+// noteCompletion records that a task has completed. ran is its run time; 0: unknown.
 func (j *job) noteCompletion(n int, ran units.Micros) {
 	if j.unstoredCompletions == nil {
 		j.unstoredCompletions = map[int]bool{}
@@ -119,23 +118,23 @@
 	return j.done.Len() + len(j.unstoredCompletions)
 }
 
-// nextUnbound is the first task from n on that is neither done nor bound, or -1.
-// Tasks are taken in order, so that the ranges of done ones stay few.
+// nextUnbound returns the first task from n on that is neither done nor bound, or -1 if no task may be
+// started. Tasks are taken in order, so that the stored ranges of done tasks stay few.
 func (j *job) nextUnbound(n int) int {
 	if !j.dependency.Ready() {
 		return -1
 	}
-	last := j.spec.Tasks
-	if most := j.maxProgressGaps(); max(j.done.RangeCount(), j.allDone.RangeCount()) > most {
-		// What is stored must not become much longer; but filling gaps makes it shorter in the end, and
-		// without that a job with too many of them could not go on.
-		if j.active() >= most/4 {
+	end := j.spec.Tasks
+	if maxGaps := j.maxProgressGaps(); max(j.done.RangeCount(), j.allDone.RangeCount()) > maxGaps {
+		// The stored progress must not become much longer, so only gaps are filled, by few tasks at a
+		// time. Filled gaps make it shorter; without them a job with too many gaps could not go on.
+		if j.active() >= maxGaps/4 {
 			return -1
 		}
-		last = j.done.End()
+		end = j.done.End()
 	}
-	// All before the first gap are done: in an array of 100,000 that is most.
-	for n = max(n, j.done.FirstMissing()); n < last; n++ {
+	// All tasks before the first gap are done: in an array of 100,000 tasks that may be most of them.
+	for n = max(n, j.done.FirstMissing()); n < end; n++ {
 		if _, ok := j.bindings[n]; !ok && !j.isDone(n) {
 			return n
 		}
@@ -143,7 +142,7 @@
 	return -1
 }
 
-// maxProgressGaps is how many gaps the stored progress may have.
+// maxProgressGaps returns how many gaps the job's stored progress may have.
 func (j *job) maxProgressGaps() int {
 	if j.maxGaps == nil {
 		return maxProgressGaps
@@ -151,15 +150,14 @@
 	return *j.maxGaps
 }
 
-// progressGapsFor is how many gaps a job's progress may have so that it fits into a value of that
-// length: each is two numbers of a task and two signs.
+// progressGapsFor returns how many gaps a job's progress may have to fit into a stored value of valueMax
+// bytes: each gap takes two task numbers and two separators. The result is at least 8.
 func progressGapsFor(valueMax int) int {
 	const gapBytes = 2*len("99999") + 2
 	return max(8, min(maxProgressGaps, (valueMax-2*documentOverheadBytes)/gapBytes))
 }
 
-// waiting counts the tasks that are neither done nor bound; none of a job that waits for
-// other jobs.
+// waiting returns how many tasks are neither done nor bound; 0 while the job waits for dependencies.
 func (j *job) waiting() int {
 	if !j.dependency.Ready() {
 		return 0
@@ -167,10 +165,10 @@
 	return max(0, j.spec.Tasks-j.doneCount()-j.active())
 }
 
-// addBinding notes where a task may be. Of two entries the one with the later attempt is the true one:
-// while a replica is loaded, documents that are read late stand beside earlier changes of others, and
-// those are shown once more. An earlier entry that comes and goes that way must not make a running task
-// look free.
+// addBinding records where a task may be. Of two entries the one with the later attempt is valid: while a
+// replica is loaded, its documents are read at different revisions, and the watch then repeats changes
+// made since the first of them. An earlier entry that comes and goes that way must not make a running
+// task look unbound.
 func (j *job) addBinding(index int, bound binding) {
 	if known, ok := j.bindings[index]; ok && known.attempt > bound.attempt {
 		return
@@ -179,7 +177,7 @@
 	delete(j.recordedInEntry, index)
 }
 
-// forgetOccupancies drops what is kept of the machines on which the job may run.
+// forgetOccupancies drops the cached occupancy of the machines on which the job may run.
 func (j *job) forgetOccupancies() {
 	for _, bound := range j.bindings {
 		bound.machine.forgetOccupancy()
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -13,26 +13,26 @@
 	StageCancelled = "cancelled"
 )
 
-// JobStatus is what a user is told of a job.
+// JobStatus is a job's status in a response to a user.
 type JobStatus struct {
 	ID      string `json:"uid"`
 	Stage   string `json:"stage"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
 
-	WaitsOn     []string `json:"waitsOn,omitempty"`       // jobs that must be done before it starts
+	WaitsOn     []string `json:"waitsOn,omitempty"`       // unmet dependencies
 	CancelledBy string   `json:"cancelledWith,omitempty"` // the dependency whose cancellation cancelled it
 }
 
-// terminal reports whether the status is one that never changes.
+// terminal reports whether the stage is final: done or cancelled.
 func (s *JobStatus) terminal() bool { return s.Stage == StageDone || s.Stage == StageCancelled }
 
-// outcomeStatus is the status of a job whose outcome is stored.
+// outcomeStatus returns the status of a job from its stored outcome.
 func outcomeStatus(id string, outcome schema.Outcome) *JobStatus {
 	return &JobStatus{ID: id, Stage: outcome.State, Done: outcome.TasksDone, CancelledBy: outcome.CancelledBy}
 }
 
-// statusOf is the status of an accepted job whose outcome is not stored.
+// statusOf returns the status of an accepted job whose outcome is not stored.
 func statusOf(j *job) *JobStatus {
 	status := &JobStatus{ID: j.id, Stage: StagePending, Done: j.done.Len(), WaitsOn: j.dependency.UnmetNeeds()}
 	if j.cancelled() {
@@ -50,26 +50,26 @@
 	return status
 }
 
-// lookup is whether something was found.
+// lookup is the result of a search: found, absent or undecided.
 type lookup int
 
 const (
-	lookupUndecided lookup = iota // it can't be told now
+	lookupUndecided lookup = iota // can't be decided now
 	lookupFound
-	lookupNone // surely there is none
+	lookupNone // proven absent
 )
 
-// statusResult is what a question for a job's current status has shown. lookupNone says that the job was
+// statusResult is the result of a query for a job's current status. lookupNone means that the job was
 // never accepted.
 type statusResult struct {
 	lookup lookup
 	status *JobStatus // nil unless found
 }
 
-// statusReader finds out the status of jobs. It owns nothing. It promises that the current status of a
-// job is never older than any answer that any controller gave before the question came: either the
-// replica is proven to be as recent as the question, or the status can't change any more. That a
-// job is not in the replica is never its proof that the job does not exist: only the store's word is.
+// statusReader looks up the status of jobs. It keeps no state. It guarantees that the current status of a
+// job is never older than any answer that any controller gave before the query: either the replica is
+// proven to be as recent as the query, or the status can't change any more. A job's absence from
+// the replica does not prove that the job does not exist: only a read of the store does.
 type statusReader struct {
 	*environment
 	replica   *replica
@@ -77,14 +77,14 @@
 	outcomes  *outcomeReads
 }
 
-// freshnessProver proves that the replica is as recent as the moment of the call. The continuation runs
-// once; current is false if that can't be proven.
+// freshnessProver proves that the replica is as recent as the moment of the call. The continuation then
+// runs once, with current false if the proof fails.
 type freshnessProver interface {
 	whenCurrent(then func(current bool))
 }
 
-// terminal returns the status of a job that is known to be over, nil if none is known to be: by its own
-// outcome, or by that of a dependency. Neither ever changes, so no proof of freshness is needed.
+// terminal returns the status of a job that is known to have ended, by its own outcome or by that of a
+// dependency, and nil for any other. Outcomes never change, so no proof of freshness is needed.
 func (r *statusReader) terminal(id string) *JobStatus {
 	if outcome, ok := r.replica.outcomes.get(id); ok {
 		return outcomeStatus(id, outcome)
@@ -95,29 +95,29 @@
 	return nil
 }
 
-// current finds out a job's status as of now.
+// current looks up a job's status as of now, and passes it to done.
 func (r *statusReader) current(id string, done func(statusResult)) {
 	query := &statusQuery{reader: r, jobID: id, done: done}
 	r.freshness.whenCurrent(query.begin)
 }
 
 const (
-	// dependencyWait is how long an answer may wait for the outcomes of the job's dependencies, which a
-	// controller that has just started has yet to read.
+	// dependencyWait is how long a status query waits for the outcomes of the job's dependencies, which
+	// a newly started controller still has to read.
 	dependencyWait = units.Second
-	// dependencyRetry is the interval at which the answer is tried again meanwhile.
+	// dependencyRetry is the interval at which the query checks for those outcomes.
 	dependencyRetry = 50 * units.Millisecond
 )
 
-// statusQuery is a question for a job's current status that is not answered yet.
+// statusQuery is an unanswered query for a job's current status.
 type statusQuery struct {
 	reader   *statusReader
 	jobID    string
-	deadline units.Micros // by when the outcomes of the dependencies must be known
+	deadline units.Micros // for the outcomes of the dependencies to become known
 	done     func(statusResult)
 }
 
-// begin goes on when the proof of freshness has come, or has failed.
+// begin continues the query once the proof of freshness has succeeded or failed.
 func (q *statusQuery) begin(current bool) {
 	if !current {
 		q.done(statusResult{lookup: lookupUndecided})
@@ -127,9 +127,9 @@
 	q.derive()
 }
 
-// derive tells the status from the replica, which is recent enough, or asks the store for an outcome that
-// the replica lacks. As long as the outcome of a dependency is not known, it is tried
-// again: the job may be cancelled by it.
+// derive derives the status from the replica, which is recent enough, or reads an outcome that the replica
+// lacks from the store. While the outcome of a dependency is unknown, derive runs again later: that
+// outcome may cancel the job.
 func (q *statusQuery) derive() {
 	r := q.reader
 	if !r.replica.dependencies.Resolved(q.jobID) {
@@ -149,11 +149,11 @@
 		q.found(statusOf(j))
 		return
 	}
-	// Not among the active ones, its outcome may be stored all the same.
+	// The job is not active in the replica, but its outcome may be stored.
 	r.outcomes.fetch(q.jobID, q.finishWithOutcome)
 }
 
-// finishWithOutcome answers with what the store says of the job's outcome.
+// finishWithOutcome answers with the result of reading the job's outcome from the store.
 func (q *statusQuery) finishWithOutcome(result outcomeResult) {
 	if result.lookup == lookupFound {
 		q.found(outcomeStatus(q.jobID, result.outcome))
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -6,8 +6,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// readiness tells a load balancer whether users' requests may come to this controller. It owns nothing,
-// and never keeps a request from being handled.
+// readiness tells a load balancer whether to route user requests to this controller. It keeps no state, and
+// requests are handled whatever it reports.
 type readiness struct {
 	*environment
 	store      *storeClient
@@ -17,7 +17,7 @@
 	peers      *peerTable
 }
 
-// readinessGrace is how long the store may have been silent before a failure counts.
+// readinessGrace is how long after the store's last answer its failure does not affect readiness.
 const readinessGrace = 2 * units.Second
 
 // handle answers a health probe.
@@ -29,8 +29,9 @@
 	r.reply(request.RequestID, status, nil)
 }
 
-// ready reports whether this controller serves users as well as any other. Alone without the store it
-// does not. If no controller reaches the store, staying in the balancer serves soonest when it returns.
+// ready reports whether this controller serves users as well as any other. It does not if it has lost the
+// store while a peer still reaches it. If no controller reaches the store, all stay ready, so that
+// requests are served as soon as the store is back.
 func (r *readiness) ready() bool {
 	if !r.replica.synced || !r.catalog.known() || !r.membership.registered {
 		return false
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -8,11 +8,11 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// requestHandler takes the requests of users through their phases: it looks up whether the job is over,
-// proves that the replica is fresh and derives the job's status, validates a submission, resolves its
-// dependencies, and has it stored or cancelled. It owns nothing: what waits is kept by the component
-// that it waits for. It promises that a request for a job that exists is never answered otherwise than
-// with the job's status, also a repeated submission, whatever that says.
+// requestHandler takes user requests through their phases: it looks up whether the job has ended,
+// proves that the replica is current and derives the job's status, validates a submission, resolves its
+// dependencies, and passes it on to be stored or cancelled. It keeps no state: the component that a
+// request waits for also holds that request. It guarantees that a request for an existing job is
+// answered with the job's status, even a repeated submission with different contents.
 type requestHandler struct {
 	*environment
 	store         *storeClient
@@ -25,7 +25,7 @@
 	cancellations *cancellations
 }
 
-// handle takes a request that has just come in.
+// handle starts processing a new request.
 func (h *requestHandler) handle(request UserRequest) {
 	h.users.open(request)
 	if request.JobID == "" {
@@ -47,19 +47,19 @@
 	h.handleProven(request)
 }
 
-// canDecide reports whether requests can be decided at present.
+// canDecide reports whether the replica is loaded and the store has not failed for too long to decide requests.
 func (h *requestHandler) canDecide() bool {
 	return h.replica.synced && !h.store.failingFor(failureGrace)
 }
 
-// canAcceptUnproven reports whether a submission can be stored without a proof of freshness: it needs no
-// other job, and the conditions of the transaction find out whether the job exists already.
+// canAcceptUnproven reports whether a submission can be stored without a proof of freshness: it depends on
+// no other job, and the conditions of the transaction detect a job that exists already.
 func (h *requestHandler) canAcceptUnproven(request UserRequest) bool {
 	return request.Kind == SubmitJob && request.Job != nil && len(request.Job.Needs) == 0 && h.catalog.known() &&
 		h.replica.jobs[request.JobID] == nil && h.checkFeasible(request.Job) == nil
 }
 
-// handleProven handles a request by its job's current status.
+// handleProven looks up the job's current status, with a proof of freshness, and handles the request by it.
 func (h *requestHandler) handleProven(request UserRequest) {
 	h.statuses.current(request.JobID, func(result statusResult) { h.handleByStatus(request, result) })
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// handleExisting handles a request for a job that was accepted.
+// handleExisting handles a request for an accepted job.
 func (h *requestHandler) handleExisting(request UserRequest, status *JobStatus) {
 	if request.Kind == CancelJob && !status.terminal() {
 		h.cancellations.cancel(request, h.handleProven)
@@ -92,14 +92,14 @@
 		h.users.reject(request.RequestID, http.StatusNotFound, nil)
 	case request.Job == nil:
 		h.users.reject(request.RequestID, http.StatusBadRequest, request.Malformed)
-	case !h.catalog.known(): // whether the job fits a machine can't be told yet
+	case !h.catalog.known(): // without machine types the feasibility check is not possible yet
 		h.users.askToRetry(request.RequestID)
 	default:
 		h.validate(request)
 	}
 }
 
-// validate rejects a submission that can never run, and resolves the dependencies of any other.
+// validate rejects a submission that can never run, and otherwise resolves its dependencies.
 func (h *requestHandler) validate(request UserRequest) {
 	if err := h.checkFeasible(request.Job); err != nil {
 		h.users.reject(request.RequestID, http.StatusUnprocessableEntity, err)
@@ -113,8 +113,9 @@
 	return api.CheckFeasible(submission, h.cfg.Settings.Teams, h.catalog.types)
 }
 
-// resolveDependencies finds out what became of a submission's dependencies. Until all members know
-// such jobs none is accepted: a process that does not would lose what the job waits for.
+// resolveDependencies looks up the state of a submission's dependencies. Until all members support jobs
+// with dependencies none is accepted: a process of an older version would drop the dependencies when it
+// rewrites the document.
 func (h *requestHandler) resolveDependencies(request UserRequest) {
 	if len(request.Job.Needs) == 0 {
 		h.accepts.enqueue(request)
@@ -127,7 +128,7 @@
 	checkDependencies(h.replica, h.outcomes, request, func(result dependencyResult) { h.accept(request, result) })
 }
 
-// accept has a submission stored whose dependencies are resolved.
+// accept stores a submission whose dependencies are resolved, or rejects it because of them.
 func (h *requestHandler) accept(request UserRequest, dependencies dependencyResult) {
 	switch {
 	case dependencies.rejection != nil:
@@ -137,7 +138,7 @@
 	case dependencies.cancelledBy != "":
 		h.cancellations.acceptCancelled(request, dependencies.cancelledBy)
 	default:
-		// A stored outcome never changes: the needed jobs that are done need no mention.
+		// A stored outcome never changes, so dependencies that are done need not be stored.
 		request.Job.Needs = slices.Clone(dependencies.unmet)
 		h.accepts.enqueue(request)
 	}
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -12,35 +12,35 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// requestWorld is a controller that has loaded its store, in which j-000001 is over, j-000002 depends on it,
-// and j-000003 depends on j-000002.
-type requestWorld struct {
+// requestHarness runs a controller that has loaded its store, in which j-000001 has ended, j-000002 depends
+// on it, and j-000003 depends on j-000002.
+type requestHarness struct {
 	controller *Controller
 	store      *fakeStore
 	now        units.Micros
-	messages   []Message // for the next step
+	messages   []Message // input of the next step
 
-	// answer takes the place of the store's answer to a transaction if it is not nil.
+	// answer, if not nil, replaces the store's answer to a call when it returns true.
 	answer func(kv.Request) (kv.Response, bool)
 }
 
-func newRequestWorld(t *testing.T, outcome schema.Outcome) *requestWorld {
+func newRequestHarness(t *testing.T, outcome schema.Outcome) *requestHarness {
 	t.Helper()
 	c, store := storeWithDependencies(outcome)
 	store.guarded = true
-	w := &requestWorld{controller: c, store: store, now: units.Second}
+	w := &requestHarness{controller: c, store: store, now: units.Second}
 	for range 100 {
 		w.step()
 	}
 	if !c.replica.synced {
-		t.Fatal("not loaded")
+		t.Fatal("the replica is not loaded after 100 steps")
 	}
 	c.catalog.types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, Zones: []string{"a"}}}
 	return w
 }
 
-// step has the controller take the answers to all that it did in the step before.
-func (w *requestWorld) step() []Effect {
+// step runs one step of the controller with the answers to the effects of the previous step.
+func (w *requestHarness) step() []Effect {
 	w.now += 25 * units.Millisecond
 	effects := w.controller.Step(w.now, w.now+units.Micros(1e15), w.messages)
 	w.messages = nil
@@ -57,7 +57,7 @@
 }
 
 // ask sends a request and returns its reply.
-func (w *requestWorld) ask(t *testing.T, request UserRequest) Reply {
+func (w *requestHarness) ask(t *testing.T, request UserRequest) Reply {
 	t.Helper()
 	request.RequestID = 7
 	w.messages = append(w.messages, request)
@@ -66,7 +66,7 @@
 			return reply
 		}
 	}
-	t.Fatal("not answered")
+	t.Fatal("the request is not answered after 200 steps")
 	return Reply{}
 }
 
@@ -82,12 +82,12 @@
 	return string(text)
 }
 
-// submission is a request to accept a job of one task.
+// submission is a request that submits a job with one task.
 func submission(id string, needs ...string) UserRequest {
 	return UserRequest{Kind: SubmitJob, JobID: id, Job: &schema.Job{ID: id, Team: "red", Tasks: 1, CPUs: 1, Needs: needs}}
 }
 
-// TestRequestPhases sends requests that are decided in different phases.
+// TestRequestPhases sends requests that are decided in different phases of handling.
 func TestRequestPhases(t *testing.T) {
 	const (
 		pending   = `{"uid":"j-000009","stage":"pending","done":0,"running":0}`
@@ -127,7 +127,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newRequestWorld(t, schema.Outcome{State: StageDone, TasksDone: 1})
+			w := newRequestHarness(t, schema.Outcome{State: StageDone, TasksDone: 1})
 			reply := w.ask(t, tc.request)
 			if body := bodyText(t, reply); reply.Status != tc.status || body != tc.body {
 				t.Errorf("answered %d %s, want %d %s", reply.Status, body, tc.status, tc.body)
@@ -136,10 +136,10 @@
 	}
 }
 
-// TestRequestsOfCancelledDependents asks for jobs that are cancelled because of a dependency.
+// TestRequestsOfCancelledDependents submits and cancels a job that is cancelled because of a dependency.
 func TestRequestsOfCancelledDependents(t *testing.T) {
 	const dependent = `{"uid":"j-000009","stage":"cancelled","done":0,"running":0,"cancelledWith":"j-000001"}`
-	w := newRequestWorld(t, schema.Outcome{State: StageCancelled})
+	w := newRequestHarness(t, schema.Outcome{State: StageCancelled})
 	reply := w.ask(t, submission("j-000009", "j-000001"))
 	if body := bodyText(t, reply); reply.Status != http.StatusCreated || body != dependent {
 		t.Errorf("the submission is answered %d %s", reply.Status, body)
@@ -153,11 +153,11 @@
 	}
 }
 
-// TestRequestsBeforeLoading turns requests away while the replica is not loaded.
+// TestRequestsBeforeLoading checks that requests get 503 and Retry-After while the replica is not loaded.
 func TestRequestsBeforeLoading(t *testing.T) {
 	for _, request := range []UserRequest{submission("j-000009"), {Kind: QueryJob, JobID: "j-000003"}, {Kind: CancelJob, JobID: "j-000003"}} {
 		c, store := storeWithDependencies(schema.Outcome{State: StageDone, TasksDone: 1})
-		w := &requestWorld{controller: c, store: store, now: units.Second}
+		w := &requestHarness{controller: c, store: store, now: units.Second}
 		reply := w.ask(t, request)
 		if reply.Status != http.StatusServiceUnavailable || reply.RetryAfterSeconds != 1 || reply.Body != nil {
 			t.Errorf("request %d is answered %+v", request.Kind, reply)
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -4,7 +4,8 @@
 
 const summaryPeriod = 30 * units.Second
 
-// logSummary tells the state in one line, so that a log can be read from anywhere.
+// logSummary logs the controller's state in one line every summaryPeriod, so that a log can be read from any
+// point on.
 func (c *Controller) logSummary() {
 	jobs, calls := c.replica.countJobs(), c.agents.callWaits.take()
 	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.authority.mayAct(),
@@ -36,7 +37,7 @@
 	return counts
 }
 
-// countCommanded counts the machines that this controller commands.
+// countCommanded returns how many machines this controller commands.
 func (r *replica) countCommanded() int {
 	commanded := 0
 	for _, m := range r.machines {
--- a/internal/controller/userrequests.go
+++ b/internal/controller/userrequests.go
@@ -8,16 +8,16 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// userRequests owns the requests of users that are not answered yet. It promises that each of them is
-// answered exactly once: with what was found or, when that takes too long, with the advice to try
-// again. Each status passes the audit before it leaves. It never decides what an answer says.
+// userRequests owns the user requests that are not answered yet. It guarantees that each of them is
+// answered exactly once: with the result or, after a timeout, with 503 and a Retry-After time.
+// Each status passes the audit before it is sent. Other components decide what an answer says.
 type userRequests struct {
 	*environment
 	auditor   answerAuditor
-	deadlines map[uint64]units.Micros // by request: when it is given up
+	deadlines map[uint64]units.Micros // by request id: when the request times out
 }
 
-// answerAuditor looks at a status a last time before a user sees it, and returns what is to be told.
+// answerAuditor checks a status last before it is sent to a user, and returns the status to send.
 type answerAuditor interface {
 	checkAnswer(status *JobStatus) *JobStatus
 }
@@ -26,21 +26,21 @@
 	return &userRequests{environment: env, auditor: auditor, deadlines: map[uint64]units.Micros{}}
 }
 
-// How long a user waits for an answer at most.
+// Request timeouts.
 const (
 	queryWait  = 1500 * units.Millisecond
-	submitWait = 2500 * units.Millisecond // also for cancellations: both are stored before they are answered
+	submitWait = 2500 * units.Millisecond // also of cancellations: both must be stored before the answer
 )
 
-// retryAfterSeconds is when a user may try again what could not be decided.
+// retryAfterSeconds is the Retry-After value, in seconds, of a request that could not be decided.
 const retryAfterSeconds = 1
 
-// errorBody is the body of an answer that rejects a request.
+// errorBody is the response body of a rejected request.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// open begins the time in which a request is to be answered.
+// open registers a request and sets its deadline.
 func (u *userRequests) open(request UserRequest) {
 	wait := submitWait
 	if request.Kind == QueryJob {
@@ -49,23 +49,23 @@
 	u.deadlines[request.RequestID] = u.now + wait
 }
 
-// isOpen reports whether a request still waits for its answer.
+// isOpen reports whether a request is not answered yet.
 func (u *userRequests) isOpen(requestID uint64) bool {
 	_, open := u.deadlines[requestID]
 	return open
 }
 
-// openCount is how many requests wait for their answers.
+// openCount returns the number of unanswered requests.
 func (u *userRequests) openCount() int { return len(u.deadlines) }
 
-// answerStatus tells a user a job's status.
+// answerStatus answers a request with a job's status.
 func (u *userRequests) answerStatus(requestID uint64, httpStatus int, status *JobStatus) {
 	if u.close(requestID) {
 		u.emit(Reply{RequestID: requestID, Status: httpStatus, Body: u.auditor.checkAnswer(status)})
 	}
 }
 
-// answerExisting answers the submission of a job that was found to exist already.
+// answerExisting answers the submission of a job that exists already.
 func (u *userRequests) answerExisting(requestID uint64, result statusResult) {
 	if result.lookup != lookupFound {
 		u.askToRetry(requestID)
@@ -74,15 +74,15 @@
 	u.answerStatus(requestID, http.StatusOK, result.status)
 }
 
-// askToRetry tells a user that the request can't be decided now.
+// askToRetry answers a request that can't be decided now with 503 and a Retry-After time.
 func (u *userRequests) askToRetry(requestID uint64) {
 	if u.close(requestID) {
 		u.emit(Reply{RequestID: requestID, Status: http.StatusServiceUnavailable, RetryAfterSeconds: retryAfterSeconds})
 	}
 }
 
-// reject answers a request that will never be granted as it stands. A nil cause says no more than the
-// status does.
+// reject answers a request that would fail again if it were repeated. If cause is nil the response has
+// no body.
 func (u *userRequests) reject(requestID uint64, httpStatus int, cause error) {
 	if !u.close(requestID) {
 		return
@@ -94,14 +94,14 @@
 	u.emit(Reply{RequestID: requestID, Status: httpStatus, Body: body})
 }
 
-// close reports whether a request is open, and closes it: whoever closes it sends the only answer.
+// close closes a request and reports whether it was open. Only the caller that gets true may answer it.
 func (u *userRequests) close(requestID uint64) bool {
 	open := u.isOpen(requestID)
 	delete(u.deadlines, requestID)
 	return open
 }
 
-// expire answers the requests that could not be decided in time.
+// expire answers the requests whose deadline has passed.
 func (u *userRequests) expire() {
 	for _, requestID := range slices.Sorted(maps.Keys(u.deadlines)) {
 		if u.now > u.deadlines[requestID] {
--- a/internal/controller/userrequests_test.go
+++ b/internal/controller/userrequests_test.go
@@ -9,20 +9,20 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// plainAuditor lets every status pass.
-type plainAuditor struct{}
+// passthroughAuditor returns every status unchanged.
+type passthroughAuditor struct{}
 
-func (plainAuditor) checkAnswer(status *JobStatus) *JobStatus { return status }
+func (passthroughAuditor) checkAnswer(status *JobStatus) *JobStatus { return status }
 
 func openRequests(requests ...UserRequest) *userRequests {
-	users := newUserRequests(&environment{}, plainAuditor{})
+	users := newUserRequests(&environment{}, passthroughAuditor{})
 	for _, request := range requests {
 		users.open(request)
 	}
 	return users
 }
 
-// TestAnswerOnce gives a request two answers: the first counts.
+// TestAnswerOnce answers a request more than once: only the first of the answers is sent, not the other two.
 func TestAnswerOnce(t *testing.T) {
 	users := openRequests(UserRequest{RequestID: 1})
 	users.reject(1, http.StatusNotFound, nil)
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestExpire gives up requests when their time is over: a query before a submission.
+// TestExpire checks that requests time out, and that queries do so before submissions and cancellations.
 func TestExpire(t *testing.T) {
 	users := openRequests(UserRequest{RequestID: 1, Kind: SubmitJob}, UserRequest{RequestID: 2, Kind: QueryJob}, UserRequest{RequestID: 3, Kind: CancelJob})
 	for _, tc := range []struct {
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestRejectBody tells the cause as users know it.
+// TestRejectBody checks how the cause of a rejection is encoded in the response body.
 func TestRejectBody(t *testing.T) {
 	users := openRequests(UserRequest{RequestID: 1})
 	users.reject(1, http.StatusUnprocessableEntity, errors.New("cpus: <0>"))
