--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,7 @@
-// Package admission bounds the users' requests in progress. The bound adapts to
-// measured times: it shrinks when requests take much longer than they do at
-// rest, and grows again while they do not. Polls may use only a part of it, so
-// that they never starve submissions and cancellations.
+// Package admission limits the number of user requests in flight. The limit
+// adapts to measured latencies: it decreases when requests take much longer than
+// without load, and increases again when they do not. Polls may use only a part
+// of it, so that they never starve submissions and cancellations.
 package admission
 
 import (
@@ -10,10 +10,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Kind of request.
+// Kind is the kind of a user request.
 type Kind int
 
-// The kinds.
+// Kinds of requests.
 const (
 	Submit Kind = iota
 	Poll
@@ -21,38 +21,40 @@
 	kindCount
 )
 
-// What the bound depends on.
+// Parameters of the limit. The first three are numbers of requests in flight.
 const (
 	initialLimit = 256.0
-	minLimit     = 32.0 // what waits together is stored together, so fewer would not be quicker
+	minLimit     = 32.0 // waiting submissions are stored in batches, so a lower limit would not shorten latencies
 	maxLimit     = 1024.0
-	pollShare    = 0.6
-	// slow is how much longer than at rest a request may take before the bound
-	// shrinks; the allowance keeps a fast service from shrinking on trifles.
+	pollShare    = 0.6 // part of the limit that polls may use
+	// The limit decreases when the mean latency of a window exceeds the baseline
+	// times slowdownFactor plus latencyAllowance. The allowance keeps small
+	// delays of a fast service from decreasing it.
 	slowdownFactor   = 3.0
 	latencyAllowance = 100 * units.Millisecond
-	windowLength     = 500 * units.Millisecond
+	windowLength     = 500 * units.Millisecond // the limit is adapted once a window
 	decreaseFactor   = 0.8
 	increaseFactor   = 1.1
 )
 
-// Limiter is safe for concurrent use. Times are given by the caller.
+// Limiter is an adaptive concurrency limiter. It is safe for concurrent use. The
+// caller supplies the clock.
 type Limiter struct {
 	mu          sync.Mutex
 	limit       float64
 	inFlight    [kindCount]int
-	baseline    units.Micros // shortest mean of a window, drifting up slowly
+	baseline    units.Micros // lowest mean latency of a window, slowly drifting up; 0: none yet
 	latencySum  units.Micros
-	count       int
-	saturated   bool // the bound was felt in this window
+	count       int  // number of requests in latencySum
+	saturated   bool // in this window at least half the limit was in use, or a request was refused
 	windowStart units.Micros
 }
 
-// New returns a limiter.
+// New returns a limiter with the initial limit.
 func New() *Limiter { return &Limiter{limit: initialLimit} }
 
-// TryAcquire asks to begin a request. When it answers false the request is to be
-// refused at once.
+// TryAcquire reports whether a request may begin. If so, the caller must call
+// Release at its end; otherwise it must refuse the request at once.
 func (l *Limiter) TryAcquire(kind Kind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +73,8 @@
 	return true
 }
 
-// Release ends a request that had this latency.
+// Release ends a request with its latency, and adapts the limit if the window has
+// ended.
 func (l *Limiter) Release(kind Kind, now, latency units.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,7 +88,7 @@
 	if l.baseline == 0 || mean < l.baseline {
 		l.baseline = mean
 	} else {
-		l.baseline += l.baseline/50 + 1 // what rest means may change for good
+		l.baseline += l.baseline/50 + 1 // about 2% a window: the latency without load may have risen for good
 	}
 	switch {
 	case mean > units.Micros(slowdownFactor*float64(l.baseline))+latencyAllowance:
@@ -96,7 +99,7 @@
 	l.latencySum, l.count, l.saturated, l.windowStart = 0, 0, false, now
 }
 
-// Limit is the number of requests that may be in flight now.
+// Limit returns the number of requests that may be in flight now.
 func (l *Limiter) Limit() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -10,11 +10,11 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestScenarios plays testdata/*.txt. Lines:
+// TestScenarios runs the scenarios in testdata/*.txt. Lines:
 //
-//	serve SECONDS RATE TOOK_MS KIND   so many requests a second, each taking so long
-//	bound MIN MAX                     what the bound must be now
-//	refused MIN MAX KIND              how many of the kind were refused since the last such line
+//	serve SECONDS RATE TOOK_MS KIND   for SECONDS, offer RATE requests a second of TOOK_MS each
+//	bound MIN MAX                     the limit must be from MIN to MAX now
+//	refused MIN MAX KIND              MIN to MAX requests of KIND were refused since the last such line
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
@@ -27,7 +27,7 @@
 
 var kindByName = map[string]Kind{"submit": Submit, "poll": Poll, "abort": Abort}
 
-// inFlightRequest is a request that was let in and has not finished.
+// inFlightRequest is an admitted request that has not finished.
 type inFlightRequest struct {
 	finishAt units.Micros
 	kind     Kind
@@ -70,21 +70,21 @@
 		var low, high float64
 		scanAll(t, args, &low, &high)
 		if got := float64(s.limiter.Limit()); got < low || got > high {
-			t.Errorf("%s: bound is %v", line, got)
+			t.Errorf("%s: the limit is %v", line, got)
 		}
 	case "refused":
 		var low, high float64
 		scanAll(t, args, &low, &high, &kind)
 		if got := float64(s.refused[kindByName[kind]]); got < low || got > high {
-			t.Errorf("%s: %v were", line, got)
+			t.Errorf("%s: %v requests were refused", line, got)
 		}
 		s.refused[kindByName[kind]] = 0
 	default:
-		t.Fatalf("%q", line)
+		t.Fatalf("unknown step in scenario: %q", line)
 	}
 }
 
-// scanAll reads all values from args, which must hold nothing else.
+// scanAll parses args into the values; their numbers must be equal.
 func scanAll(t *testing.T, args string, values ...any) {
 	t.Helper()
 	if count := len(strings.Fields(args)); count != len(values) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// serve offers rate requests of a kind in each second, every one of which takes as long as latency.
+// serve offers rate requests of a kind a second, each of which takes latency.
 func (s *scenario) serve(seconds, rate float64, latency units.Micros, kind Kind) {
 	due := 0.0
 	for range int(seconds * 1000) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// advance lets a millisecond pass and finishes the requests that are due.
+// advance moves the clock by a millisecond and finishes the requests that are due.
 func (s *scenario) advance() {
 	s.now += units.Millisecond
 	remaining := s.inFlight[:0]
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -7,6 +7,6 @@
 //
 // Parse accepts only jobs whose values are in range, so later code does not check them again. It matches
 // field names exactly, including case, and ignores unknown fields. If a name occurs twice, the last value
-// counts, for every field. The package keeps no state and calls no other service: the results depend
-// on the arguments alone.
+// counts, for every field. The package keeps no state and does no I/O: the results depend on the
+// arguments alone.
 package api
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -62,7 +62,8 @@
 	urgencyPerSubmission = units.Second / 4
 )
 
-// enqueue queues a validated submission and stores it if that is possible now.
+// enqueue sets the acceptance time of a validated submission and queues it. It is stored at once if
+// possible.
 func (q *acceptQueue) enqueue(request UserRequest) {
 	request.Job.AcceptedAt = int64(q.timeOfDay)
 	q.pending = append(q.pending, pendingSubmission{job: request.Job, requestID: request.RequestID, requestedAt: q.now})
@@ -94,9 +95,9 @@
 	}
 }
 
-// takePending removes the submissions whose requests are still open from the queue and returns them by job
-// shard. Submissions whose owning shard the replica has not seen yet stay queued: in any other shard the
-// job would not be found again.
+// takePending empties the queue and returns the submissions whose requests are still open, by job shard.
+// Submissions whose owning shard the replica has not seen yet stay queued: in any other shard the job
+// would not be found again.
 func (q *acceptQueue) takePending() map[*jobShard][]pendingSubmission {
 	pending := map[*jobShard][]pendingSubmission{}
 	var waiting []pendingSubmission
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -32,12 +32,12 @@
 // The check owns only its result and never writes. The outcomes that it reads are kept by the replica, so
 // a repeated submission continues where one that timed out stopped.
 type dependencyCheck struct {
-	replica  *replica
-	outcomes *outcomeReads
-	result   dependencyResult
-	unread   []string // jobs whose outcomes are still to be read
-	awaited  int      // reads in flight
-	done     func(dependencyResult)
+	replica       *replica
+	outcomes      *outcomeReads
+	result        dependencyResult
+	unread        []string // jobs whose outcomes are still to be read
+	readsInFlight int
+	done          func(dependencyResult)
 }
 
 // checkDependencies checks the dependencies of a submission and calls done once with the result.
@@ -84,7 +84,7 @@
 	}
 	batch := d.unread[:min(len(d.unread), maxOutcomeReads)]
 	d.unread = d.unread[len(batch):]
-	d.awaited = len(batch)
+	d.readsInFlight = len(batch)
 	for _, id := range batch {
 		d.outcomes.fetch(id, func(read outcomeResult) { d.noteRead(id, read) })
 	}
@@ -100,8 +100,8 @@
 	case lookupUndecided:
 		d.result.undecided = true
 	}
-	d.awaited--
-	if d.awaited == 0 {
+	d.readsInFlight--
+	if d.readsInFlight == 0 {
 		d.readNext()
 	}
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -6,8 +6,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// job is what the replica and this controller know of a job that has not ended. A job also remains here
-// after its removal while entries of machines still list tasks of it.
+// job is what the replica and this controller know of a job that has not ended. It also exists, not
+// accepted, for a removed job while machines' entries still list its tasks.
 type job struct {
 	id                 string
 	accepted           bool
@@ -89,7 +89,7 @@
 // completionStored reports whether the completion of a task is stored, so that no controller starts it again.
 func (j *job) completionStored(n int) bool { return j.done.Contains(n) || j.recordedInEntry[n] }
 
-// removeBinding records that a task is no longer on any machine.
+// removeBinding removes a task's binding, so that the task counts as unbound.
 func (j *job) removeBinding(n int) {
 	delete(j.bindings, n)
 	delete(j.recordedInEntry, n)
@@ -118,16 +118,17 @@
 	return j.done.Len() + len(j.unstoredCompletions)
 }
 
-// nextUnbound returns the first task from n on that is neither done nor bound, or -1 if no task may be
-// started. Tasks are taken in order, so that the stored ranges of done tasks stay few.
+// nextUnbound returns the first task from n on that is neither done nor bound, or -1 if none may be
+// started now. Tasks are taken in order, so that the stored ranges of done tasks stay few.
 func (j *job) nextUnbound(n int) int {
 	if !j.dependency.Ready() {
 		return -1
 	}
 	end := j.spec.Tasks
 	if maxGaps := j.maxProgressGaps(); max(j.done.RangeCount(), j.allDone.RangeCount()) > maxGaps {
-		// The stored progress must not become much longer, so only gaps are filled, by few tasks at a
-		// time. Filled gaps make it shorter; without them a job with too many gaps could not go on.
+		// The stored progress must not become much longer, so only gaps are filled, with at most
+		// maxGaps/4 active tasks. Filled gaps make it shorter; a job with too many gaps could not go on
+		// otherwise.
 		if j.active() >= maxGaps/4 {
 			return -1
 		}
@@ -151,7 +152,7 @@
 }
 
 // progressGapsFor returns how many gaps a job's progress may have to fit into a stored value of valueMax
-// bytes: each gap takes two task numbers and two separators. The result is at least 8.
+// bytes: each gap takes two task numbers and two separators. The result is from 8 to maxProgressGaps.
 func progressGapsFor(valueMax int) int {
 	const gapBytes = 2*len("99999") + 2
 	return max(8, min(maxProgressGaps, (valueMax-2*documentOverheadBytes)/gapBytes))
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -113,7 +113,7 @@
 type statusQuery struct {
 	reader   *statusReader
 	jobID    string
-	deadline units.Micros // for the outcomes of the dependencies to become known
+	deadline units.Micros // by when the outcomes of the dependencies must be known
 	done     func(statusResult)
 }
 
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -17,7 +17,7 @@
 	peers      *peerTable
 }
 
-// readinessGrace is how long after the store's last answer its failure does not affect readiness.
+// readinessGrace is how long after the store's last answer a failure of the store is ignored.
 const readinessGrace = 2 * units.Second
 
 // handle answers a health probe.
--- a/internal/controller/userrequests.go
+++ b/internal/controller/userrequests.go
@@ -17,7 +17,8 @@
 	deadlines map[uint64]units.Micros // by request id: when the request times out
 }
 
-// answerAuditor checks a status last before it is sent to a user, and returns the status to send.
+// answerAuditor makes the last check of a status before it is sent to a user, and returns the status to
+// send.
 type answerAuditor interface {
 	checkAnswer(status *JobStatus) *JobStatus
 }
@@ -26,7 +27,7 @@
 	return &userRequests{environment: env, auditor: auditor, deadlines: map[uint64]units.Micros{}}
 }
 
-// Request timeouts.
+// Request timeouts: how long a user waits for an answer at most.
 const (
 	queryWait  = 1500 * units.Millisecond
 	submitWait = 2500 * units.Millisecond // also of cancellations: both must be stored before the answer
@@ -81,8 +82,8 @@
 	}
 }
 
-// reject answers a request that would fail again if it were repeated. If cause is nil the response has
-// no body.
+// reject answers a request with a final error status, without advice to retry. If cause is nil the
+// response has no body.
 func (u *userRequests) reject(requestID uint64, httpStatus int, cause error) {
 	if !u.close(requestID) {
 		return
--- a/internal/controller/userrequests_test.go
+++ b/internal/controller/userrequests_test.go
@@ -22,7 +22,7 @@
 	return users
 }
 
-// TestAnswerOnce answers a request more than once: only the first of the answers is sent, not the other two.
+// TestAnswerOnce answers a request three times: only the first answer is sent, not the other two.
 func TestAnswerOnce(t *testing.T) {
 	users := openRequests(UserRequest{RequestID: 1})
 	users.reject(1, http.StatusNotFound, nil)
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -1,21 +1,21 @@
-// Package dag keeps the graph of jobs that need other jobs: which of them may start, which are
-// cancelled because a job that they need is cancelled, and which priority and deadline each
-// inherits from the jobs that need it.
+// Package dag keeps the dependency graph of jobs: which jobs may start, which are cancelled
+// because a job that they need is cancelled, and which priority and deadline each inherits from
+// the jobs that need it.
 //
-// A Graph holds the accepted jobs that are not over, and what those need. Its user tells it of every
-// job that is accepted (Add) or over (Remove) and of every stored outcome that it learns of
-// (RecordOutcome); the graph answers with what follows. To be told something again changes nothing.
-// It never reads or writes the store, has no clock and starts no goroutines, and must not be used by
-// two goroutines at once. Answers do not depend on the order of map iteration.
+// A Graph holds the accepted jobs that have not ended, and the jobs that those need. The caller
+// reports every job that is accepted (Add) or has ended (Remove) and every stored outcome
+// (RecordOutcome); Add and RecordOutcome return the resulting changes. A repeated report changes
+// nothing. A Graph never reads or writes the store, has no clock and starts no goroutines, and must
+// not be used by two goroutines at once. Results do not depend on the order of map iteration.
 //
-// A stored outcome never changes, so what is derived from outcomes is monotone: a job that is
+// A stored outcome never changes, so the states derived from outcomes are monotone: a job that is
 // ready stays ready, and one that is cancelled stays cancelled. A job is accepted only after
 // the jobs that it needs, so the graph has no cycles.
 //
-// Between calls these hold:
+// Invariants between calls:
 //
 //   - a job has a node if and only if it is accepted or an accepted job needs it;
-//   - edges are known at both ends: b is among the needs of a if and only if a is among the
+//   - edges are stored at both ends: b is among the needs of a if and only if a is among the
 //     dependents of b, and then a is accepted;
 //   - unmet counts the needs of a node that are not known to be done;
 //   - unresolved holds the nodes that are not accepted and whose outcome is not known;
@@ -23,28 +23,28 @@
 //   - a pending node has the highest priority and the earliest deadline of its own job and its
 //     pending dependents.
 //
-// A change costs as much as the edges that it concerns, however many jobs there are.
+// The cost of a change depends on the number of edges that it concerns, not on the number of jobs.
 package dag
 
 import "slices"
 
-// Graph is the graph of all accepted jobs that are not over.
+// Graph is the graph of all accepted jobs that have not ended.
 type Graph struct {
 	nodes      map[string]*Node
 	unresolved map[string]bool // needed jobs that are not accepted and whose outcome is not known
-	visited    int             // nodes looked at so far, as a measure of the work done
+	visited    int             // nodes visited so far, as a measure of work for tests
 }
 
 // New returns an empty graph.
 func New() *Graph { return &Graph{nodes: map[string]*Node{}, unresolved: map[string]bool{}} }
 
-// Node is the node of a job, or nil.
+// Node returns the node of a job, or nil if the graph has none.
 func (g *Graph) Node(id string) *Node { return g.nodes[id] }
 
-// Add enters an accepted job that is not over. lookup returns the outcome of a needed job, if it is
-// known; what it knows must have been given to RecordOutcome as well, when it was learnt, so that
-// the jobs that were in the graph by then know it too. Add returns the jobs that are now known to be
-// cancelled.
+// Add adds an accepted job that has not ended. lookup returns the outcome of a needed job, if it is
+// known. Each outcome that lookup knows must have been passed to RecordOutcome when it became known,
+// so that the jobs that were in the graph by then have it too. Add returns the ids of the jobs that
+// are now known to be cancelled.
 func (g *Graph) Add(job Job, lookup func(id string) (Outcome, bool)) []string {
 	node := g.getOrCreate(job.ID)
 	if node.accepted {
@@ -86,7 +86,7 @@
 	}
 }
 
-// getOrCreate is the node of a job, a new one if there was none.
+// getOrCreate returns the node of a job, and creates it if the graph has none.
 func (g *Graph) getOrCreate(id string) *Node {
 	node := g.nodes[id]
 	if node == nil {
@@ -96,8 +96,8 @@
 	return node
 }
 
-// Remove takes out a job that is no longer among the accepted ones: it is over. While another job
-// needs it and its outcome is not known, it is among the Unresolved.
+// Remove removes an accepted job that has ended. While another job needs it and its outcome is not
+// known, it is among the Unresolved.
 func (g *Graph) Remove(id string) {
 	node := g.nodes[id]
 	if node == nil || !node.accepted {
@@ -116,7 +116,7 @@
 	g.removeIfUnreferenced(node)
 }
 
-// removeIfUnreferenced drops a node that is not accepted and that no job needs any more.
+// removeIfUnreferenced removes a node that is not accepted and that no job needs any more.
 func (g *Graph) removeIfUnreferenced(node *Node) {
 	if !node.accepted && len(node.dependents) == 0 {
 		delete(g.nodes, node.id)
@@ -124,8 +124,8 @@
 	}
 }
 
-// RecordOutcome takes a stored outcome. It returns the jobs that are now known to be cancelled
-// because of it, and those that may now start.
+// RecordOutcome records a stored outcome. It returns the ids of the jobs that are now known to be
+// cancelled because of it, and of those that may now start.
 func (g *Graph) RecordOutcome(id string, outcome Outcome) (cancelled, ready []string) {
 	node := g.nodes[id]
 	if node == nil || node.outcome.State != Pending || outcome.State == Pending {
@@ -138,7 +138,7 @@
 	return nil, g.complete(node, outcome)
 }
 
-// complete marks a job as done. It returns the jobs that may now start.
+// complete marks a job as done. It returns the ids of the jobs that may now start.
 func (g *Graph) complete(node *Node, outcome Outcome) []string {
 	var ready []string
 	node.outcome = outcome
@@ -153,8 +153,8 @@
 	return ready
 }
 
-// cancel marks a job and all that need it, directly or through others, as cancelled. It
-// returns those that are cancelled because of another: first too, if cancelledBy is not empty.
+// cancel marks a job and all its direct and transitive dependents as cancelled. It returns the ids of
+// the jobs that are cancelled because of another job: of first too, if cancelledBy is not empty.
 func (g *Graph) cancel(first *Node, cancelledBy string) []string {
 	var cancelled []string
 	first.markCancelled(cancelledBy)
@@ -181,8 +181,8 @@
 	return cancelled
 }
 
-// Unresolved lists needed jobs that are over and whose outcomes have to be looked up: the first
-// ones in the order of their ids, at most limit.
+// Unresolved returns needed jobs that are not accepted and whose outcomes have to be looked up: the
+// first ones in the order of their ids, at most limit.
 func (g *Graph) Unresolved(limit int) []string {
 	var ids []string
 	for id := range g.unresolved {
@@ -192,8 +192,8 @@
 	return ids[:min(limit, len(ids))]
 }
 
-// Resolved reports whether the job's state follows from known outcomes: no job that it needs,
-// directly or through others, is among the Unresolved.
+// Resolved reports whether the job's state follows from known outcomes: none of its direct and
+// transitive dependencies is among the Unresolved.
 func (g *Graph) Resolved(id string) bool {
 	first := g.nodes[id]
 	if first == nil || len(g.unresolved) == 0 {
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -10,10 +10,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// noOutcome looks outcomes up where none is known.
+// noOutcome is a lookup function that knows no outcome.
 func noOutcome(string) (Outcome, bool) { return Outcome{}, false }
 
-// build returns a graph of jobs of which none is cancelled.
+// build returns a graph of jobs, none of them cancelled.
 func build(t *testing.T, jobs ...Job) *Graph {
 	t.Helper()
 	g := New()
@@ -25,8 +25,8 @@
 	return g
 }
 
-// TestReady starts nothing before all that it needs is done, and keeps the moment at which
-// the last of them was.
+// TestReady checks that a job is ready only when all jobs that it needs are done, and that ReadyAt is the
+// time of the last of their outcomes.
 func TestReady(t *testing.T) {
 	g := build(t, Job{ID: "a"}, Job{ID: "b"}, Job{ID: "c", Needs: []string{"a", "b", "a"}}, Job{ID: "d", Needs: []string{"c"}})
 	if g.Node("c").Ready() || !g.Node("a").Ready() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestOutcomeBeforeAdd has outcomes arrive before the jobs that need them, as they do when a
+// TestOutcomeBeforeAdd adds jobs after outcomes of the jobs that they need, as happens while a
 // replica is loaded.
 func TestOutcomeBeforeAdd(t *testing.T) {
 	g := New()
@@ -66,22 +66,22 @@
 		t.Fatal("c is not ready at 7")
 	}
 	if len(g.Unresolved(9)) > 0 {
-		t.Error("something is still to be read")
+		t.Error("jobs are unresolved though all outcomes are known")
 	}
-	// A job that is added after all has no outcome to read; one that was removed has, while it is needed.
+	// A needed job that is accepted has no outcome to look up; one that was removed has, while it is needed.
 	g.Add(Job{ID: "f", Needs: []string{"e"}}, noOutcome)
 	g.Add(Job{ID: "e"}, noOutcome)
 	if len(g.Unresolved(9)) > 0 {
-		t.Error("e is among the accepted ones")
+		t.Error("e is accepted and must not be unresolved")
 	}
 	g.Remove("e")
 	if !slices.Equal(g.Unresolved(9), []string{"e"}) {
-		t.Error("e has left, and its outcome is not asked for")
+		t.Error("e was removed while f needs it, but is not unresolved")
 	}
 }
 
-// TestCancelled carries a cancellation to all that need the job, several parents with
-// different outcomes and jobs added afterwards included.
+// TestCancelled checks that a cancellation reaches all dependents of a job, also a dependent of several
+// jobs with different outcomes and a job added afterwards.
 func TestCancelled(t *testing.T) {
 	g := build(t, Job{ID: "a"}, Job{ID: "b"}, Job{ID: "c", Needs: []string{"a", "b"}}, Job{ID: "d", Needs: []string{"c"}}, Job{ID: "e", Needs: []string{"b"}})
 	g.RecordOutcome("b", Outcome{Done, 1})
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestInherit has a job count with the highest priority and earliest deadline of all that
-// need it, and no more once those are cancelled or over.
+// TestInherit checks that a job has the highest priority and the earliest deadline of itself and its
+// dependents, without those that are cancelled or removed.
 func TestInherit(t *testing.T) {
 	g := build(t, Job{ID: "a", Priority: 0}, Job{ID: "b", Priority: 1, Needs: []string{"a"}}, Job{ID: "c", Priority: 2, DueAt: 50, Needs: []string{"b"}}, Job{ID: "d", Priority: 3, DueAt: 70, Needs: []string{"b"}})
 	want := func(id string, priority int, due units.Micros) {
@@ -119,7 +119,7 @@
 	want("a", 1, 0)
 }
 
-// TestCollected leaves nothing behind when all jobs are over.
+// TestCollected checks that the graph is empty after all jobs have ended.
 func TestCollected(t *testing.T) {
 	g := New()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -139,12 +139,12 @@
 		g.Remove(id)
 	}
 	if len(g.nodes)+len(g.unresolved) > 0 {
-		t.Errorf("%d nodes, %d unresolved", len(g.nodes), len(g.unresolved))
+		t.Errorf("%d nodes and %d unresolved jobs are left", len(g.nodes), len(g.unresolved))
 	}
 }
 
-// TestWork bounds the nodes looked at by the edges that a change concerns: long chains, wide
-// fan-in and fan-out, beside many jobs that have nothing to do with them.
+// TestWork checks that a change visits only as many nodes as it concerns edges, in long chains and wide
+// fan-in and fan-out, beside many unrelated jobs.
 func TestWork(t *testing.T) {
 	const n = 3000
 	g := New()
@@ -162,7 +162,7 @@
 		before := g.visited
 		do()
 		if got := g.visited - before; got > limit {
-			t.Errorf("%s looks at %d nodes", what, got)
+			t.Errorf("%s: %d nodes visited, more than the limit", what, got)
 		}
 	}
 	work(2*n, "wide fan-in", func() { g.Add(Job{ID: "in", Needs: all}, noOutcome) })
@@ -171,7 +171,7 @@
 	work(4, "a new last link", func() { g.Add(Job{ID: "last", Needs: []string{fmt.Sprintf("line-%d", n-1)}}, noOutcome) })
 	work(4*n, "a long chain", func() { g.RecordOutcome("line-0", Outcome{State: Cancelled}) })
 	if !g.Node("last").Cancelled() || !g.Node("out-17").Cancelled() {
-		t.Error("a link was left behind")
+		t.Error("a cancellation did not reach all dependents")
 	}
 	work(4, "removing one of many", func() { g.Remove("out-17") })
 }
--- a/internal/dag/inheritance.go
+++ b/internal/dag/inheritance.go
@@ -2,8 +2,8 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// updateInherited derives the priority and the deadline of a node anew, and passes changes on to
-// the jobs that it needs.
+// updateInherited recomputes the priority and the deadline of a node, and propagates changes to the
+// jobs that it needs.
 func (g *Graph) updateInherited(first *Node) {
 	queue := []*Node{first}
 	for len(queue) > 0 {
@@ -19,8 +19,8 @@
 	}
 }
 
-// inherit returns the highest priority and the earliest deadline of a job and of its dependents
-// that are not over.
+// inherit returns the highest priority and the earliest deadline of a job and of its pending
+// dependents.
 func (n *Node) inherit() (priority int, dueAt units.Micros) {
 	priority, dueAt = n.job.Priority, n.job.DueAt
 	for dependent := range n.dependents {
@@ -35,8 +35,8 @@
 	return priority, dueAt
 }
 
-// withdrawInherited takes from a node what it inherited from a dependent that no longer counts. A
-// dependent that gave neither the priority nor the deadline costs nothing.
+// withdrawInherited updates a node after a dependent has been removed or cancelled. It does nothing if
+// the dependent determined neither the priority nor the deadline.
 func (g *Graph) withdrawInherited(node, dependent *Node) {
 	if node.outcome.State == Pending && (dependent.priority == node.priority || dependent.dueAt == node.dueAt) {
 		g.updateInherited(node)
--- a/internal/dag/node.go
+++ b/internal/dag/node.go
@@ -8,54 +8,55 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// State is how a job ended, as far as is known.
+// State is the known state of a job: whether and how it has ended.
 type State int
 
 // States of a job.
 const (
-	Pending   State = iota // not over, or its outcome is not known here
-	Done                   // all of its tasks are done, and that is stored
+	Pending   State = iota // not ended, or its outcome is not known to the graph
+	Done                   // all tasks are done, and the outcome is stored
 	Cancelled              // cancelled by a user, or because of a job that it needs
 )
 
 // Outcome is the stored outcome of a job.
 type Outcome struct {
 	State State
-	At    units.Micros // time of day at which it was stored; 0: not known
+	At    units.Micros // time of day at which it was stored; 0: unknown
 }
 
-// Job is what the graph has to know of an accepted job.
+// Job describes an accepted job to the graph.
 type Job struct {
 	ID       string
 	Needs    []string // jobs that must be done before it starts
 	Priority int
-	DueAt    units.Micros // time of day of its deadline; 0: it has none
+	DueAt    units.Micros // deadline as a time of day; 0: none
 }
 
-// Node is one job of a graph. Methods that allow a nil Node take it for a job that needs no other
-// and is needed by none.
+// Node is one job of a graph. Methods that allow a nil Node treat it as a job without dependencies
+// and dependents.
 type Node struct {
 	id          string
-	accepted    bool // and not over; false: it is here only because another job needs it
-	job         Job  // as accepted
+	accepted    bool // and not ended; false: in the graph only because another job needs it
+	job         Job  // valid if accepted
 	needs       []*Node
 	dependents  map[*Node]bool
 	outcome     Outcome
 	cancelledBy string       // the needed job whose cancellation cancelled this one; empty: none
-	unmet       int          // how many of needs are not known to be done
-	readyAt     units.Micros // when the latest of needs was done
-	priority    int          // the highest of its own and those of all that need it
-	dueAt       units.Micros // the earliest of its own and those of all that need it; 0: none
+	unmet       int          // number of needs that are not known to be done
+	readyAt     units.Micros // time of day at which the latest of needs was done
+	priority    int          // highest of its own and those of its pending dependents
+	dueAt       units.Micros // earliest of its own and those of its pending dependents; 0: none
 }
 
-// Ready reports whether all jobs that this one needs are done. A nil Node is ready.
+// Ready reports whether the job is not cancelled and all jobs that it needs are done. A nil Node is
+// ready.
 func (n *Node) Ready() bool { return n == nil || n.unmet == 0 && n.outcome.State != Cancelled }
 
 // Cancelled reports whether the job is cancelled, by a user or because of another job. A nil Node
 // is not.
 func (n *Node) Cancelled() bool { return n != nil && n.outcome.State == Cancelled }
 
-// CancelledBy names the needed job whose cancellation cancelled this one; empty if none did. The
+// CancelledBy returns the needed job whose cancellation cancelled this one; empty if none did. The
 // Node may be nil.
 func (n *Node) CancelledBy() string {
 	if n == nil {
@@ -64,7 +65,7 @@
 	return n.cancelledBy
 }
 
-// ReadyAt is the time of day at which the last needed job was done; 0: nothing was needed. The
+// ReadyAt returns the time of day at which the last needed job was done; 0 if none was needed. The
 // Node may be nil.
 func (n *Node) ReadyAt() units.Micros {
 	if n == nil {
@@ -73,11 +74,12 @@
 	return n.readyAt
 }
 
-// Priority is the highest priority of the job and of all that need it. The Node must not be nil.
+// Priority returns the highest priority of the job and its pending dependents. The Node must not be
+// nil.
 func (n *Node) Priority() int { return n.priority }
 
-// DueAt is the earliest deadline, as a time of day, of the job and of all that need it; 0: none.
-// The Node may be nil.
+// DueAt returns the earliest deadline, as a time of day, of the job and its pending dependents; 0 if
+// there is none. The Node may be nil.
 func (n *Node) DueAt() units.Micros {
 	if n == nil {
 		return 0
@@ -85,8 +87,8 @@
 	return n.dueAt
 }
 
-// UnmetNeeds lists the needed jobs that are not known to be done, in the order in which the job
-// names them. The Node may be nil.
+// UnmetNeeds returns the needed jobs that are not known to be done, in the order of Job.Needs. The
+// Node may be nil.
 func (n *Node) UnmetNeeds() []string {
 	if n == nil {
 		return nil
@@ -100,13 +102,13 @@
 	return unmet
 }
 
-// markCancelled makes the job cancelled, because of cancelledBy if that is not empty.
+// markCancelled marks the job as cancelled, because of the job cancelledBy if that is not empty.
 func (n *Node) markCancelled(cancelledBy string) {
 	n.outcome, n.cancelledBy = Outcome{State: Cancelled}, cancelledBy
 }
 
-// sortedDependents lists the jobs that need this one in the order of their ids, so that the order
-// of map iteration decides nothing.
+// sortedDependents returns the jobs that need this one in the order of their ids, so that results do
+// not depend on the order of map iteration.
 func (n *Node) sortedDependents() []*Node {
 	return slices.SortedFunc(maps.Keys(n.dependents), func(a, b *Node) int { return cmp.Compare(a.id, b.id) })
 }
