--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -10,8 +10,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// placeArrays is hSRTF-Pr: jobs in order of remaining time, each up to its fair share, and what is left
-// over to whoever can use it in the same order.
+// placeArrays applies hSRTF-Pr (see package fairshare): it places jobs in order of remaining time, each up
+// to its fair share, and gives the capacity left over, in the same order, to jobs that can use it.
 func (p *plan) placeArrays(jobs []*job) {
 	active := activeArrays(jobs)
 	if len(active) == 0 {
@@ -21,10 +21,10 @@
 	queueBehind := p.pickShards()
 	p.expireReservations(active)
 	p.placeFirstTasks(order)
-	// Then what lies within its team's guarantee: it need not wait for other teams, and takes the
-	// capacity that falls free before any is taken back for it. Of either kind what is urgent goes
-	// first, itself or for a dependent: its user cares about the completion of the DAG, and each
-	// dependency that waits for its share delays all that follow.
+	// Next are jobs within their team's guarantee: they need not wait for other teams, and take capacity
+	// that becomes free before tasks are preempted for them. Both within the guarantees and beyond them,
+	// jobs that are urgent themselves or have an urgent dependent go first: the user cares about the
+	// completion of the DAG, and each dependency that waits for its share delays all jobs after it.
 	p.guaranteed = p.guaranteedJobs()
 	p.placeAll(order, func(j *job) bool { return p.guaranteed[j] && j.urgent() })
 	p.placeAll(order, func(j *job) bool { return p.guaranteed[j] })
@@ -38,7 +38,7 @@
 	}
 }
 
-// activeArrays are the arrays that are neither cancelled nor wait for other jobs.
+// activeArrays returns the arrays that are neither cancelled nor blocked by dependencies.
 func activeArrays(jobs []*job) []*job {
 	var active []*job
 	for _, j := range jobs {
@@ -49,13 +49,13 @@
 	return active
 }
 
-// urgent reports whether an array is placed before shares are looked at.
+// urgent reports whether an array is placed before fair shares are considered.
 func (j *job) urgent() bool { return j.priority() >= priorityUrgent }
 
 // begun reports whether tasks of the job run or are done.
 func (j *job) begun() bool { return j.active() > 0 || j.doneCount() > 0 }
 
-// rankArrays gives each array its share and returns those that may be placed now, in order of
+// rankArrays assigns each array its fair share and returns those that may be placed now, in order of
 // remaining time.
 func (p *plan) rankArrays(active []*job) []*job {
 	capacity, machinesByType := p.arrayCapacity(active)
@@ -79,8 +79,8 @@
 	return order
 }
 
-// arrayCapacity is what the partition's arrays may have among them, in CPUs: what is free on its own
-// machines, and what the arrays take. It also counts those machines, by type.
+// arrayCapacity returns the CPUs to be shared among the partition's arrays: those that are free on its
+// own machines, and those that the arrays use. It also counts these machines, by type.
 func (p *plan) arrayCapacity(active []*job) (cpus float64, machinesByType map[string]int) {
 	machinesByType = map[string]int{}
 	for _, m := range p.machines {
@@ -95,8 +95,8 @@
 	return cpus, machinesByType
 }
 
-// resetSharesWhenDue has the shares worked out from nothing now and then, as the policy says; otherwise
-// each plan starts from those of the last.
+// resetSharesWhenDue clears the shares once in each of the policy's refresh intervals, so that they are
+// computed from scratch; otherwise each plan starts from the shares of the last plan.
 func (p *plan) resetSharesWhenDue(active []*job) {
 	state := &p.leadership.planning
 	if p.now-state.sharesResetAt < p.policy.RefreshInterval {
@@ -108,11 +108,11 @@
 	}
 }
 
-// fairshareJob is a job as fairshare ranks it.
+// fairshareJob returns the properties of a job that package fairshare ranks it by.
 func (p *plan) fairshareJob(j *job, maxParallel int) fairshare.Job {
 	average := j.observedAverage(p.now)
 	if average == 0 {
-		average = p.estimates.borrowedAverage(j)
+		average = p.estimates.assumedTaskTime(j)
 	}
 	return fairshare.Job{
 		ID: j.id, TotalTasks: j.spec.Tasks, UnfinishedTasks: j.spec.Tasks - j.doneCount(), AverageTaskTime: average,
@@ -121,7 +121,7 @@
 	}
 }
 
-// capacityFor is how many tasks of a job so many machines of each type run at once.
+// capacityFor returns how many tasks of a job the given machines, counted by type, can run at once, by CPUs.
 func (p *plan) capacityFor(j *job, machinesByType map[string]int) int {
 	capacity := 0
 	types := p.catalog.types
@@ -133,11 +133,12 @@
 	return capacity
 }
 
-// placeFirstTasks places one task of each job that has waited for long, whatever its size: it shows
-// how long its tasks take, and no flood of smaller ones keeps it waiting.
+// placeFirstTasks places one task of each job that has waited long for its first, whatever the job's size:
+// that task shows how long the job's tasks take, and a flood of smaller jobs cannot keep the job waiting.
+// If the task cannot be placed, a machine is reserved for the job.
 func (p *plan) placeFirstTasks(order []*job) {
 	for _, j := range order {
-		if j.begun() || p.timeOfDay-j.eligibleSince() <= firstTaskWithin/2 {
+		if j.begun() || p.timeOfDay-j.eligibleSince() <= maxFirstTaskWait/2 {
 			continue
 		}
 		p.placeUpTo(j, 1)
@@ -147,7 +148,7 @@
 	}
 }
 
-// placeShares places each job up to its share.
+// placeShares places tasks of each job up to its share, and at least one.
 func (p *plan) placeShares(order []*job) {
 	for _, j := range order {
 		share := max(1, int(j.share/j.spec.CPUs+roundingTolerance))
@@ -155,7 +156,7 @@
 	}
 }
 
-// placeAll places all that it can of the jobs that are eligible, in order.
+// placeAll places as many tasks as possible of the eligible jobs, in order.
 func (p *plan) placeAll(order []*job, eligible func(*job) bool) {
 	for _, j := range order {
 		if eligible(j) {
@@ -164,23 +165,23 @@
 	}
 }
 
-// failuresBeforeProbe is how often a job must have failed, wherever it ran, until its tasks are tried
-// one at a time.
+// failuresBeforeProbe is the number of failures in a row, on any machines, after which a job's tasks are
+// tried one at a time.
 const failuresBeforeProbe = 3
 
-// placeUpTo places up to so many tasks of an array.
-func (p *plan) placeUpTo(j *job, most int) {
+// placeUpTo places up to limit tasks of an array.
+func (p *plan) placeUpTo(j *job, limit int) {
 	if j.failures >= failuresBeforeProbe {
-		most = min(most, 1-j.active())
+		limit = min(limit, 1-j.active())
 	}
-	most = min(most, j.waiting())
-	if most <= 0 {
+	limit = min(limit, j.waiting())
+	if limit <= 0 {
 		return
 	}
 	placed := 0
 	var m *stagedMachine
-	for index := j.nextUnbound(0); index >= 0 && placed < most && p.budget.changes >= 0 && p.underQuota(j); index = j.nextUnbound(index + 1) {
-		// Neighbours go together: where one fitted best, so does the next.
+	for index := j.nextUnbound(0); index >= 0 && placed < limit && p.budget.changes >= 0 && p.underQuota(j); index = j.nextUnbound(index + 1) {
+		// Neighbouring tasks go together: the machine that is best for one task is kept for the next.
 		if m == nil || !m.fits(j) || !placementAllowed(j, m.machine) {
 			m = p.chooseMachine(j)
 		}
@@ -193,9 +194,9 @@
 	}
 }
 
-// stageCapacityEndingSoon counts the capacity of tasks that are about to end as free. What is entered
-// there is started the moment that capacity is free, without waiting for the next write of the machine
-// shard; it is lost to nobody, since whatever ranks higher goes first.
+// stageCapacityEndingSoon counts the capacity of tasks that are about to end as free. A task placed there
+// is started the moment that capacity is free, without waiting for the next write of the machine shard.
+// No other job loses capacity by that, since jobs that rank higher are placed first.
 func (p *plan) stageCapacityEndingSoon() {
 	for _, m := range p.machines {
 		if m.shard.ownShard && (m.shard.picked || m.shard.changed) && m.active > 0 {
@@ -204,13 +205,13 @@
 	}
 }
 
-// shardCapacity is what arrays may find on a machine shard, in CPUs.
+// shardCapacity is the capacity for arrays on a machine shard, in CPUs: free now, and in addition soon.
 type shardCapacity struct {
 	shard      *stagedShard
 	free, soon float64
 }
 
-// arrayCapacityOf is what arrays may find on a machine shard.
+// arrayCapacityOf returns the capacity for arrays on a machine shard.
 func arrayCapacityOf(shard *stagedShard) shardCapacity {
 	capacity := shardCapacity{shard: shard}
 	for _, m := range shard.machines {
@@ -222,10 +223,10 @@
 	return capacity
 }
 
-// pickShards chooses the machine shards that arrays may use in this plan. While changes are scarce,
-// each must start as much as it can: the machine shards with the most capacity, now or soon, come
-// first. It reports whether tasks should also queue behind those that end soon, since little else
-// is free.
+// pickShards chooses the machine shards that arrays may use in this plan. While changes are scarce, each
+// change must start as many tasks as possible: the machine shards with the most capacity, now or soon,
+// are picked first. It reports whether tasks should also queue behind tasks that end soon, since little
+// other capacity is free.
 func (p *plan) pickShards() (queueBehind bool) {
 	var candidates []shardCapacity
 	for _, shard := range p.shards {
@@ -253,8 +254,8 @@
 	return left < soon && p.revisitPeriod() > minRevisitToQueue
 }
 
-// revisitPeriod is how long it takes, on average, until each of the partition's machine shards has been
-// written once more.
+// revisitPeriod returns how long it takes on average, at this controller's write rate, to write each of
+// the partition's machine shards once more.
 func (p *plan) revisitPeriod() units.Micros {
 	own := 0
 	for _, shard := range p.shards {
@@ -265,35 +266,37 @@
 	return units.FromSeconds(float64(own) / p.writes.rate())
 }
 
-// minRevisitToQueue is the revisit period above which tasks queue behind others that are expected to
-// end soon. A freed place waits half of that period for the next write of its machine shard; a task
-// that is queued waits for longer when the expectation is wrong, as it is for a job whose tasks differ,
-// and it cannot go elsewhere meanwhile.
+// minRevisitToQueue is the revisit period above which tasks queue behind others that are expected to end
+// soon. Freed capacity waits half of the revisit period for the next write of its machine shard. A queued
+// task waits for longer when the expected end is wrong, as for a job whose tasks differ in length, and it
+// cannot be placed elsewhere meanwhile.
 const minRevisitToQueue = 2 * units.Second
 
-// reservedForLeader reports whether a machine shard's capacity is left to its own partition's jobs,
-// which wait. If they have not taken it for a while they cannot: their team is at its quota, they
-// fail, or fit nowhere there. Such jobs must not keep all others off a partition's free machines.
+// reservedForLeader reports whether the capacity of another partition's machine shard is left to that
+// partition's own waiting jobs. If they have not used it for leaderPriorityPeriod, they cannot: their
+// team is at its quota, their tasks fail, or they fit on no machine there. Such jobs must not keep all
+// others off a partition's free machines.
 func (p *plan) reservedForLeader(shard *stagedShard) bool {
 	return !shard.ownShard && p.partitionsWaiting[shard.shard.partition] && p.now-shard.shard.changedAt < leaderPriorityPeriod
 }
 
-// leaderPriorityPeriod is several times what a leader needs to visit all of its machine shards.
+// leaderPriorityPeriod is how long after the last change of a machine shard its capacity is left to its own
+// partition's jobs: several times as long as a leader takes to visit all of its machine shards.
 const leaderPriorityPeriod = 15 * units.Second
 
-// priorityUrgent is the priority from which on an array is placed before shares are looked at.
+// priorityUrgent is the lowest priority at which an array is placed before fair shares are considered.
 const priorityUrgent = 2
 
 var priorityNames = [...]string{"best_effort", "standard", "urgent", "production"}
 
-// weightLogPeriod is how often failures of the policy are told in the log.
+// weightLogPeriod is the minimum time between log messages about failures of the policy.
 const weightLogPeriod = 60 * units.Second
 
-// weight is what the operators' policy says of a job; 1 if it fails.
+// weight returns the weight that the operators' policy gives a job; 1 if the policy fails.
 func (p *plan) weight(j *job) float64 {
 	age := max(0, p.timeOfDay-j.eligibleSince())
 	dueInSeconds := 0.0
-	if dueAt := j.dependency.DueAt(); dueAt > 0 { // also of a dependent
+	if dueAt := j.dependency.DueAt(); dueAt > 0 { // the earliest, including those of dependents
 		dueInSeconds = (dueAt - p.timeOfDay).Seconds()
 	}
 	weight, err := p.policy.Weight(policy.Job{
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -32,9 +32,9 @@
 	runTimeUnit = 100 * units.Millisecond
 	// maxCompletionsSent bounds what one heartbeat tells.
 	maxCompletionsSent = 2000
-	// leaderStoresWithin is how long the leader of a job is given to store the completion of a task that
+	// leaderStoreTimeout is how long the leader of a job is given to store the completion of a task that
 	// it has been told of.
-	leaderStoresWithin = progressFlushPeriod + 10*units.Second
+	leaderStoreTimeout = progressFlushPeriod + 10*units.Second
 )
 
 // forPeers lists completed tasks on this controller's machines that the leaders of their jobs have not
@@ -78,7 +78,7 @@
 // leaderStores reports whether the completion of a task that was seen at some moment can be left to the
 // leader of its job, which is told of it.
 func (e *completionExchange) leaderStores(j *job, seenAt units.Micros) bool {
-	if !e.replica.dependenciesEnabled() || e.now-seenAt > leaderStoresWithin {
+	if !e.replica.dependenciesEnabled() || e.now-seenAt > leaderStoreTimeout {
 		return false
 	}
 	partition := e.replica.partitions[j.partition]
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -40,10 +40,10 @@
 	}
 }
 
-// borrowedAverage is the task time that a job is taken to have while none of its tasks has completed:
+// assumedTaskTime is the task time that a job is taken to have while none of its tasks has completed:
 // that of its class, or else its user's estimate. The average over all jobs would put a new job of
 // short tasks behind those of long ones.
-func (e *estimates) borrowedAverage(j *job) units.Micros {
+func (e *estimates) assumedTaskTime(j *job) units.Micros {
 	if average := e.classAverages[j.spec.Class]; average > 0 {
 		return average
 	}
@@ -53,8 +53,8 @@
 	return defaultTaskTime
 }
 
-// forgetRuns takes lengths of tasks that are now part of the stored average from those that are not.
-func (j *job) forgetRuns(sum units.Micros, count int) {
+// subtractRuns takes lengths of tasks that are now part of the stored average from those that are not.
+func (j *job) subtractRuns(sum units.Micros, count int) {
 	j.runSum -= sum
 	j.runCount -= count
 }
@@ -78,7 +78,7 @@
 	if j.observedAt > 0 && now-j.observedAt < observePeriod {
 		return max(average, j.observed)
 	}
-	var excess, late units.Micros // of running tasks that have taken longer than the average
+	var excess, overdue units.Micros // of running tasks that have taken longer than the average
 	for index, bound := range j.bindings {
 		if bound.machine.agent == nil {
 			continue
@@ -86,10 +86,10 @@
 		run, runs := bound.machine.agent.runningSince[taskKey{j.id, index, bound.attempt}]
 		if elapsed := now - run.at; runs && elapsed > average {
 			excess += elapsed - average
-			late++
+			overdue++
 		}
 	}
 	// The late ones count with what they have taken so far, as if they ended now.
-	j.observed, j.observedAt = average+excess/(units.Micros(j.doneCount())+late+1), now
+	j.observed, j.observedAt = average+excess/(units.Micros(j.doneCount())+overdue+1), now
 	return j.observed
 }
--- a/internal/controller/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -35,7 +35,7 @@
 		{add("j-6", "unseen", 9, 0), 9 * units.Second},
 		{add("j-7", "unseen", 0, 0), defaultTaskTime},
 	} {
-		if got := c.planner.estimates.borrowedAverage(tc.j); got != tc.want {
+		if got := c.planner.estimates.assumedTaskTime(tc.j); got != tc.want {
 			t.Errorf("%s of class %s: %v, want %v", tc.j.id, tc.j.spec.Class, got, tc.want)
 		}
 	}
@@ -43,7 +43,7 @@
 	c.replica.jobsByAge = nil
 	c.now += 2 * classAveragePeriod
 	c.planner.estimates.update(c.now, c.replica.sortedJobs())
-	if got := c.planner.estimates.borrowedAverage(c.replica.job("j-5")); got != 5*units.Second {
+	if got := c.planner.estimates.assumedTaskTime(c.replica.job("j-5")); got != 5*units.Second {
 		t.Errorf("the class's last average is forgotten: %v", got)
 	}
 }
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -106,17 +106,17 @@
 		return false
 	}
 	found := p.preempt(j, index, false, preemptionRule{
-		eligible: func(victim *job) bool { return p.mayTakeBackFrom(victim, j) },
+		eligible: func(victim *job) bool { return p.mayPreemptForGuarantee(victim, j) },
 		maxLoss:  shape.maxLoss,
 	})
 	p.unplaceable[shape] = !found
 	return found
 }
 
-// mayTakeBackFrom reports whether a task of the victim may be stopped so that j has its guarantee. A
+// mayPreemptForGuarantee reports whether a task of the victim may be stopped so that j has its guarantee. A
 // service of a higher priority may not: it would take the place back at once, and so on, a change each
 // time, while all others wait.
-func (p *plan) mayTakeBackFrom(victim, j *job) bool {
+func (p *plan) mayPreemptForGuarantee(victim, j *job) bool {
 	return victim.spec.Team != j.spec.Team && (!victim.spec.Service || victim.spec.Priority <= j.spec.Priority) &&
 		!p.withinGuarantee(victim.spec.Team, 0, 0)
 }
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// placementAllowed checks type, kind and zone of a machine, given where the job's other tasks may be;
-// those in doubt count as well.
+// placementAllowed reports whether the job's constraints on machine type, spot instances and zone allow
+// one more task on the machine. For the zone, all of the job's tasks that may be running count.
 func placementAllowed(j *job, m *machine) bool {
 	spec := &j.spec
 	if !api.AllowsType(spec, m.doc.Type) || m.doc.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != m.doc.Zone {
@@ -17,7 +17,8 @@
 	return !spec.OneZone && !spec.Spread || zoneAllowed(j, m.doc.Zone)
 }
 
-// zoneAllowed reports whether one more task of j may be in the zone.
+// zoneAllowed reports whether one more task of j may be in the zone: with OneZone all tasks are in one
+// zone, with Spread at most half of them, rounded up, are in the same zone.
 func zoneAllowed(j *job, zone string) bool {
 	same := 0
 	for index, bound := range j.bindings {
@@ -33,7 +34,7 @@
 	return !j.spec.Spread || same+1 <= (j.spec.Tasks+1)/2
 }
 
-// chooseMachine finds the best machine for a task of j, or none.
+// chooseMachine returns the machine with the best score for a task of j, or nil.
 func (p *plan) chooseMachine(j *job) *stagedMachine {
 	var best *stagedMachine
 	bestScore := math.Inf(-1)
@@ -52,29 +53,29 @@
 	return best
 }
 
-// withheldFrom reports whether the capacity of a machine is not for this array now: its shard is not
-// among those that this plan picked, the jobs of its own partition wait for it, or it is reserved
-// for another job.
+// withheldFrom reports whether an array may not use the capacity of a machine now: its shard is not
+// among those that this plan picked, jobs of its own partition wait for it, or it is reserved for
+// another job.
 func (p *plan) withheldFrom(j *job, m *stagedMachine, overlooked bool) bool {
 	if p.shardsPicked && !overlooked && !m.shard.picked && !m.shard.changed || p.reservedForLeader(m.shard) {
 		return true
 	}
-	return p.leadership.planning.reservations.forAnother(m.machine.name, j)
+	return p.leadership.planning.reservations.reservedForOther(m.machine.name, j)
 }
 
-// What speaks for a machine, in CPUs of free capacity that would weigh as much.
+// Bonuses in the score of a machine, in CPUs of free capacity that have the same weight.
 const (
-	scoreServiceImage = 1000.0 // it has the service's image: a start must not wait for a fetch
-	scoreArrayImage   = 120.0
-	scoreOwn          = 70.0 // this controller commands it
-	scoreShardWritten = 50.0 // its machine shard is written by this plan anyway
-	scoreLasting      = 300.0
-	scoreRented       = 150.0
-	scoreSpot         = 100.0
+	scoreServiceImage  = 1000.0 // the machine has the service's image: a start must not wait for a fetch
+	scoreArrayImage    = 120.0  // the machine has the array's image
+	scoreOwn           = 70.0   // this controller commands the machine
+	scoreShardWritten  = 50.0   // its machine shard is written by this plan anyway
+	scorePreferredKind = 300.0  // a service on a machine that is not rented, or an array with checkpoints on spot
+	scoreRented        = 150.0  // an array on a rented on-demand machine
+	scoreSpot          = 100.0  // an array without checkpoints on a spot machine
 )
 
-// score says how well a machine suits a task of j. It packs bins: the fuller the better, so that large
-// free capacities stay whole.
+// score rates how well a machine suits a task of j; the highest is best. It does bin packing: a fuller
+// machine is preferred, so that large free capacities stay whole.
 func (p *plan) score(j *job, m *stagedMachine) float64 {
 	score := -m.cpus
 	if m.hasImage(j.spec.Image) && j.spec.Service {
@@ -85,14 +86,14 @@
 	if m.shard.ownShard {
 		score += scoreOwn
 	}
-	// What lasts goes on machines that stay, so that rented ones fall idle and can be deleted;
-	// what ends soon leaves the others free.
+	// Services go on machines that are not rented, so that rented ones become idle and can be deleted.
+	// Arrays, whose tasks end sooner, go on rented ones and leave the others free.
 	rented := p.replica.rented(m.machine.name)
 	switch {
 	case j.spec.Service && !rented:
-		score += scoreLasting
+		score += scorePreferredKind
 	case !j.spec.Service && m.machine.doc.Spot && j.spec.CheckpointIntervalSeconds > 0:
-		score += scoreLasting // it loses little when the machine is taken back
+		score += scorePreferredKind // a task with checkpoints loses little when the machine is reclaimed
 	case !j.spec.Service && m.machine.doc.Spot:
 		score += scoreSpot
 	case !j.spec.Service && rented:
@@ -104,10 +105,9 @@
 	return score
 }
 
-// place binds a task of j to a machine in this plan. The binding is taken back if the plan is not
-// stored.
+// place binds a task of j to a machine in this plan. The binding is withdrawn if the plan is not stored.
 func (p *plan) place(m *stagedMachine, j *job, index int) {
-	if !j.dependency.Ready() { // whoever asks: nothing starts before its dependencies are done
+	if !j.dependency.Ready() { // checked for every caller: no job starts before its dependencies are done
 		p.log.Error("refused to place blocked job", "job", j.id)
 		return
 	}
@@ -122,12 +122,13 @@
 	j.notePlaced()
 }
 
-// attemptTermShift leaves the low bits of an attempt to the plans of one term.
+// attemptTermShift is the number of low bits of an attempt that hold the plan count within one term.
 const attemptTermShift = 28
 
-// nextAttempt is the attempt of the tasks that the next plan places. Attempts only grow: the term does
-// with every change of leadership, the count within one. All tasks of a plan share theirs, so that
-// neighbours are written as one range; an attempt must differ only from others of the same task.
+// nextAttempt returns the attempt of the tasks that the next plan places. Attempts only grow: the term
+// grows with every change of leadership, the plan count within one term. All tasks of a plan share one
+// attempt, so that neighbouring tasks are written as one range; an attempt must differ only from other
+// attempts of the same task.
 func (l *leadership) nextAttempt() uint64 {
 	l.planning.plansPlaced++
 	return l.term<<attemptTermShift | l.planning.plansPlaced
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -4,63 +4,63 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// plan decides what one partition's leader changes next and stages it: which tasks start where, which
-// stop, which entries, jobs and machines go. It owns its budget, what it has staged (stagedShard,
-// stagedMachine, jointChanges) and the usage that it counts with; nothing else writes these.
+// plan computes and stages the next changes of one partition: tasks to start and stop, and task
+// entries, jobs and machines to remove. It owns its budget, its staged documents (stagedShard,
+// stagedMachine, jointChanges) and its count of the teams' usage; no other component writes these.
 //
-// It promises that nothing is visible before it is durable: agents are told only what a stored
-// document says, and a binding that could not be stored is taken back. Each document is written whole,
-// on the condition that its mod revision is the one that the replica shows, and each transaction on the
-// condition that this controller still leads the partition.
+// Nothing becomes visible before it is durable: agents are told only what a stored document says, and
+// a binding is withdrawn if it could not be stored. Each document is written whole, on the condition
+// that its mod revision is the one that the replica shows, and each transaction on the condition that
+// this controller still leads the partition.
 //
-// It never talks to an agent or to the cloud. What may be started, released or forgotten is
-// decided by package guard and by authority, not here.
+// A plan never calls an agent or the cloud. Package guard and authority decide what may be started,
+// released or forgotten.
 type plan struct {
 	*planner
 	leadership *leadership
 
-	writeTag string // of all documents that the plan writes
-	attempt  uint64 // of the tasks that the plan places; 0: it has placed none yet
+	writeTag string // tag in all documents that the plan writes
+	attempt  uint64 // attempt of the tasks that the plan places; 0: none placed yet
 	budget   planBudget
 
 	shards   []*stagedShard
-	machines []*stagedMachine // of all machine shards, those that can take tasks now
+	machines []*stagedMachine // machines of all staged shards that accept tasks now
 	joint    jointChanges
 	progress *progressWriter
 
 	usage             usageByTeam
 	guaranteed        map[*job]bool      // jobs within their teams' guarantees
 	partitionsWaiting map[int]bool       // other partitions with waiting tasks
-	unplaceable       map[taskShape]bool // what fits nowhere in this plan, even by preemption
-	shardsPicked      bool               // arrays go to picked machine shards only
+	unplaceable       map[taskShape]bool // shapes that fit on no machine in this plan, even by preemption
+	shardsPicked      bool               // arrays may use picked machine shards only
 	freedTasks        []freedTask
 }
 
-// planningState is what the plans of a led partition remember from one to the next. Only plans
+// planningState is what a led partition keeps from one plan to the next. Only planner and its plans
 // write it.
 type planningState struct {
-	nextPlanAt       units.Micros // no plan before
-	pausedUntil      units.Micros // no plan before, since a commit has failed
-	requiredRevision uint64       // no plan before the replica has come this far
-	plansPlaced      uint64       // plans that have placed tasks, in this term
-	sharesResetAt    units.Micros // when the shares of arrays were last worked out from nothing
-	splitNotBefore   units.Micros // no machine shard is split before
+	nextPlanAt       units.Micros // earliest time of the next plan
+	pausedUntil      units.Micros // earliest time of the next plan after a failed commit
+	requiredRevision uint64       // revision that the replica must reach before the next plan
+	plansPlaced      uint64       // plans of this term that have placed tasks
+	sharesResetAt    units.Micros // when the shares of arrays were last computed from scratch
+	splitNotBefore   units.Micros // earliest time of the next machine shard split
 	reservations     reservationTable
 }
 
 const (
-	taskEntryBytes        = 26 // an upper estimate of one task in a document
-	documentOverheadBytes = 200
+	taskEntryBytes        = 26  // upper estimate of the size of one task entry in a document
+	documentOverheadBytes = 200 // allowance for each document besides its entries
 	maxTransactionBytes   = 56 << 10
-	planChanges           = 12 // changes that a plan may make, in several transactions if one may have fewer
-	reservedChanges       = 4  // changes kept back for accepts, cancellations and services
-	minPlanCredit         = 2  // one change for the plan and one that is kept back for accepts
+	minPlanChanges        = 12 // changes that a plan may make, in several transactions if one takes fewer
+	reservedChanges       = 4  // changes reserved for accepts, cancellations and services
+	minPlanCredit         = 2  // one change for the plan and one reserved for accepts
 
-	// planCostPerObject spaces plans: there is at most one in so many microseconds for each machine
-	// and job, since a plan looks at everything.
+	// planCostPerObject spaces plans, in microseconds: a partition has at most one plan per
+	// planCostPerObject x (machines + jobs), since each plan examines all of them.
 	planCostPerObject = 120
 
-	// commitRetryDelay is how long a partition does not plan after one of its commits has failed.
+	// commitRetryDelay is how long a partition's planning pauses after one of its commits has failed.
 	commitRetryDelay = 100 * units.Millisecond
 )
 
@@ -75,8 +75,8 @@
 	return p
 }
 
-// run makes the plan in phases, what matters most first: each takes its part of the budget, and the
-// later ones get what is left.
+// run makes the plan in phases, the most important first: each phase takes what it needs of the
+// budget, and later phases get the rest.
 func (p *plan) run() {
 	p.noteWaitingPartitions()
 	p.stageShards()
@@ -99,7 +99,7 @@
 	p.commit()
 }
 
-// noteWaitingPartitions finds the other partitions whose jobs wait for machines.
+// noteWaitingPartitions records the other partitions whose jobs have tasks that wait for machines.
 func (p *plan) noteWaitingPartitions() {
 	for _, j := range p.replica.sortedJobs() {
 		if !j.cancelled() && j.partition != p.leadership.partition && !p.partitionsWaiting[j.partition] && p.now >= j.retryAt && j.waiting() > 0 {
@@ -119,32 +119,32 @@
 	return jobs
 }
 
-// planBudget is what a plan may still write. What is staged is taken from it at once, so that a plan
-// never stages more than its transactions can have.
+// planBudget is what a plan may still write. Staged changes are deducted at once, so that a plan never
+// stages more than its transactions can hold.
 type planBudget struct {
-	changes      int // operations, in any of the plan's transactions
-	jointChanges int // of those, how many may still be in the one transaction of joint changes
+	changes      int // store operations left, in any of the plan's transactions
+	jointChanges int // of these, operations left in the one transaction of joint changes
 	bytes        int
 }
 
 func newPlanBudget(transactionOps int, credit float64) planBudget {
 	return planBudget{
-		changes:      min(max(transactionOps, planChanges), int(credit)-1), // one is kept back for accepts
+		changes:      min(max(transactionOps, minPlanChanges), int(credit)-1), // one is reserved for accepts
 		jointChanges: transactionOps,
 		bytes:        maxTransactionBytes,
 	}
 }
 
-// limitChanges lowers the changes that are left to at most so many.
-func (b *planBudget) limitChanges(most int) { b.changes = min(b.changes, most) }
+// limitChanges lowers the changes that are left to at most limit.
+func (b *planBudget) limitChanges(limit int) { b.changes = min(b.changes, limit) }
 
-// jointLeft is how many more changes may be made together, in one transaction.
+// jointLeft returns how many more joint changes the plan may stage, all for one transaction.
 func (b *planBudget) jointLeft() int { return min(b.changes, b.jointChanges) }
 
-// takeChanges takes changes that need not be made together with others.
+// takeChanges deducts changes that may go into any transaction.
 func (b *planBudget) takeChanges(count int) { b.changes -= count }
 
-// takeJoint takes one change of those that are made together.
+// takeJoint deducts one joint change.
 func (b *planBudget) takeJoint() {
 	b.changes--
 	b.jointChanges--
@@ -152,5 +152,5 @@
 
 func (b *planBudget) takeBytes(count int) { b.bytes -= count }
 
-// hasBytesFor reports whether a document of so many bytes still fits.
+// hasBytesFor reports whether a document of size bytes still fits.
 func (b *planBudget) hasBytesFor(size int) bool { return b.bytes > size+documentOverheadBytes }
--- a/internal/controller/plan_commit.go
+++ b/internal/controller/plan_commit.go
@@ -9,17 +9,17 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// jointChanges are what a plan must change in one transaction: outcomes of jobs, the job shards that
-// these jobs leave, and progress (kept by progressWriter). A job leaves its shard only together with,
-// or after, its outcome.
+// jointChanges are the changes that a plan must commit in one transaction: outcomes of jobs, the job
+// shards from which these jobs are removed, and progress (staged by progressWriter). A job is removed
+// from its shard only together with its outcome, or after the outcome is stored.
 type jointChanges struct {
 	operations  []kv.Operation
 	conditions  []kv.Condition
-	removedJobs map[*jobShard]map[string]bool // by the shard that they leave
+	removedJobs map[*jobShard]map[string]bool // IDs of removed jobs, by their shard
 	savedRuns   []savedRuntime
 }
 
-// savedRuntime is task time that a commit makes part of a job's stored average.
+// savedRuntime is the run time of completed tasks that a commit adds to a job's stored average.
 type savedRuntime struct {
 	job   *job
 	sum   units.Micros
@@ -30,7 +30,7 @@
 	return jointChanges{removedJobs: map[*jobShard]map[string]bool{}}
 }
 
-// addJoint stages an operation on the condition that its key has that mod revision; 0: that it is absent.
+// addJoint stages an operation on the condition that its key has modRevision; 0: that the key is absent.
 func (p *plan) addJoint(operation kv.Operation, modRevision uint64) {
 	p.joint.operations = append(p.joint.operations, operation)
 	p.joint.conditions = append(p.joint.conditions, kv.Condition{Key: operation.Set + operation.Delete, ModRevision: modRevision})
@@ -38,18 +38,19 @@
 	p.budget.takeBytes(len(operation.Value) + jointOperationBytes)
 }
 
-// jointOperationBytes is an upper estimate of an operation without its value, with its condition.
+// jointOperationBytes is an upper estimate of the size of an operation and its condition, without the
+// value.
 const jointOperationBytes = 100
 
 // planTransaction is one of a plan's transactions.
 type planTransaction struct {
 	txn    *kv.Txn
 	shards []*stagedShard
-	joint  bool // it has the joint changes
+	joint  bool // it contains the joint changes
 }
 
-// commit writes the plan. The joint changes are in one transaction, with as many machine shards as it
-// takes; each machine shard is whole in one.
+// commit writes the plan. All joint changes are in one transaction, together with as many machine
+// shards as fit; each machine shard is written whole in one transaction.
 func (p *plan) commit() {
 	p.auditForgotten()
 	transactions := p.transactions()
@@ -64,7 +65,8 @@
 	}
 }
 
-// transactions gives what is staged as transactions that the store takes, the joint changes first.
+// transactions groups the staged changes into transactions within the store's limits, the joint changes
+// first.
 func (p *plan) transactions() []*planTransaction {
 	transactions := []*planTransaction{p.jointTransaction()}
 	for _, shard := range p.shards {
@@ -87,19 +89,21 @@
 	return slices.DeleteFunc(transactions, func(t *planTransaction) bool { return len(t.txn.Operations) == 0 })
 }
 
-// newTransaction gives a transaction that only the partition's present leader can carry out.
+// newTransaction returns an empty transaction that fails unless this controller still leads the partition.
 func (p *plan) newTransaction() *planTransaction {
 	leads := kv.Condition{Key: schema.PartitionKey(p.leadership.partition), ModRevision: p.leadership.revision}
 	return &planTransaction{txn: &kv.Txn{Conditions: []kv.Condition{leads}}}
 }
 
-// addSet sets a document on the condition that it still is as the replica shows it.
+// addSet adds an operation that sets a document, on the condition that the stored document is still as the
+// replica shows it.
 func (r *replica) addSet(txn *kv.Txn, key string, value json.RawMessage) {
 	txn.Conditions = append(txn.Conditions, kv.Condition{Key: key, ModRevision: r.revisions[key]})
 	txn.Operations = append(txn.Operations, kv.Operation{Set: key, Value: value})
 }
 
-// jointTransaction gives the joint changes: outcomes, the job shards that their jobs leave, progress.
+// jointTransaction returns the transaction of the joint changes: outcomes, the job shards from which
+// their jobs are removed, and progress.
 func (p *plan) jointTransaction() *planTransaction {
 	t := p.newTransaction()
 	t.joint = true
@@ -118,7 +122,7 @@
 	return t
 }
 
-// finishCommit takes the outcome of one of the plan's transactions.
+// finishCommit handles the result of one of the plan's transactions.
 func (p *plan) finishCommit(t *planTransaction, result commitResult) {
 	p.commits.clearInFlight(t.txn)
 	for _, shard := range t.shards {
@@ -138,7 +142,7 @@
 	}
 }
 
-// undo takes back the bindings of a transaction that was not stored.
+// undo reverts the changes to bindings after a transaction was not stored.
 func (p *plan) undo(t *planTransaction) {
 	for _, shard := range t.shards {
 		shard.withdrawAdded()
@@ -146,7 +150,7 @@
 	p.restoreBindings()
 }
 
-// noteConflict keeps the partition from planning until the replica shows what failed the conditions.
+// noteConflict suspends planning until the replica shows the changes that made the conditions fail.
 func (p *plan) noteConflict(conflict commitResult) {
 	state := &p.leadership.planning
 	state.requiredRevision = max(state.requiredRevision, conflict.revision)
@@ -154,9 +158,9 @@
 	p.outcomes.learnConflicting(conflict.failedKeys)
 }
 
-// forgetSavedRuns takes the task time that is now part of stored averages from what is not stored yet.
+// forgetSavedRuns subtracts the run times that are now part of stored averages from those not stored yet.
 func (j *jointChanges) forgetSavedRuns() {
 	for _, saved := range j.savedRuns {
-		saved.job.forgetRuns(saved.sum, saved.count)
+		saved.job.subtractRuns(saved.sum, saved.count)
 	}
 }
--- a/internal/controller/plan_outcomes.go
+++ b/internal/controller/plan_outcomes.go
@@ -9,28 +9,28 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// progressFlushPeriod is how long a job's progress may wait for others while changes are scarce, or
-// while tasks wait for a place. No entry is released before its task's completion is stored, so nothing
-// is lost.
+// progressFlushPeriod is how long the storing of a job's progress may be delayed while changes are
+// scarce or tasks wait for capacity. Nothing is lost meanwhile, since no entry is released before its
+// task's completion is stored.
 const progressFlushPeriod = 20 * units.Second
 
-// finishJobs stores outcomes and progress of the partition's jobs, and removes the cancelled ones.
+// finishJobs stores outcomes and progress of the partition's jobs, and removes the jobs that are over.
 func (p *plan) finishJobs(jobs []*job) {
-	least := p.budget.jointLeft() - p.budget.jointLeft()/2 // the rest is for what waits to start
-	p.removeFinished(jobs, least)
-	p.storeProgressOf(jobs, least)
+	reserved := p.budget.jointLeft() - p.budget.jointLeft()/2 // half is left for tasks that wait to start
+	p.removeFinished(jobs, reserved)
+	p.storeProgressOf(jobs, reserved)
 }
 
-// removeFinished removes the jobs that may be forgotten, each together with its outcome. Those that are
-// cancelled because of others leave so many joint changes.
-func (p *plan) removeFinished(jobs []*job, least int) {
+// removeFinished removes the jobs that may be forgotten, each together with its outcome. Jobs that were
+// cancelled by a dependency are removed only while more than the reserved joint changes are left.
+func (p *plan) removeFinished(jobs []*job, reserved int) {
 	for _, j := range jobs {
 		if p.commits.isInFlight(schema.OutcomePrefix + j.id) {
 			continue
 		}
 		outcome, _ := p.replica.outcomes.get(j.id)
 		reason := j.facts(outcome).MayForget()
-		if reason == guard.KeepJob || !p.canRemoveJob(j) || reason == guard.ForgetCancelledByDependency && p.budget.jointLeft() <= least {
+		if reason == guard.KeepJob || !p.canRemoveJob(j) || reason == guard.ForgetCancelledByDependency && p.budget.jointLeft() <= reserved {
 			continue
 		}
 		p.audit.countForgotten(reason)
@@ -39,34 +39,34 @@
 			p.removeCancelled(j)
 		case guard.ForgetCancelledByDependency:
 			p.storeDerivedCancellation(j)
-		case guard.KeepJob: // passed over above
+		case guard.KeepJob: // skipped above
 		case guard.ForgetCompleted:
 			p.storeCompletion(j)
 		}
 	}
 }
 
-// removeCancelled removes a job, and the cancellation that was written with its outcome.
+// removeCancelled removes a job and its cancellation document, which was written with its outcome.
 func (p *plan) removeCancelled(j *job) {
 	key := schema.CancellationPrefix + j.id
 	p.removeJob(j)
 	p.addJoint(kv.Operation{Delete: key}, p.replica.revisions[key])
 }
 
-// storeCompletion stores that all tasks of a job are done, and removes the job. Whoever writes the
-// outcome first decides between done and cancelled.
+// storeCompletion stores the outcome of a job whose tasks are all done, and removes the job. The outcome
+// is written only if there is none, so the first write decides between done and cancelled.
 func (p *plan) storeCompletion(j *job) {
 	outcome := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(p.timeOfDay), WriteTag: p.writeTag}
 	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
 	p.removeJob(j)
 }
 
-// storeDerivedCancellation stores the outcome of a job that is cancelled because of another, when there is
-// time for it, and removes the job. It never had a task.
+// storeDerivedCancellation stores the outcome of a job that was cancelled by a dependency, when changes
+// can be spared for it, and removes the job. Such a job never had a task.
 func (p *plan) storeDerivedCancellation(j *job) {
 	p.removeJob(j)
 	if _, stored := p.replica.outcomes.get(j.id); stored {
-		return // accepted as cancelled by another controller, beside this entry
+		return // another controller has also accepted the job, as cancelled, and stored its outcome
 	}
 	outcome := schema.Outcome{
 		State: StageCancelled, RecordedAt: int64(p.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: p.writeTag,
@@ -74,11 +74,11 @@
 	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
 }
 
-// canRemoveJob reports whether what removes a job fits into the plan.
+// canRemoveJob reports whether the changes that remove a job fit into the plan.
 func (p *plan) canRemoveJob(j *job) bool {
-	const outcomeBytes = 300 // an upper estimate
+	const outcomeBytes = 300 // upper estimate of a stored outcome
 	shard := j.shard
-	if shard == nil { // the job shard that it has gone to was not shown yet
+	if shard == nil { // the replica does not show yet the job shard that the job moved to
 		return false
 	}
 	changes, bytes := 1, outcomeBytes
@@ -90,8 +90,8 @@
 		!p.commits.isInFlight(shard.key) && shard.size <= p.store.limits.maxValueBytes()
 }
 
-// removeJob removes a job from its job shard; its outcome is stored, or goes with it. Its progress goes
-// when its segment is next written; while changes are plentiful, at once.
+// removeJob removes a job from its job shard; its outcome is stored already, or in the same transaction.
+// Its progress is removed when its segment is next written; while changes are plentiful, at once.
 func (p *plan) removeJob(j *job) {
 	shard := j.shard
 	if p.joint.removedJobs[shard] == nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// mayRemoveProgress reports whether the progress of a removed job can go at once.
+// mayRemoveProgress reports whether the progress of a removed job can be removed at once.
 func (p *plan) mayRemoveProgress(j *job) bool {
 	segment := j.progressSegment
 	if segment == nil || p.commits.isInFlight(segment.key) || p.oversized(segment) {
@@ -115,12 +115,12 @@
 		p.budget.jointLeft() > 2 && p.budget.hasBytesFor(segment.size) && p.writes.plentiful()
 }
 
-// storeProgressOf stores the progress of the jobs that have waited for long enough, while more than so
-// many joint changes are left, and of those whose segment is written anyway.
-func (p *plan) storeProgressOf(jobs []*job, least int) {
-	every := progressFlushPeriod
+// storeProgressOf stores the progress of jobs whose flush period is over, while more than the reserved
+// joint changes are left, and of jobs whose segment is written anyway.
+func (p *plan) storeProgressOf(jobs []*job, reserved int) {
+	flushPeriod := progressFlushPeriod
 	if p.writes.plentiful() && !anyWaiting(p.replica.sortedJobs()) {
-		every = 0
+		flushPeriod = 0
 	}
 	var unstored []*job
 	for _, j := range jobs {
@@ -131,7 +131,7 @@
 			j.progressWrittenAt = p.now
 		}
 		unstored = append(unstored, j)
-		if p.now-j.progressWrittenAt >= every && !p.progress.written(j) && p.budget.jointLeft() > least {
+		if p.now-j.progressWrittenAt >= flushPeriod && !p.progress.written(j) && p.budget.jointLeft() > reserved {
 			p.storeProgress(j)
 		}
 	}
@@ -153,12 +153,13 @@
 	p.joint.savedRuns = append(p.joint.savedRuns, savedRuntime{j, j.runSum, j.runCount})
 }
 
-// anyWaiting reports whether tasks of the jobs wait for a place: each change that stores progress is one
-// less that gives the places of completed tasks to the next ones, of this controller or of another,
-// which may use what is left. With short tasks progress would take most of all changes.
+// anyWaiting reports whether tasks of the jobs wait for capacity. Progress is stored less often then:
+// each change that stores progress is one less that gives the capacity of completed tasks to the next
+// ones, be it a change of this controller or of another, which may use the changes left over. With
+// short tasks, progress would take most of all changes.
 func anyWaiting(jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return !j.cancelled() && j.waiting() > 0 })
 }
 
-// plentiful reports whether changes are not scarce at the moment.
+// plentiful reports whether more than half of the changes that may be saved up are available.
 func (b *writeBudget) plentiful() bool { return b.credit > b.maxCredit/2 }
--- a/internal/controller/plan_registrations.go
+++ b/internal/controller/plan_registrations.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// registerAgents enters the machines of agents that have proven to be reachable, into the shards
-// with the most of them first.
+// registerAgents adds the machines of agents that have proven to be reachable to their machine shards,
+// the shards with the most such machines first.
 func (p *plan) registerAgents() {
 	namesByShard := p.unregisteredByShard()
 	if len(namesByShard) == 0 {
@@ -33,7 +33,7 @@
 	}
 }
 
-// unregisteredByShard lists the confirmed agents that no document has yet, by name.
+// unregisteredByShard lists, by shard, the names of confirmed agents whose machines are in no document yet.
 func (p *plan) unregisteredByShard() map[*machineShard][]string {
 	namesByShard := map[*machineShard][]string{}
 	for _, name := range p.agents.confirmedRegistrations() {
@@ -46,7 +46,7 @@
 	return namesByShard
 }
 
-// registerAgent enters the machine of one agent into its shard.
+// registerAgent adds the machine of one agent to its shard.
 func (p *plan) registerAgent(shard *stagedShard, name string) {
 	registration := p.agents.registrations[name]
 	heartbeat := &registration.request.Heartbeat
@@ -54,7 +54,7 @@
 		Name: name, Addr: heartbeat.Addr,
 		MachineKind: schema.MachineKind{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot},
 	}
-	// A machine that had an entry before may have seen higher tokens.
+	// A machine that was registered before may have seen higher fencing tokens.
 	if seen := registration.token >> termBits; seen >= shard.shard.handovers {
 		document.TokenIncrements = seen - shard.shard.handovers + 1
 	}
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -2,7 +2,7 @@
 
 import "frostdock.example/frostdock/internal/schema"
 
-// freedTask is a task whose machine the plan drops, and where it was bound.
+// freedTask is a task that was bound to a machine that the plan drops, with that binding.
 type freedTask struct {
 	job     *job
 	index   int
@@ -10,9 +10,9 @@
 }
 
 // dropDeletedMachines drops machines whose deletion the cloud has confirmed, and frees the tasks of
-// this partition's jobs that were there, so that the same change that drops them can start the tasks
-// on other machines of the shard: the services of many lost machines are back after half as many
-// changes as with one for each step.
+// this partition's jobs that were bound to them. The same change that drops a machine can then start
+// its tasks on other machines of the shard, so that the services of many lost machines are restored
+// with half as many changes as with one change for each step.
 func (p *plan) dropDeletedMachines() {
 	for _, shard := range p.shards {
 		if !shard.ownShard {
@@ -27,7 +27,7 @@
 	}
 }
 
-// freeTasks takes the bindings of this partition's unfinished tasks off a machine.
+// freeTasks removes the bindings of this partition's unfinished tasks to a machine.
 func (p *plan) freeTasks(m *machine) {
 	for _, task := range m.doc.Tasks {
 		j := p.replica.unfinishedJobOf(task)
@@ -41,8 +41,8 @@
 	}
 }
 
-// restoreBindings undoes freeTasks when the plan was not stored: until the entries are off the
-// document, the partition's next leader would find them.
+// restoreBindings undoes freeTasks when the plan was not stored: while the stored document has the
+// entries, the partition's next leader would take them over.
 func (p *plan) restoreBindings() {
 	for _, freed := range p.freedTasks {
 		m := freed.binding.machine
@@ -53,7 +53,7 @@
 	}
 }
 
-// stageDecommissions writes down which machines are decommissioned.
+// stageDecommissions stages the entries of machines that are to be marked as decommissioned.
 func (p *plan) stageDecommissions() {
 	for _, shard := range p.shards {
 		for _, m := range shard.machines {
@@ -65,14 +65,15 @@
 	}
 }
 
-// awaitsDecommission reports whether the machine is decommissioned and its entry must say so first.
+// awaitsDecommission reports whether the machine's decommissioning is decided and must be stored in its
+// entry before the machine is deleted.
 func (m *machine) awaitsDecommission() bool {
 	return !m.deleted && m.agent != nil && m.agent.decommission.decided() && !m.agent.decommission.atOnce && !m.doc.Decommissioned
 }
 
-// stageReleases writes shards whose entries stand in the way: of tasks that must run again, of
-// completions that the leader of another partition's job must learn, and of unclear commands, which a
-// higher fencing token makes void.
+// stageReleases stages shards that must be written to release the entries of tasks that must run again,
+// to record completions that the leader of another partition's job must learn, or to raise a fencing
+// token, which invalidates commands whose result is unclear.
 func (p *plan) stageReleases() {
 	for _, shard := range p.shards {
 		if !shard.ownShard {
@@ -93,15 +94,15 @@
 	}
 }
 
-// mustRefence reports whether a direct command to the machine is unclear under its present token,
-// while the machine is heard.
+// mustRefence reports whether the result of a direct command to the machine is unclear under its
+// present fencing token, while heartbeats of the machine arrive.
 func (p *plan) mustRefence(m *machine) bool {
 	agent := m.agent
 	return agent.command.unclear() && agent.heardAt > 0 && p.now-agent.heardAt < p.cfg.Settings.HeartbeatPeriod()*2 &&
 		agent.command.token == p.replica.fencingToken(m)
 }
 
-// recordsCompletion reports whether a completion on the machine must be written down now.
+// recordsCompletion reports whether a completion on the machine must be recorded in its entry now.
 func (p *plan) recordsCompletion(m *stagedMachine) bool {
 	for i := range m.kept {
 		if p.mustRecordCompletion(m.machine, &m.kept[i], p.usage) {
@@ -111,28 +112,29 @@
 	return false
 }
 
-// mustReleaseEntries reports whether entries that may go must go now: a task must run again, or the
-// document has no space left.
+// mustReleaseEntries reports whether releasable entries must be released now: a task must run again, or
+// the document has no space for two more entries.
 func (p *plan) mustReleaseEntries(m *stagedMachine) bool {
 	return m.releasesEntries() && (m.releasesUnfinished() || m.shard.bytesLeft < 2*taskEntryBytes)
 }
 
-// recordedRunTenths is how the completion of a task that this controller has seen is written down
-// beside it; zero if there is nothing to tell. It frees the task's part of its team's quota, and
-// tells the job's leader if that is another controller.
+// recordedRunTenths returns the DoneTenths (1 plus the tenths of a second that the task ran) that record
+// a completion that this controller has seen in the task's entry; zero if there is none to record. The
+// record frees the task's part of its team's quota, and informs the job's leader if that is another
+// controller.
 func (p *planner) recordedRunTenths(m *machine, task *schema.Task) int {
 	j := p.replica.acceptedJob(task.Job)
 	if j == nil || m.agent == nil || !j.unstoredCompletions[task.Index] {
 		return 0
 	}
 	if p.partitions.led[j.partition] != nil {
-		return 1 // how long it ran goes with the progress; alike, neighbours stay one range
+		return 1 // the run time is stored with the progress; equal values keep neighbouring tasks in one range
 	}
 	return max(1, m.agent.completions[keyOf(*task)].tenths)
 }
 
-// mustRecordCompletion reports whether the completion of a task must be written down for another
-// controller, which leads its job, or because its team is at its quota.
+// mustRecordCompletion reports whether the completion of a task must be recorded in its entry, because
+// its team is at its quota, or for another controller, which leads its job and does not store it.
 func (p *planner) mustRecordCompletion(m *machine, task *schema.Task, usage usageByTeam) bool {
 	if task.DoneTenths > 0 || p.recordedRunTenths(m, task) == 0 {
 		return false
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// planOn gives a plan of a controller that leads the only partition, with nothing staged.
-func planOn(t *testing.T) (*Controller, *plan) {
+// newTestPlan returns a plan of a controller that leads the only partition, with nothing staged.
+func newTestPlan(t *testing.T) (*Controller, *plan) {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size = 1
@@ -24,7 +24,7 @@
 	return c, newPlan(c.planner, led)
 }
 
-// acceptJob enters a job as the replica would.
+// acceptJob adds a job to the replica as if it had been accepted.
 func acceptJob(c *Controller, spec schema.Job) *job {
 	j := c.replica.job(spec.ID)
 	j.accepted, j.spec = true, spec
@@ -39,7 +39,7 @@
 		changes, jointly int
 	}{
 		"one is kept back":                    {32, 10.9, 9, 9},
-		"many changes, few in a transaction":  {4, 100, planChanges, 4},
+		"many changes, few in a transaction":  {4, 100, minPlanChanges, 4},
 		"as many as one transaction may have": {32, 100, 32, 32},
 	} {
 		budget := newPlanBudget(tc.ops, tc.credit)
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestProgressWriter has progress of a job put into its segment, into another when that is full, and
-// refused when nothing is left of the plan's budget.
+// TestProgressWriter checks that progress of a job is put into its segment, into another segment when
+// that is full, and refused when the plan's budget is used up.
 func TestProgressWriter(t *testing.T) {
-	c, p := planOn(t)
+	c, p := newTestPlan(t)
 	j := acceptJob(c, schema.Job{ID: "j-000001", Tasks: 100})
 	short := schema.JobProgress{DoneRanges: "0-3", Samples: 4}
 	if !p.progress.put(j, short) || len(p.progress.changedKeys()) != 1 {
@@ -100,7 +100,7 @@
 		t.Error("progress does not leave a full segment for one that is written anyway")
 	}
 	if _, left := p.progress.document(full.key).Jobs[other.id]; left {
-		t.Error("it stands in both")
+		t.Error("progress is left in the full segment as well")
 	}
 
 	p.budget.jointChanges = 0
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestPreemption has the cheapest tasks stopped, and none that the rule spares.
+// TestPreemption checks that the cheapest tasks are stopped, and none that the rule excludes.
 func TestPreemption(t *testing.T) {
-	c, p := planOn(t)
+	c, p := newTestPlan(t)
 	began := map[string]units.Micros{"j-000001": 50 * units.Second, "j-000002": 5 * units.Second, "j-000003": 20 * units.Second}
 	m := &machine{name: "n-000001", agent: &agentState{runningSince: map[taskKey]runStart{}, images: map[string]units.Micros{"image": 1}}}
 	for id, ago := range began {
@@ -132,7 +132,7 @@
 	for name, tc := range map[string]struct {
 		cpus    float64
 		rule    preemptionRule
-		victims []string // nil: there is not enough
+		victims []string // nil: stopping tasks does not free enough
 	}{
 		"one that has just begun":           {4, preemptionRule{eligible: anyTask}, []string{"j-000002"}},
 		"two, the cheapest first":           {8, preemptionRule{eligible: anyTask}, []string{"j-000002", "j-000003"}},
@@ -155,10 +155,10 @@
 }
 
 func TestQuotaAndGuarantee(t *testing.T) {
-	c, p := planOn(t)
+	c, p := newTestPlan(t)
 	j := acceptJob(c, schema.Job{ID: "j-000001", Team: "red", Tasks: 10, CPUs: 4})
 	for _, tc := range []struct {
-		tasks                       int // of the team, that may run
+		tasks                       int // of the team, that may be running
 		underQuota, withinGuarantee bool
 		allowed                     int
 	}{
@@ -186,14 +186,14 @@
 }
 
 func TestOccupancy(t *testing.T) {
-	c, p := planOn(t)
+	c, p := newTestPlan(t)
 	m := &machine{name: "n-000001", shard: c.replica.machineShards[0]}
 	stored := acceptJob(c, schema.Job{ID: "j-000001", Team: "red", Tasks: 4, CPUs: 2, MemGB: 1})
 	stored.done = stored.done.With(0)
 	m.doc.Tasks = schema.Tasks{
 		{Job: stored.id, Index: 0, Attempt: 1},                // its completion is stored
 		{Job: stored.id, Index: 1, Attempt: 1},                // may be active
-		{Job: stored.id, Index: 2, Attempt: 1, DoneTenths: 7}, // who commands the machine has seen it complete
+		{Job: stored.id, Index: 2, Attempt: 1, DoneTenths: 7}, // the machine's controller has seen it complete
 		{Job: "j-000002", Index: 0, Attempt: 1},               // its job is over
 	}
 	o := p.occupancyOf(m, false)
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -2,10 +2,10 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// planner plans for the partitions that this controller leads. It owns the pace of plans, of transfers
-// of machine shards and of moves of services, and the estimates of task times; what a plan decides is
-// the plan's. It promises at most one plan in flight for each partition. It keeps nothing of a plan but
-// planningState, and it writes nothing that another component owns.
+// planner runs plans for the partitions that this controller leads. It owns the timing of plans, of
+// machine shard transfers and of service moves, and the estimates of task times; the decisions are up
+// to each plan. At most one plan is in flight for each partition. Of a plan, planner keeps nothing but
+// planningState, and it writes no state that another component owns.
 type planner struct {
 	*environment
 	store       *storeClient
@@ -32,16 +32,17 @@
 	weightLog       period
 }
 
-// machineView tells what is known of machines beyond their documents and their agents.
+// machineView tells which machines accept tasks, which neither documents nor agents show by themselves.
 type machineView interface {
 	// acceptsTasks reports whether a machine that this controller commands may be given tasks.
 	acceptsTasks(m *machine) bool
-	// foreignMachineOpen reports whether the controller that commands a machine says that it takes
-	// work, and which images are there.
+	// foreignMachineOpen reports whether the controller that commands a machine says that the machine
+	// accepts tasks, and returns the images on it.
 	foreignMachineOpen(m *machine) (images []string, open bool)
 }
 
-// rebalancePeriod is how often machine shards are transferred, and services moved.
+// rebalancePeriod is the minimum time between a partition's transfers of machine shards, and between its
+// moves of services.
 const rebalancePeriod = 500 * units.Millisecond
 
 func newPlanner(c *Controller) *planner {
@@ -53,7 +54,7 @@
 	}
 }
 
-// planWhenNeeded plans for the led partitions when something has changed, and now and then.
+// planWhenNeeded plans for the led partitions when something has changed, and otherwise every planPeriod.
 func (p *planner) planWhenNeeded() {
 	if !p.replica.synced || !p.planNeeded && !p.planPeriod.due(p.now, planPeriod) {
 		return
@@ -64,8 +65,8 @@
 	}
 }
 
-// planPartition makes one plan for a led partition and commits it; only when it is stored are the
-// agents told.
+// planPartition makes one plan for a led partition and commits it. Agents are told only after the plan
+// is stored.
 func (p *planner) planPartition(partition int) {
 	led := p.partitions.led[partition]
 	if led == nil || !p.mayPlan(led) {
@@ -79,8 +80,9 @@
 	newPlan(p, led).run()
 }
 
-// mayPlan reports whether a led partition can be planned for now: its last commits are answered, the
-// replica shows what they met, and there is something to write with and to place on.
+// mayPlan reports whether a led partition can be planned for now: the results of its last commits are
+// known, the replica shows the changes that they conflicted with, and the store, write credit and the
+// catalog of machine types are available.
 func (p *planner) mayPlan(led *leadership) bool {
 	return led.commitsInFlight == 0 && p.authority.leads(led.partition) && !p.store.failing && p.now >= led.planning.pausedUntil &&
 		p.replica.watchRevision >= led.planning.requiredRevision && p.writes.credit >= minPlanCredit && p.catalog.known()
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -8,13 +8,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// preemptionRule says which tasks may be stopped for another.
+// preemptionRule says which tasks may be stopped for another task.
 type preemptionRule struct {
 	eligible func(*job) bool
-	maxLoss  units.Micros // the most that may be lost with one of them; 0: any
+	maxLoss  units.Micros // most work that one of them may lose; 0: any
 }
 
-// taskShape is what a task needs of a machine: once one fits nowhere, others that need the same need
+// taskShape is what a task needs of a machine: once a task fits nowhere, others of the same shape need
 // not be tried.
 type taskShape struct {
 	cpus, gpus, memoryGB  float64
@@ -22,7 +22,7 @@
 	priority              int
 	spot, spreadSensitive bool
 	team                  string
-	maxLoss               units.Micros // within a guarantee, from teams beyond theirs: what may be lost; 0: no preemption
+	maxLoss               units.Micros // most work that a task preempted for a guarantee may lose; 0: no such preemption
 }
 
 func shapeOf(j *job) taskShape {
@@ -32,29 +32,29 @@
 		priority: spec.Priority, spot: spec.Spot, spreadSensitive: spec.Spread || spec.OneZone, team: spec.Team,
 	}
 	if shape.spreadSensitive {
-		shape.team = spec.Team + "/" + j.id // depends on where its other tasks are
+		shape.team = spec.Team + "/" + j.id // the result depends on where the job's other tasks are
 	}
 	return shape
 }
 
-// What speaks against preemption on a machine, in seconds of work that would weigh as much.
+// Extra costs of preemption on a machine, in seconds of lost work that have the same weight.
 const (
-	costImageMissing = 60
-	costForeign      = 10 // another controller commands it
+	costImageMissing = 60 // the image must be fetched
+	costForeign      = 10 // another controller commands the machine
 	costShardWrite   = 10 // its machine shard is not written by this plan yet
-	costRented       = 30 // a service there keeps a rented machine
+	costRented       = 30 // a service would keep a rented machine from being returned
 )
 
-// preemption is the tasks to stop on a machine so that another fits there.
+// preemption lists the tasks to stop on a machine so that another task fits there.
 type preemption struct {
 	machine *stagedMachine
 	victims []taskKey
-	cost    float64 // work that is lost, in seconds, and what else speaks against it
+	cost    float64 // lost work in seconds, weighted by priority and CPUs, plus the extra costs above
 }
 
-// preempt puts a task of j in the place of others: it enters it on the machine where least is lost,
-// together with the stops that free capacity for it, so that nobody else takes that. With needImage only
-// machines that have its image count. It reports whether a place was found.
+// preempt places a task of j by stopping other tasks. The task is entered on the machine with the least
+// cost, together with the stops that free capacity for it, so that no other task takes that capacity.
+// With needImage only machines that have its image are considered. It reports whether the task was placed.
 func (p *plan) preempt(j *job, index int, needImage bool, rule preemptionRule) bool {
 	best := preemption{cost: math.Inf(1)}
 	for _, m := range p.machines {
@@ -76,8 +76,8 @@
 	return true
 }
 
-// preemptionOn finds the tasks on one machine to stop for a task of j, the cheapest first; its cost is
-// infinite if there are not enough.
+// preemptionOn finds the tasks on one machine to stop for a task of j, the cheapest first; the cost is
+// infinite if stopping all eligible tasks does not free enough capacity.
 func (p *plan) preemptionOn(m *stagedMachine, j *job, rule preemptionRule) preemption {
 	free := m.resources
 	cost := 0.0
@@ -107,16 +107,16 @@
 	return preemption{m, victims, cost}
 }
 
-// priorityCost keeps the priorities apart when losses, in seconds, are compared: the lower priority is
-// stopped first, whatever it loses.
+// priorityCost is the cost of one priority level, in seconds of lost work. It keeps the priorities apart
+// when losses are compared: the task of lower priority is stopped first, whatever it loses.
 const priorityCost = 1000
 
-// cheapestVictim finds the eligible task on a machine that loses least when it is stopped, apart from
-// those that are taken already.
-func (p *plan) cheapestVictim(m *stagedMachine, rule preemptionRule, taken []taskKey) (victim taskKey, cost float64, found bool) {
+// cheapestVictim finds the eligible task on a machine that costs least to stop, apart from those that are
+// already chosen.
+func (p *plan) cheapestVictim(m *stagedMachine, rule preemptionRule, chosen []taskKey) (victim taskKey, cost float64, found bool) {
 	for _, task := range m.kept {
 		key := keyOf(task)
-		if slices.Contains(taken, key) {
+		if slices.Contains(chosen, key) {
 			continue
 		}
 		j := p.replica.acceptedJob(task.Job)
@@ -127,8 +127,8 @@
 		if rule.maxLoss > 0 && loss > rule.maxLoss.Seconds() {
 			continue
 		}
-		// By CPUs, so that one large task is not stopped where a few small ones that have just begun
-		// would do.
+		// Multiplied by CPUs, so that one large task is not stopped where a few small ones that have just
+		// begun would suffice.
 		taskCost := (loss + float64(j.spec.Priority)*priorityCost) * j.spec.CPUs
 		if !found || taskCost < cost {
 			victim, cost, found = key, taskCost, true
@@ -137,9 +137,9 @@
 	return victim, cost, found
 }
 
-// workLost is how many seconds of work are lost when a task is stopped. What a task on another
-// controller's machine has done is known to that one only; it is no more than the time since it was
-// entered there.
+// workLost returns how many seconds of work are lost when a task is stopped. How long a task on another
+// controller's machine has run is known to that controller only; it is no more than the time since the
+// task was entered there.
 func (p *plan) workLost(m *machine, j *job, key taskKey) float64 {
 	var began units.Micros
 	if m.agent == nil {
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -26,10 +26,10 @@
 }
 
 const (
-	// firstTaskWithin is how long a job may wait for its first task before a machine is kept free
+	// maxFirstTaskWait is how long a job may wait for its first task before a machine is kept free
 	// for it. It leaves tasks of a minute time to end within the four minutes in which the largest
 	// jobs must begin.
-	firstTaskWithin = 60 * units.Second
+	maxFirstTaskWait = 60 * units.Second
 
 	// reservationPeriod is how long a machine may be kept free in one go. Small jobs beside it must
 	// not wait for as long as the large one does.
@@ -40,8 +40,8 @@
 	machinesPerReservation = 20
 )
 
-// forAnother reports whether the machine is kept free for another job than this.
-func (r *reservationTable) forAnother(machine string, j *job) bool {
+// reservedForOther reports whether the machine is kept free for another job than this.
+func (r *reservationTable) reservedForOther(machine string, j *job) bool {
 	reservedFor := r.byMachine[machine].job
 	return reservedFor != "" && reservedFor != j.id
 }
@@ -99,7 +99,7 @@
 
 // mayReserve reports whether one more machine may be kept free, for this job.
 func (p *plan) mayReserve(j *job, reservations *reservationTable) bool {
-	return j.failures == 0 && p.now >= reservations.notBefore && p.timeOfDay-j.eligibleSince() >= firstTaskWithin &&
+	return j.failures == 0 && p.now >= reservations.notBefore && p.timeOfDay-j.eligibleSince() >= maxFirstTaskWait &&
 		len(reservations.byMachine) <= len(p.machines)/machinesPerReservation && p.underQuota(j)
 }
 
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -40,10 +40,10 @@
 	if !reservations.has(holder) || reservations.has(other) {
 		t.Error("the reservation is not its job's alone")
 	}
-	if reservations.forAnother("n-000001", holder) || !reservations.forAnother("n-000001", other) {
+	if reservations.reservedForOther("n-000001", holder) || !reservations.reservedForOther("n-000001", other) {
 		t.Error("the machine is not kept free for its job alone")
 	}
-	if reservations.forAnother("n-000002", other) {
+	if reservations.reservedForOther("n-000002", other) {
 		t.Error("a machine without a reservation is withheld")
 	}
 }
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	minServiceRun     = 35 * units.Second // a service that started stays at least so long
-	stopLeadTime      = 3 * units.Second  // for a stop to be stored and carried out before a machine is taken
-	maxServiceMoves   = 2                 // services that one plan moves
+	minServiceRun     = 35 * units.Second // a service's task runs at least this long before it is moved
+	stopLeadTime      = 3 * units.Second  // for a stop to be stored and carried out before a machine is reclaimed
+	maxServiceMoves   = 2                 // services that one plan may move
 	objectiveKindWait = "wait"            // kind of the objectives that bound how long a start may take
 )
 
-// placeServices puts services first, whole as far as capacity goes, and frees capacity for them by
-// stopping work of lower priority.
+// placeServices places services first, with all tasks that capacity allows, and frees capacity for them
+// by preempting tasks of lower priority.
 func (p *plan) placeServices(jobs []*job) {
 	for _, j := range jobs {
 		if j.spec.Service && !j.cancelled() && !j.blocked() && p.now >= j.retryAt {
@@ -22,7 +22,7 @@
 	}
 }
 
-// placeService places what is not bound of a service, until one of its tasks finds no place.
+// placeService places the unbound tasks of a service, until one of them cannot be placed.
 func (p *plan) placeService(j *job) {
 	for index := 0; index < j.spec.Tasks; index++ {
 		if _, bound := j.bindings[index]; bound {
@@ -42,8 +42,9 @@
 	}
 }
 
-// placeServiceTask places one task of a service, in the place of work of lower priority if need be,
-// also where that spares it a fetch of its image that takes too long. It reports whether it did.
+// placeServiceTask places one task of a service, if necessary by preempting tasks of lower priority,
+// also where that avoids fetching its image when this takes too long. It reports whether the task was
+// placed.
 func (p *plan) placeServiceTask(j *job, index int) bool {
 	m := p.chooseMachine(j)
 	lower := preemptionRule{eligible: func(victim *job) bool { return victim.spec.Priority < j.spec.Priority }}
@@ -57,11 +58,12 @@
 	return true
 }
 
-// fetchTooSlow reports whether fetching the image on a machine would take longer than the class may
-// wait for its start.
+// fetchTooSlow reports whether fetching the image on a machine would take too long for the objective that
+// bounds how long a job of this class may wait for its start.
 func (p *plan) fetchTooSlow(j *job, m *machine) bool {
 	machineType := p.catalog.machineType(m.doc.Type)
-	// The rate may be a third lower, and a third is left for what comes before and after the fetch.
+	// Half of the objective is allowed: the fetch rate may be a third lower than stated, and a third of
+	// the time is left for what comes before and after the fetch.
 	for _, objective := range p.cfg.Settings.Objectives {
 		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && machineType != nil && machineType.FetchGBPerSecond > 0 {
 			return j.spec.ImageGB/machineType.FetchGBPerSecond > objective.WithinS/2
@@ -70,15 +72,14 @@
 	return false
 }
 
-// drainReclaimed saves what can be saved on machines that the cloud is about to take back: services
-// leave at once, tasks with checkpoints as late as they can. Others run on, since they may complete in
-// time.
+// drainReclaimed stops tasks on machines that the cloud is about to reclaim: services at once, tasks with
+// checkpoints as late as possible. Other tasks run on, since they may complete in time.
 func (p *plan) drainReclaimed() {
 	for _, m := range p.machinesToEmpty(func(m *machine) bool { return m.agent.notice.announced }) {
-		left := m.machine.agent.notice.endsAt - p.now
+		remaining := m.machine.agent.notice.endsAt - p.now
 		for _, task := range m.kept {
 			j := p.replica.jobs[task.Job]
-			if j != nil && p.facts.shouldRun(m.machine, task) && p.fitsShard(m.shard) && j.mustLeaveReclaimed(left) {
+			if j != nil && p.facts.shouldRun(m.machine, task) && p.fitsShard(m.shard) && j.mustLeaveReclaimed(remaining) {
 				p.writeShard(m.shard)
 				m.requestStop(keyOf(task), schema.StopGracefully)
 			}
@@ -86,20 +87,20 @@
 	}
 }
 
-// mustLeaveReclaimed reports whether a task of the job must be stopped now on a machine that is taken
-// back when that time is over.
-func (j *job) mustLeaveReclaimed(left units.Micros) bool {
+// mustLeaveReclaimed reports whether a task of the job must be stopped now on a machine that is reclaimed
+// after the remaining time.
+func (j *job) mustLeaveReclaimed(remaining units.Micros) bool {
 	return j.spec.Service ||
-		j.spec.CheckpointIntervalSeconds > 0 && left < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime
+		j.spec.CheckpointIntervalSeconds > 0 && remaining < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime
 }
 
-// machinesToEmpty lists this partition's machines that are to be emptied, for one reason or another.
-// They take no more work, so they are not among those that tasks are placed on.
-func (p *plan) machinesToEmpty(why func(*machine) bool) []*stagedMachine {
+// machinesToEmpty lists this partition's selected machines, which are to be emptied. They accept no more
+// tasks, so they are not among the machines that tasks are placed on.
+func (p *plan) machinesToEmpty(selected func(*machine) bool) []*stagedMachine {
 	var machines []*stagedMachine
 	for _, shard := range p.shards {
 		for _, m := range shard.machines {
-			if shard.ownShard && m.machine.agent != nil && !m.machine.deleted && why(m.machine) {
+			if shard.ownShard && m.machine.agent != nil && !m.machine.deleted && selected(m.machine) {
 				machines = append(machines, m)
 			}
 		}
@@ -119,9 +120,9 @@
 	return false
 }
 
-// moveServices takes services off machines that are to be deleted, where another machine has their
-// image and capacity, so that they are away for a moment only. Those that have just started stay for
-// now. Of one service only one task moves at a time: two that move together may not fit one zone.
+// moveServices moves services off machines that are being drained, to machines that have their image and
+// capacity, so that the interruption is short. Services that have just started are not moved yet. Only
+// one task of a service moves at a time: two that move together may not fit into one zone.
 func (p *plan) moveServices() {
 	if !periodOf(p.movePeriods, p.leadership.partition).due(p.now, rebalancePeriod) {
 		return
@@ -141,7 +142,7 @@
 	}
 }
 
-// movable reports whether a task is of a service that runs steadily and may move now.
+// movable reports whether a task belongs to a service that runs steadily, and may be moved now.
 func (p *plan) movable(m *stagedMachine, j *job, task schema.Task) bool {
 	if j == nil || !j.accepted || !j.spec.Service || j.waiting() > 0 || j.hasStoppingTask() {
 		return false
@@ -150,10 +151,10 @@
 	return runs && p.now-run.at >= minServiceRun && p.facts.shouldRun(m.machine, task) && p.fitsShard(m.shard)
 }
 
-// moveService stops a service's task if there is a better machine for it, and keeps the capacity there.
-// The next plan places it. It reports whether it did.
+// moveService stops a service's task if there is a better machine for it, and reserves capacity there in
+// this plan. The next plan places the task. It reports whether the task was stopped.
 func (p *plan) moveService(from *stagedMachine, j *job, task schema.Task) bool {
-	j.removeBinding(task.Index) // it does not stand in its own way
+	j.removeBinding(task.Index) // its own binding must not count for its new placement
 	to := p.chooseMachine(j)
 	j.addBinding(task.Index, binding{from.machine, task.Attempt})
 	if to == nil || !to.hasImage(j.spec.Image) || p.replica.rented(to.machine.name) && to.active == 0 {
--- a/internal/controller/staged_machine.go
+++ b/internal/controller/staged_machine.go
@@ -7,7 +7,7 @@
 )
 
 // stagedMachine is a machine's entry as a plan is going to write it. Its free capacity is that of the
-// machine less whatever may be there, what the plan adds included.
+// machine less everything that may run there, including the tasks that the plan adds.
 type stagedMachine struct {
 	machine      *machine
 	shard        *stagedShard
@@ -17,8 +17,8 @@
 	added        []schema.Task               // entries that this plan adds
 	stops        map[taskKey]schema.StopMode // tasks that are to be stopped, and how
 	active       int                         // tasks that may be active
-	images       []string                    // what another controller says of a machine's images that it leads
-	usable       bool                        // it may be given tasks
+	images       []string                    // images on another controller's machine, as that controller reports
+	usable       bool                        // tasks may be placed on it
 	refence      bool                        // its fencing token is raised
 	decommission bool
 }
@@ -37,7 +37,7 @@
 	return m.canFit(&j.spec) && m.shard.bytesLeft >= taskEntryBytes
 }
 
-// add enters a task and takes its capacity.
+// add adds a task and reserves its capacity.
 func (m *stagedMachine) add(task schema.Task, spec *schema.Job) {
 	m.added = append(m.added, task)
 	m.reserve(spec, 1)
@@ -45,7 +45,7 @@
 	m.shard.bytesLeft -= taskEntryBytes
 }
 
-// requestStop has a task's entry say that it is to be stopped.
+// requestStop marks a task's entry as to be stopped.
 func (m *stagedMachine) requestStop(key taskKey, mode schema.StopMode) {
 	if m.stops == nil {
 		m.stops = map[taskKey]schema.StopMode{}
@@ -59,38 +59,38 @@
 	m.reserve(spec, -1)
 }
 
-// setAsideForMove keeps capacity for a service that is to come here when it has stopped elsewhere.
+// setAsideForMove reserves capacity for a service that moves here after it has stopped elsewhere.
 func (m *stagedMachine) setAsideForMove(spec *schema.Job) {
 	m.cpus, m.memoryGB = m.cpus-spec.CPUs, m.memoryGB-spec.MemGB
 }
 
-// countEndingSoon counts the capacity of tasks that are about to end as free.
+// countEndingSoon adds the capacity of tasks that are about to end to the free capacity.
 func (m *stagedMachine) countEndingSoon() {
 	m.cpus += m.endingSoon.cpus
 	m.gpus += m.endingSoon.gpus
 	m.memoryGB += m.endingSoon.memoryGB
 }
 
-// markDecommissioned has the entry say that the machine is decommissioned; it takes no more tasks.
+// markDecommissioned marks the machine as decommissioned; it accepts no more tasks.
 func (m *stagedMachine) markDecommissioned() { m.decommission, m.usable = true, false }
 
 // markRefenced raises the machine's fencing token, so that no earlier command can take effect.
 func (m *stagedMachine) markRefenced() { m.refence = true }
 
-// keepAll keeps the entry as it stands: nothing is known of what is on the machine.
+// keepAll keeps all task entries as they are: nothing is known of what runs on the machine.
 func (m *stagedMachine) keepAll() { m.kept = m.machine.doc.Tasks }
 
-// occupy takes from the machine's whole capacity what may be on it.
-func (m *stagedMachine) occupy(whole resources, occupancy *occupancy) {
+// occupy sets the entries that stay, and the free capacity: the total less what tasks may use.
+func (m *stagedMachine) occupy(total resources, occupancy *occupancy) {
 	m.kept, m.active, m.endingSoon = occupancy.kept, occupancy.active, occupancy.endingSoon
 	used := occupancy.used
-	m.resources = resources{whole.cpus - used.cpus, whole.gpus - used.gpus, whole.memoryGB - used.memoryGB}
+	m.resources = resources{total.cpus - used.cpus, total.gpus - used.gpus, total.memoryGB - used.memoryGB}
 }
 
 // keepEntry keeps one more entry.
 func (m *stagedMachine) keepEntry(task schema.Task) { m.kept = append(slices.Clone(m.kept), task) }
 
-// keptKeys are the keys of the entries that stay.
+// keptKeys returns the keys of the entries that stay.
 func (m *stagedMachine) keptKeys() map[taskKey]bool {
 	keys := make(map[taskKey]bool, len(m.kept))
 	for _, task := range m.kept {
@@ -99,10 +99,10 @@
 	return keys
 }
 
-// releasesEntries reports whether entries go that the stored document still has.
+// releasesEntries reports whether the plan removes entries that the stored document still has.
 func (m *stagedMachine) releasesEntries() bool { return len(m.kept) != len(m.machine.doc.Tasks) }
 
-// releasesUnfinished reports whether one of the entries that go is of a task that must run again.
+// releasesUnfinished reports whether one of the removed entries is of a task that must run again.
 func (m *stagedMachine) releasesUnfinished() bool {
 	kept := m.keptKeys()
 	return slices.ContainsFunc(m.machine.doc.Tasks, func(task schema.Task) bool {
@@ -110,7 +110,7 @@
 	})
 }
 
-// document is the machine's entry as it is to be stored.
+// document returns the machine's entry as it is to be stored.
 func (m *stagedMachine) document() schema.Machine {
 	document := m.machine.doc
 	document.Tasks = append(slices.Clone(m.kept), m.added...)
@@ -131,7 +131,8 @@
 	return document
 }
 
-// withdrawAdded undoes what was added: it has not been stored, unless the replica shows it.
+// withdrawAdded removes the bindings of the added tasks, except those that the replica shows: the others
+// have not been stored.
 func (m *stagedMachine) withdrawAdded() {
 	for _, task := range m.added {
 		j := m.shard.planner.replica.jobs[task.Job]
--- a/internal/controller/staged_shard.go
+++ b/internal/controller/staged_shard.go
@@ -8,33 +8,33 @@
 )
 
 // stagedShard is a machine shard's document as a plan is going to write it. Only its methods and
-// those of its machines write its fields. Whatever a plan changes of the shard's document goes
-// through it, so that the document is written whole, once, in one transaction.
+// those of its machines write its fields. All changes of a plan to the shard's document go through it,
+// so that the document is written whole, once, in one transaction.
 type stagedShard struct {
 	planner  *planner
 	shard    *machineShard
 	machines []*stagedMachine
 	writeTag string
-	ownShard bool // this controller's partition leads the machines
-
-	changed     bool             // it is written by this plan
-	picked      bool             // arrays may go here in this plan
-	splitCount  int              // documents that it is split into; 0: it is not
-	transferTo  int              // partition that it is transferred to, or -1
-	newMachines []schema.Machine // agents that are registered by this plan
-	oversized   bool             // longer than what may be written: it must be split first
-	bytesLeft   int              // that the value may still grow
+	ownShard bool // the shard belongs to the plan's own partition
+
+	changed     bool             // the document is written by this plan
+	picked      bool             // arrays may use the shard in this plan
+	splitCount  int              // documents that the shard is split into; 0: it is not split
+	transferTo  int              // partition that the shard is transferred to, or -1
+	newMachines []schema.Machine // machines that this plan registers
+	oversized   bool             // longer than what may be written: the shard must be split first
+	bytesLeft   int              // bytes by which the document may still grow
 }
 
 func newStagedShard(planner *planner, shard *machineShard, ownShard bool, writeTag string) *stagedShard {
-	most := planner.store.limits.maxValueBytes()
+	maxBytes := planner.store.limits.maxValueBytes()
 	return &stagedShard{
 		planner: planner, shard: shard, ownShard: ownShard, writeTag: writeTag, transferTo: -1,
-		oversized: shard.size > most, bytesLeft: most - shard.size - documentOverheadBytes,
+		oversized: shard.size > maxBytes, bytesLeft: maxBytes - shard.size - documentOverheadBytes,
 	}
 }
 
-// document is the machine shard as it is to be stored.
+// document returns the machine shard as it is to be stored.
 func (s *stagedShard) document() *schema.MachineShard {
 	document := &schema.MachineShard{
 		Partition: s.shard.partition, Handovers: s.shard.handovers, ShardCount: s.shard.splitCount, WriteTag: s.writeTag,
@@ -54,14 +54,14 @@
 	return document
 }
 
-// documents gives the machine shard as it is to be stored, in several documents if it is split.
+// documents returns the machine shard as it is to be stored, as several documents if it is split.
 func (s *stagedShard) documents() []splitDocument {
 	if s.splitCount > 1 {
 		return s.split(s.splitCount)
 	}
 	value := encode(s.document())
 	if len(value) > s.planner.store.limits.maxValueBytes() && s.addsTasks() {
-		// The estimate was too low: leave out what was to be added.
+		// The size estimate was too low: leave out the added tasks.
 		s.planner.log.Error("machine shard exceeds value limit", "shard", s.shard.number, "bytes", len(value))
 		s.withdrawAdded()
 		value = encode(s.document())
@@ -73,39 +73,39 @@
 	return slices.ContainsFunc(s.machines, func(m *stagedMachine) bool { return len(m.added) > 0 })
 }
 
-// withdrawAdded undoes what was added to the shard's machines.
+// withdrawAdded withdraws the tasks that were added to the shard's machines.
 func (s *stagedShard) withdrawAdded() {
 	for _, m := range s.machines {
 		m.withdrawAdded()
 	}
 }
 
-// pick lets arrays go to the shard in this plan.
+// pick lets arrays use the shard in this plan.
 func (s *stagedShard) pick() { s.picked = true }
 
-// markChanged has the shard written. It reports whether it was not to be written before.
+// markChanged marks the shard as to be written. It reports whether it was not marked before.
 func (s *stagedShard) markChanged() bool {
 	first := !s.changed
 	s.changed = true
 	return first
 }
 
-// markSplit has the shard written in so many documents; nothing else fits into it then.
+// markSplit marks the shard as to be written in several documents; nothing more can be added to it then.
 func (s *stagedShard) markSplit(documents int) {
 	s.changed, s.splitCount, s.bytesLeft = true, documents, 0
 }
 
-// markTransferred hands the shard's machines to another partition.
+// markTransferred marks the shard as to be transferred to another partition.
 func (s *stagedShard) markTransferred(to int) { s.transferTo = to }
 
-// addMachine enters a machine whose agent has registered.
+// addMachine adds the entry of a machine whose agent has registered.
 func (s *stagedShard) addMachine(document schema.Machine) {
 	s.bytesLeft -= schema.MaxStoredSize(len(encode(document)))
 	s.newMachines = append(s.newMachines, document)
 }
 
-// noteEntriesLeaving notes the entries that a commit in flight removes from the document: they must not
-// be started again meanwhile.
+// noteEntriesLeaving records the entries that a commit in flight removes from the document: their tasks
+// must not be started again meanwhile.
 func (s *stagedShard) noteEntriesLeaving() {
 	s.forgetEntriesLeaving()
 	if !s.ownShard {
@@ -126,7 +126,7 @@
 	}
 }
 
-// forgetEntriesLeaving forgets them when the commit has been answered.
+// forgetEntriesLeaving clears that record when the commit's result is known.
 func (s *stagedShard) forgetEntriesLeaving() {
 	if !s.ownShard {
 		return
