--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -242,16 +242,16 @@
 	}
 	slices.SortStableFunc(candidates, func(a, b shardCapacity) int { return cmp.Compare(b.free+b.soon, a.free+a.soon) })
 	p.shardsPicked = true
-	soon, left := 0.0, 0.0
+	pickedSoon, unpickedFree := 0.0, 0.0
 	for i, candidate := range candidates {
 		if i < p.budget.changes {
 			candidate.shard.pick()
-			soon += candidate.soon
+			pickedSoon += candidate.soon
 		} else {
-			left += candidate.free
+			unpickedFree += candidate.free
 		}
 	}
-	return left < soon && p.revisitPeriod() > minRevisitToQueue
+	return unpickedFree < pickedSoon && p.revisitPeriod() > minRevisitToQueue
 }
 
 // revisitPeriod returns how long it takes on average, at this controller's write rate, to write each of
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -8,20 +8,20 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// resources are CPUs, GPUs and memory that are free, or taken.
+// resources are amounts of CPUs, GPUs and memory, free or in use.
 type resources struct{ cpus, gpus, memoryGB float64 }
 
-// canFit reports whether a task fits.
+// canFit reports whether a task of the job fits into r.
 func (r *resources) canFit(spec *schema.Job) bool {
 	return r.cpus >= spec.CPUs-roundingTolerance && r.gpus >= spec.GPUs-roundingTolerance && r.memoryGB >= spec.MemGB-roundingTolerance
 }
 
-// reserve takes what so many tasks need, or gives it back when their number is negative.
+// reserve subtracts what the given number of tasks need, or adds it if the number is negative.
 func (r *resources) reserve(spec *schema.Job, tasks float64) {
 	r.cpus, r.gpus, r.memoryGB = r.cpus-tasks*spec.CPUs, r.gpus-tasks*spec.GPUs, r.memoryGB-tasks*spec.MemGB
 }
 
-// tryReserve takes what a task needs if it fits.
+// tryReserve subtracts what a task needs if the task fits, and reports whether it does.
 func (r *resources) tryReserve(spec *schema.Job) bool {
 	if !r.canFit(spec) {
 		return false
@@ -30,14 +30,15 @@
 	return true
 }
 
-// machineCapacity tells how much of a machine is free, by what its agent reports or by what is stored. It
-// keeps nothing and reserves nothing: each caller works with its own copy.
+// machineCapacity computes how much of a machine is free, from its agent's reports or from its stored
+// entry. It keeps no state and reserves nothing: each caller works with its own copy of the result.
 type machineCapacity struct {
 	replica *replica
 	catalog *catalog
 }
 
-// reportedFreeCapacity is what no task takes that the machine's agent has reported.
+// reportedFreeCapacity returns the machine's capacity less that of the tasks that its agent reports and that
+// have not ended.
 func (c *machineCapacity) reportedFreeCapacity(m *machine) *resources {
 	t := c.catalog.machineType(m.doc.Type)
 	if t == nil {
@@ -52,7 +53,7 @@
 	return free
 }
 
-// freeCapacity is what the tasks bound to a machine leave of it.
+// freeCapacity returns the machine's capacity less that of the unfinished tasks in its entry.
 func (c *machineCapacity) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	free := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
@@ -63,7 +64,7 @@
 	return free
 }
 
-// hasCapacityForAny reports whether one of the jobs could have a task on the machine now.
+// hasCapacityForAny reports whether a task of one of the jobs could be placed on the machine now.
 func (c *machineCapacity) hasCapacityForAny(m *machine, free *resources, jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return free.canFit(&j.spec) && placementAllowed(j, m) })
 }
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -8,13 +8,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// completionExchange tells other controllers of completed tasks in heartbeats, and takes what they tell.
-// The leader of a job's partition stores the job's progress, but the leader of the machine's partition
-// sees its tasks complete. Written into the machine's shard, for the job's leader to read, completions
-// would take a third of all changes of a large fleet. A completed task stays completed, so a heartbeat
-// that is lost, late or repeated does no harm. The exchange owns nothing and promises nothing more: it
-// never stores a completion, and what the job's leader has not stored in time is written into the
-// machine shard all the same.
+// completionExchange reports completed tasks to other controllers in heartbeats, and applies what they
+// report. The leader of a job's partition stores the job's progress, but the leader of the machine's
+// partition sees its tasks complete. If completions were written into the machine shard, for the job's
+// leader to read, they would take a third of all changes of a large fleet. A completed task stays
+// completed, so a heartbeat that is lost, late or repeated does no harm. The exchange owns no state and
+// guarantees no delivery: it never stores a completion, and a completion that the job's leader has not
+// stored in time is still written into the machine shard.
 type completionExchange struct {
 	*environment
 	replica    *replica
@@ -22,18 +22,18 @@
 	peers      peerHeartbeats
 }
 
-// peerHeartbeats knows the latest heartbeat of each process, if it is recent.
+// peerHeartbeats provides the latest heartbeat of each process, if it is recent.
 type peerHeartbeats interface {
 	heartbeatOf(member, incarnation string) (peer.Heartbeat, bool)
 }
 
 const (
-	// runTimeUnit is the unit in which a machine shard tells how long a task ran.
+	// runTimeUnit is the unit in which a machine shard stores how long a task ran.
 	runTimeUnit = 100 * units.Millisecond
-	// maxCompletionsSent bounds what one heartbeat tells.
+	// maxCompletionsSent bounds the completed tasks that one heartbeat reports.
 	maxCompletionsSent = 2000
-	// leaderStoreTimeout is how long the leader of a job is given to store the completion of a task that
-	// it has been told of.
+	// leaderStoreTimeout is how long the leader of a job may take to store a completion that has been
+	// reported to it.
 	leaderStoreTimeout = progressFlushPeriod + 10*units.Second
 )
 
@@ -59,7 +59,7 @@
 	return completed[:min(len(completed), maxCompletionsSent)]
 }
 
-// apply notes what another controller has seen to complete.
+// apply records the tasks that another controller reports as completed.
 func (e *completionExchange) apply(completed []peer.EndedTask) {
 	for _, task := range completed {
 		j := e.replica.acceptedJob(task.Job)
@@ -75,8 +75,8 @@
 // leadsJob reports whether this controller leads the partition of a job.
 func (e *completionExchange) leadsJob(j *job) bool { return e.partitions.led[j.partition] != nil }
 
-// leaderStores reports whether the completion of a task that was seen at some moment can be left to the
-// leader of its job, which is told of it.
+// leaderStores reports whether storing the completion of a task that was seen at seenAt can be left to the
+// leader of its job, to which heartbeats report it.
 func (e *completionExchange) leaderStores(j *job, seenAt units.Micros) bool {
 	if !e.replica.dependenciesEnabled() || e.now-seenAt > leaderStoreTimeout {
 		return false
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -4,26 +4,26 @@
 
 const (
 	minTaskTime     = units.Second
-	defaultTaskTime = 30 * units.Second // average task time while no job has shown any
+	defaultTaskTime = 30 * units.Second // assumed task time while none is known
 
-	// classAveragePeriod is how often the averages of the classes are worked out anew.
+	// classAveragePeriod is how often the averages of the classes are recomputed.
 	classAveragePeriod = units.Second
 
-	// observePeriod is how often all running tasks of a job are looked at.
+	// observePeriod is how often all running tasks of a job are examined.
 	observePeriod = 2 * units.Second
 )
 
-// estimates are what is known of task times beyond a single job. They order jobs and never decide what
-// may run.
+// estimates are average task times over several jobs. They only affect the order of jobs and never decide
+// what may run.
 type estimates struct {
-	classAverages map[string]units.Micros // average task time by class of jobs, as last known
+	classAverages map[string]units.Micros // last known average task time, by job class
 	period        period
 }
 
 func newEstimates() estimates { return estimates{classAverages: map[string]units.Micros{}} }
 
-// update works out the average task time of each class of jobs, as the mean over its jobs whose own
-// average is known. A class keeps its last average while none of its jobs is known.
+// update computes the average task time of each class of jobs, as the mean over its jobs whose own
+// average is known. A class keeps its last average while none of its jobs has a known average.
 func (e *estimates) update(now units.Micros, jobs []*job) {
 	if !e.period.due(now, classAveragePeriod) {
 		return
@@ -40,9 +40,9 @@
 	}
 }
 
-// assumedTaskTime is the task time that a job is taken to have while none of its tasks has completed:
-// that of its class, or else its user's estimate. The average over all jobs would put a new job of
-// short tasks behind those of long ones.
+// assumedTaskTime returns the task time that is assumed for a job while none of its tasks has completed:
+// the average of its class, or else its user's estimate, or else defaultTaskTime. The average over all
+// jobs would put a new job of short tasks behind jobs of long ones.
 func (e *estimates) assumedTaskTime(j *job) units.Micros {
 	if average := e.classAverages[j.spec.Class]; average > 0 {
 		return average
@@ -53,13 +53,13 @@
 	return defaultTaskTime
 }
 
-// subtractRuns takes lengths of tasks that are now part of the stored average from those that are not.
+// subtractRuns subtracts run times that are now part of the stored average from those not stored yet.
 func (j *job) subtractRuns(sum units.Micros, count int) {
 	j.runSum -= sum
 	j.runCount -= count
 }
 
-// average is the mean time of the job's done tasks, and of how many; zero if none is known.
+// average returns the mean run time of the job's done tasks, and their number; zero if none is known.
 func (j *job) average() (average units.Micros, samples int) {
 	samples = j.storedAverageCount + j.runCount
 	if samples == 0 {
@@ -68,8 +68,8 @@
 	return max(minTaskTime, (j.storedAverage*units.Micros(j.storedAverageCount)+j.runSum)/units.Micros(samples)), samples
 }
 
-// observedAverage is the mean time of a job's tasks: done ones, with the elapsed time of running ones as
-// a lower bound. Zero if none is done.
+// observedAverage returns the mean run time of a job's tasks: of the done ones, with the elapsed time of
+// running ones as a lower bound. It is zero if none is done.
 func (j *job) observedAverage(now units.Micros) units.Micros {
 	average, _ := j.average()
 	if average == 0 {
@@ -78,7 +78,7 @@
 	if j.observedAt > 0 && now-j.observedAt < observePeriod {
 		return max(average, j.observed)
 	}
-	var excess, overdue units.Micros // of running tasks that have taken longer than the average
+	var excess, overdue units.Micros // total excess, and number, of running tasks that have taken longer than the average
 	for index, bound := range j.bindings {
 		if bound.machine.agent == nil {
 			continue
@@ -89,7 +89,7 @@
 			overdue++
 		}
 	}
-	// The late ones count with what they have taken so far, as if they ended now.
+	// Overdue tasks count with their elapsed time, as if they ended now.
 	j.observed, j.observedAt = average+excess/(units.Micros(j.doneCount())+overdue+1), now
 	return j.observed
 }
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -7,21 +7,21 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// A team's quota is the most that its tasks may take at once, and its guarantee what its jobs may take
-// back from others. Both count whatever may be running. Only the leader of the team's partition
-// places its tasks, so that the quota is kept in one place.
+// A team's quota is the most that its tasks may use at once, and its guarantee is what its jobs may take
+// back from other teams by preemption. Both count all tasks that may be running. Only the leader of the
+// team's partition places its tasks, so that the quota is enforced in one place.
 
-// roundingTolerance is what sums of CPUs, GPUs and memory may be off by.
+// roundingTolerance is the rounding error allowed in sums of CPUs, GPUs and memory.
 const roundingTolerance = 1e-9
 
-// teamUsage is what the tasks of one team take.
+// teamUsage is the capacity that the tasks of one team use.
 type teamUsage struct{ cpus, gpus float64 }
 
-// usageByTeam is what each team's tasks take.
+// usageByTeam is the usage of each team, by team name.
 type usageByTeam map[string]*teamUsage
 
-// teamUsage is what each team's tasks take: whatever may be running, or be started again, tasks on
-// deleted machines and in commits in flight included.
+// teamUsage returns the usage of each team. It counts all tasks that may be running or be started again,
+// including tasks on deleted machines and in commits in flight.
 func (r *replica) teamUsage() usageByTeam {
 	usage := usageByTeam{}
 	for _, j := range r.sortedJobs() {
@@ -30,7 +30,7 @@
 	return usage
 }
 
-// add counts so many more tasks of a job.
+// add adds the given number of tasks of a job to its team's usage.
 func (u usageByTeam) add(spec *schema.Job, tasks int) {
 	team := u[spec.Team]
 	if team == nil {
@@ -41,7 +41,7 @@
 	team.gpus += spec.GPUs * float64(tasks)
 }
 
-// of is what one team's tasks take.
+// of returns the usage of one team.
 func (u usageByTeam) of(team string) teamUsage {
 	if usage := u[team]; usage != nil {
 		return *usage
@@ -60,7 +60,7 @@
 		(team.QuotaGPUs <= 0 || used.gpus+j.spec.GPUs <= team.QuotaGPUs+roundingTolerance)
 }
 
-// tasksWithinQuota is how many more tasks of a job its team's quota allows at once, by CPUs.
+// tasksWithinQuota returns how many more tasks of a job its team's quota allows at once, by CPUs.
 func (e *environment) tasksWithinQuota(j *job, usage usageByTeam) int {
 	team := e.team(j.spec.Team)
 	if team == nil || team.QuotaCPUs <= 0 {
@@ -69,15 +69,15 @@
 	return max(0, int((team.QuotaCPUs-usage.of(j.spec.Team).cpus)/j.spec.CPUs+roundingTolerance))
 }
 
-// withinGuarantee reports whether a team stays inside its guarantee with so much more.
+// withinGuarantee reports whether a team stays within its guarantee when it uses cpus and gpus more.
 func (p *plan) withinGuarantee(team string, cpus, gpus float64) bool {
 	t := p.team(team)
 	used := p.usage.of(team)
 	return t != nil && used.cpus+cpus <= t.GuaranteedCPUs+roundingTolerance && used.gpus+gpus <= t.GuaranteedGPUs+roundingTolerance
 }
 
-// guaranteedJobs finds the jobs that lie within their team's guarantee: they fit into it together with
-// the team's earlier unfinished jobs.
+// guaranteedJobs finds the jobs that are within their team's guarantee: all unfinished tasks of the job,
+// and of the team's jobs accepted before it, fit into the guarantee together.
 func (p *plan) guaranteedJobs() map[*job]bool {
 	guaranteed := map[*job]bool{}
 	wanted := usageByTeam{}
@@ -92,9 +92,9 @@
 	return guaranteed
 }
 
-// preemptForGuarantee gives a team its guarantee: it takes capacity back from work that other teams
-// run beyond theirs. That is for jobs within the guarantee only: a team that wants more waits as
-// others do, or teams that all want more than there is would stop each other's tasks without end.
+// preemptForGuarantee places a task of a job within its team's guarantee by preempting tasks of teams
+// that use more than theirs. Only jobs within the guarantee may do so: a team that wants more waits as
+// others do, since teams that all want more than there is would stop each other's tasks without end.
 // It reports whether the task was placed.
 func (p *plan) preemptForGuarantee(j *job, index int) bool {
 	if !p.guaranteed[j] || !p.withinGuarantee(j.spec.Team, j.spec.CPUs, j.spec.GPUs) {
@@ -113,19 +113,19 @@
 	return found
 }
 
-// mayPreemptForGuarantee reports whether a task of the victim may be stopped so that j has its guarantee. A
-// service of a higher priority may not: it would take the place back at once, and so on, a change each
-// time, while all others wait.
+// mayPreemptForGuarantee reports whether a task of the victim may be stopped to place j within its team's
+// guarantee. A service of a higher priority may not be stopped: it would preempt j's task at once, and so
+// on without end, with a change each time, while all others wait.
 func (p *plan) mayPreemptForGuarantee(victim, j *job) bool {
 	return victim.spec.Team != j.spec.Team && (!victim.spec.Service || victim.spec.Priority <= j.spec.Priority) &&
 		!p.withinGuarantee(victim.spec.Team, 0, 0)
 }
 
-// maxPreemptionLoss is how much work may be lost with one task that is stopped for j, in whole
-// seconds, so that jobs that have waited alike need not be tried one by one. Capacity falls free all
-// the time, and a job within its guarantee is the first to get it: what has just begun is stopped at
-// once, what has run for long only for a job that has waited for half as long, or is starving.
-// Otherwise a large part of all CPU time is lost by preemption.
+// maxPreemptionLoss returns how much work one task that is stopped for j may lose, in whole seconds, so
+// that jobs that have waited equally long need not be tried one by one (see taskShape). Capacity becomes
+// free all the time, and a job within its guarantee is the first to get it. So a task that has just begun
+// may be stopped at once, but a task that has run for long only for a job that has waited for half as
+// long, or is starving. Otherwise a large part of all CPU time would be lost by preemption.
 func (j *job) maxPreemptionLoss(now units.Micros) units.Micros {
 	if j.starving(now) {
 		return math.MaxInt64
--- a/internal/controller/offers.go
+++ b/internal/controller/offers.go
@@ -8,27 +8,27 @@
 	"frostdock.example/frostdock/internal/cloud"
 )
 
-// What an offer's price leaves out.
+// Cost factors that an offer's price does not include.
 const (
 	spotRiskFactor       = 1.3   // a spot instance may be reclaimed
-	rentalHorizonSeconds = 300.0 // how long a rented machine is kept, roughly
-	imagesAfterBoot      = 3     // how many images it fetches before it has those that are asked for most
+	rentalHorizonSeconds = 300.0 // approximate time for which a rented machine is kept
+	imagesAfterBoot      = 3     // images that a new machine fetches before it has the most requested ones
 )
 
-// offerSearch looks for the offer with the cheapest CPUs for the jobs that wait: for those that may use
-// spot instances, or for the others.
+// offerSearch looks for the offer with the cheapest CPUs for the waiting jobs that may use spot instances,
+// or for the other waiting jobs.
 type offerSearch struct {
 	autoscaler *autoscaler
 	unmet      []unmetDemand
 	spotJobs   bool
-	imageGB    float64 // of a waiting task, on average
+	imageGB    float64 // average image size of the waiting tasks
 
 	best     *offer
 	bestCost float64
 }
 
-// bestOffer is the cheapest offer that a waiting job may use, nil if there is none. Of equally cheap ones the
-// first of the catalog counts.
+// bestOffer returns the cheapest offer that a waiting job may use, nil if there is none. Among equally
+// cheap offers the first in the catalog is chosen.
 func (a *autoscaler) bestOffer(unmet []unmetDemand, spotJobs bool) *offer {
 	search := &offerSearch{
 		autoscaler: a, unmet: unmet, spotJobs: spotJobs,
@@ -43,8 +43,8 @@
 	return search.best
 }
 
-// considerZone considers the offers of a machine type in a zone. A zone that may be partitioned gets no
-// machines.
+// considerZone considers the offers of a machine type in a zone. None is considered in a zone that is
+// suspected to be partitioned.
 func (s *offerSearch) considerZone(machineType *cloud.MachineType, zone string) {
 	if s.autoscaler.fleet.suspects(zone) || !s.autoscaler.demandFits(s.unmet, machineType, zone, s.spotJobs) {
 		return
@@ -78,8 +78,8 @@
 	})
 }
 
-// startupOverhead is how much dearer a machine is than its price says, because it is paid for while it
-// boots and fetches its first images.
+// startupOverhead returns the factor by which a machine costs more than its price, because it is paid for
+// while it boots and fetches its first images.
 func startupOverhead(machineType *cloud.MachineType, imageGB float64) float64 {
 	fetchSeconds := 0.0
 	if machineType.FetchGBPerSecond > 0 {
@@ -88,7 +88,7 @@
 	return 1 + (machineType.BootSeconds+fetchSeconds)/rentalHorizonSeconds
 }
 
-// averageImageGB is the size of the images of the tasks that wait, on average.
+// averageImageGB returns the average image size of the waiting tasks.
 func averageImageGB(unmet []unmetDemand, spotJobs bool) float64 {
 	sum, tasks := 0.0, 0.0
 	for _, demand := range unmet {
--- a/internal/controller/offers_test.go
+++ b/internal/controller/offers_test.go
@@ -6,7 +6,7 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestBestOffer lists what the choice of an offer goes by.
+// TestBestOffer checks each criterion by which an offer is chosen.
 func TestBestOffer(t *testing.T) {
 	spot := func(s *schema.Job) { s.Spot = true }
 	for name, tc := range map[string]struct {
--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -52,7 +52,7 @@
 	taskEntryBytes        = 26  // upper estimate of the size of one task entry in a document
 	documentOverheadBytes = 200 // allowance for each document besides its entries
 	maxTransactionBytes   = 56 << 10
-	minPlanChanges        = 12 // changes that a plan may make, in several transactions if one takes fewer
+	minPlanChanges        = 12 // changes that a plan with enough credit may make, in several transactions if one takes fewer
 	reservedChanges       = 4  // changes reserved for accepts, cancellations and services
 	minPlanCredit         = 2  // one change for the plan and one reserved for accepts
 
--- a/internal/controller/plan_outcomes.go
+++ b/internal/controller/plan_outcomes.go
@@ -154,9 +154,9 @@
 }
 
 // anyWaiting reports whether tasks of the jobs wait for capacity. Progress is stored less often then:
-// each change that stores progress is one less that gives the capacity of completed tasks to the next
-// ones, be it a change of this controller or of another, which may use the changes left over. With
-// short tasks, progress would take most of all changes.
+// each change that stores progress leaves one change less for giving the capacity of completed tasks to
+// waiting ones, here or at another controller, which may use the changes left over. With short tasks,
+// progress would take most of all changes.
 func anyWaiting(jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return !j.cancelled() && j.waiting() > 0 })
 }
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -118,10 +118,9 @@
 	return m.releasesEntries() && (m.releasesUnfinished() || m.shard.bytesLeft < 2*taskEntryBytes)
 }
 
-// recordedRunTenths returns the DoneTenths (1 plus the tenths of a second that the task ran) that record
-// a completion that this controller has seen in the task's entry; zero if there is none to record. The
-// record frees the task's part of its team's quota, and informs the job's leader if that is another
-// controller.
+// recordedRunTenths returns the DoneTenths (1 plus the tenths of a second that the task ran) to store in a
+// task's entry for a completion that this controller has seen; zero if there is none. Storing it frees the
+// task's part of its team's quota, and informs the job's leader if that is another controller.
 func (p *planner) recordedRunTenths(m *machine, task *schema.Task) int {
 	j := p.replica.acceptedJob(task.Job)
 	if j == nil || m.agent == nil || !j.unstoredCompletions[task.Index] {
@@ -134,7 +133,8 @@
 }
 
 // mustRecordCompletion reports whether the completion of a task must be recorded in its entry, because
-// its team is at its quota, or for another controller, which leads its job and does not store it.
+// its team is at its quota, or because another controller leads its job and is not sure to store the
+// completion.
 func (p *planner) mustRecordCompletion(m *machine, task *schema.Task, usage usageByTeam) bool {
 	if task.DoneTenths > 0 || p.recordedRunTenths(m, task) == 0 {
 		return false
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -7,15 +7,15 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// reservationTable keeps machines of a partition free for arrays that have not begun: without it,
-// capacity for a large task never falls free all together while smaller ones wait, and the last in
-// the order would wait for all others. Reservations are lost with the leadership.
+// reservationTable reserves machines of a partition for arrays that have not begun. Without reservations,
+// the capacity for a large task never becomes free all at once while smaller tasks wait, and the last job
+// in the order would wait for all others. Reservations are lost with the leadership.
 type reservationTable struct {
 	byMachine map[string]reservation
-	notBefore units.Micros // none is made before
+	notBefore units.Micros // earliest time of the next reservation
 }
 
-// reservation is for which job a machine is kept free, and since when.
+// reservation is the job that a machine is reserved for, and since when.
 type reservation struct {
 	job   string
 	since units.Micros
@@ -26,27 +26,27 @@
 }
 
 const (
-	// maxFirstTaskWait is how long a job may wait for its first task before a machine is kept free
-	// for it. It leaves tasks of a minute time to end within the four minutes in which the largest
+	// maxFirstTaskWait is how long a job may wait for its first task before a machine is reserved for
+	// it. It leaves tasks that run for a minute time to end within the four minutes in which the largest
 	// jobs must begin.
 	maxFirstTaskWait = 60 * units.Second
 
-	// reservationPeriod is how long a machine may be kept free in one go. Small jobs beside it must
-	// not wait for as long as the large one does.
+	// reservationPeriod is how long one reservation of a machine may last. Small jobs must not have to
+	// wait for as long as the large job does.
 	reservationPeriod = 60 * units.Second
 
-	// machinesPerReservation bounds the reservations: one more may be made while there is not more
-	// than one in so many machines.
+	// machinesPerReservation bounds the reservations: one more may be made while at most 1/20 of the
+	// machines that accept tasks are reserved.
 	machinesPerReservation = 20
 )
 
-// reservedForOther reports whether the machine is kept free for another job than this.
+// reservedForOther reports whether the machine is reserved for a job other than j.
 func (r *reservationTable) reservedForOther(machine string, j *job) bool {
 	reservedFor := r.byMachine[machine].job
 	return reservedFor != "" && reservedFor != j.id
 }
 
-// has reports whether a machine is kept free for the job.
+// has reports whether a machine is reserved for the job.
 func (r *reservationTable) has(j *job) bool {
 	for _, reserved := range r.byMachine {
 		if reserved.job == j.id {
@@ -56,8 +56,8 @@
 	return false
 }
 
-// expire drops the reservations that are no longer needed, or that have lasted long enough; after
-// one of these none is made for a while.
+// expire drops the reservations that are no longer needed, or that have lasted longer than
+// reservationPeriod; after one of the latter, none is made for half of that period.
 func (r *reservationTable) expire(now units.Micros, needed func(jobID string) bool) {
 	for name, reserved := range r.byMachine {
 		stillNeeded, overdue := needed(reserved.job), now-reserved.since > reservationPeriod
@@ -70,7 +70,7 @@
 	}
 }
 
-// expireReservations drops the machines that need not be kept free any more.
+// expireReservations drops the reservations of jobs that do not need one any more, and overdue ones.
 func (p *plan) expireReservations(active []*job) {
 	p.leadership.planning.reservations.expire(p.now, func(jobID string) bool {
 		return slices.ContainsFunc(active, func(j *job) bool {
@@ -79,7 +79,7 @@
 	})
 }
 
-// reserveMachine keeps the machine with the most free capacity for a job that has not begun.
+// reserveMachine reserves the machine with the most free CPUs for a job that has not begun.
 func (p *plan) reserveMachine(j *job) {
 	reservations := &p.leadership.planning.reservations
 	if !p.mayReserve(j, reservations) || reservations.has(j) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// mayReserve reports whether one more machine may be kept free, for this job.
+// mayReserve reports whether one more machine may be reserved, for this job.
 func (p *plan) mayReserve(j *job, reservations *reservationTable) bool {
 	return j.failures == 0 && p.now >= reservations.notBefore && p.timeOfDay-j.eligibleSince() >= maxFirstTaskWait &&
 		len(reservations.byMachine) <= len(p.machines)/machinesPerReservation && p.underQuota(j)
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -12,7 +12,7 @@
 		now        units.Micros
 		needed     bool
 		kept       bool
-		pausedTill units.Micros // 0: a new one may be made at once
+		pausedTill units.Micros // 0: a new reservation may be made at once
 	}{
 		"needed":                  {since + reservationPeriod, true, true, 0},
 		"not needed":              {since + units.Second, false, false, 0},
@@ -27,7 +27,7 @@
 				t.Errorf("kept: %v", kept)
 			}
 			if reservations.notBefore != tc.pausedTill {
-				t.Errorf("none before %v, want %v", reservations.notBefore, tc.pausedTill)
+				t.Errorf("no reservation before %v, want %v", reservations.notBefore, tc.pausedTill)
 			}
 		})
 	}
@@ -38,10 +38,10 @@
 	reservations.byMachine["n-000001"] = reservation{job: "j-000001"}
 	holder, other := &job{id: "j-000001"}, &job{id: "j-000002"}
 	if !reservations.has(holder) || reservations.has(other) {
-		t.Error("the reservation is not its job's alone")
+		t.Error("the reservation does not belong to its job alone")
 	}
 	if reservations.reservedForOther("n-000001", holder) || !reservations.reservedForOther("n-000001", other) {
-		t.Error("the machine is not kept free for its job alone")
+		t.Error("the machine is not reserved for its job alone")
 	}
 	if reservations.reservedForOther("n-000002", other) {
 		t.Error("a machine without a reservation is withheld")
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -62,8 +62,8 @@
 // bounds how long a job of this class may wait for its start.
 func (p *plan) fetchTooSlow(j *job, m *machine) bool {
 	machineType := p.catalog.machineType(m.doc.Type)
-	// Half of the objective is allowed: the fetch rate may be a third lower than stated, and a third of
-	// the time is left for what comes before and after the fetch.
+	// Half of the objective is allowed: the fetch rate may be a third lower, and a third of the time
+	// is left for what comes before and after the fetch.
 	for _, objective := range p.cfg.Settings.Objectives {
 		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && machineType != nil && machineType.FetchGBPerSecond > 0 {
 			return j.spec.ImageGB/machineType.FetchGBPerSecond > objective.WithinS/2
--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -1,12 +1,12 @@
-// Package fairshare is hSRTF-Pr, the fair form of shortest remaining time first: it orders the jobs
+// Package fairshare implements hSRTF-Pr, a fair form of shortest remaining time first: it orders the jobs
 // that compete for the capacity of a partition, and divides the capacity among them.
 //
 // Jobs with less time remaining come first and have larger shares (equations 1, 3 and 4 of the
-// paper). A job's share is raised by how much it starves (equation 5), so that no flood of short
-// jobs keeps a long one waiting for ever.
+// paper). A job's share is raised by its starvation ratio (equation 5), so that no flood of short
+// jobs keeps a long one waiting forever.
 //
-// The package is pure: all it knows is handed to it, and the same jobs in the same order have the
-// same shares, bit for bit. It places no tasks and enforces no shares; package controller does.
+// The package keeps no state: results depend on the arguments only, and the same jobs in the same order
+// get the same shares, bit for bit. It places no tasks and enforces no shares; package controller does.
 package fairshare
 
 import (
@@ -17,20 +17,20 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Job is what the order and the share of a job depend on.
+// Job holds the properties that the order and the share of a job depend on.
 type Job struct {
 	ID              string
 	TotalTasks      int
 	UnfinishedTasks int
 	MaxParallel     int          // tasks that run at once when the job is alone; below 1 counts as 1
 	AverageTaskTime units.Micros // how long one task runs
-	Age             units.Micros // for how long the job has waited or run
+	Age             units.Micros // how long the job has waited or run
 	TaskSize        float64      // capacity that one task takes
 	Share           float64      // capacity that the last allocation gave the job; 0 for a new job
 	Weight          float64      // the operator's weight; 0 counts as 1
 }
 
-// Allocation is what a job is given.
+// Allocation is the result for one job.
 type Allocation struct {
 	ID            string
 	RemainingTime units.Micros
@@ -59,7 +59,7 @@
 	return allocations
 }
 
-// remainingTime is equation 1 with one term: ceil(unfinished / parallel) x average.
+// remainingTime computes equation 1 with one term: ceil(unfinished / parallel) x average.
 func remainingTime(unfinished, parallel int, average units.Micros) units.Micros {
 	if parallel < 1 {
 		parallel = 1
@@ -68,7 +68,7 @@
 	return units.Micros(waves) * average
 }
 
-// starvationRatio is equation 5: how many times longer the job takes on its share than alone.
+// starvationRatio computes equation 5: how many times longer the job takes on its share than alone.
 func starvationRatio(job *Job) float64 {
 	isolatedTime := remainingTime(job.TotalTasks, job.MaxParallel, job.AverageTaskTime)
 	if isolatedTime <= 0 {
@@ -82,7 +82,7 @@
 	return float64(sharedTime) / float64(isolatedTime)
 }
 
-// shareWeight is the part that a job has in the division: the inverse of its remaining time
+// shareWeight returns a job's weight in the division: the inverse of its remaining time
 // (equations 3 and 4), times its starvation ratio and the operator's weight.
 func shareWeight(job *Job, remaining units.Micros) float64 {
 	weight := job.Weight
@@ -92,11 +92,11 @@
 	return weight * starvationRatio(job) / math.Max(float64(remaining), 1)
 }
 
-// negligibleCapacity is what rounding may leave over: it is not divided any further.
+// negligibleCapacity is the capacity that rounding may leave over; it is not divided any further.
 const negligibleCapacity = 1e-9
 
 // divide gives each job its proportion of the capacity by weight, but no more than its demand:
-// what a job cannot use is divided anew among the others (water filling).
+// what a job cannot use is divided again among the others (water filling).
 func divide(capacity float64, weights, demands []float64) []float64 {
 	shares := make([]float64, len(weights))
 	unsatisfied := make([]int, len(weights)) // indexes of the jobs that have no share yet
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy reads the operators' own settings: an optional Starlark
-// script that sets knobs and may define a weight for each job. It is run once,
-// checked whole, and can express nothing that a rule depends on.
+// Package policy loads the operators' policy: an optional Starlark script
+// that sets options and may define a weight for each job. The script is run
+// once, is checked whole, and can set nothing that an invariant depends on.
 package policy
 
 import (
@@ -14,32 +14,32 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Bounds on the work a script may do.
+// Limits on the Starlark execution steps of a script.
 const (
-	maxLoadSteps = 1_000_000
-	maxCallSteps = 10_000
+	maxLoadSteps = 1_000_000 // when it is loaded
+	maxCallSteps = 10_000    // in one call of its weight function
 )
 
-// Policy is what a script may set, checked.
+// Policy holds the options that a script may set, after they are checked.
 type Policy struct {
-	RefreshInterval    units.Micros // how often shares start from the waiting order anew
-	SpareCapacityShare float64      // free capacity kept, as a part of what is used
-	ScaleInIdleBoots   float64      // an idle rented machine is kept so many boot times
+	RefreshInterval    units.Micros // how often shares are computed from scratch
+	SpareCapacityShare float64      // free capacity to keep, as a fraction of the used capacity
+	ScaleInIdleBoots   float64      // how long an idle rented machine is kept, in boot times of its type
 	UseSpot            bool         // whether spot machines are rented
 	MaxLaunchBatch     int          // machines in one rental request
 	weight             *starlark.Function
 }
 
-// Job is what the weight of a job may depend on.
+// Job holds the properties that the weight of a job may depend on.
 type Job struct {
 	Class  string
 	Grade  string
 	Tasks  int
 	AgeS   float64
-	DueInS float64 // until its deadline; 0: it has none
+	DueInS float64 // seconds until the deadline; 0: no deadline
 }
 
-// Default is the policy without a script.
+// Default returns the policy that applies without a script.
 func Default() *Policy {
 	return &Policy{RefreshInterval: 10 * units.Second, SpareCapacityShare: 0.10, ScaleInIdleBoots: 1.5, UseSpot: true, MaxLaunchBatch: 4}
 }
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-// withPosition adds the position in the script to an error of evaluation.
+// withPosition adds the position in the script to an evaluation error.
 func withPosition(err error) error {
 	var evalErr *starlark.EvalError
 	if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
@@ -100,7 +100,7 @@
 
 func (p *Policy) setOption(key string, value starlark.Value) error {
 	if key[0] == '_' {
-		return nil // the script's own
+		return nil // private to the script
 	}
 	numberIn := func(low, high float64) (float64, error) {
 		number, ok := starlark.AsFloat(value)
@@ -146,8 +146,8 @@
 	return err
 }
 
-// Weight is the script's weight for a job, or 1 with an error that says why
-// there is none.
+// Weight returns the script's weight for a job: 1 if the script defines none,
+// and 1 with an error if the script's function fails.
 func (p *Policy) Weight(job Job) (float64, error) {
 	if p.weight == nil {
 		return 1, nil
