--- a/internal/agent/messages.go
+++ b/internal/agent/messages.go
@@ -1,19 +1,18 @@
-// Package agent holds the messages between controllers and the agents, one of which runs on each
-// machine, and nothing else: package server carries them over HTTP, package controller decides
-// what to command.
+// Package agent holds the messages between controllers and agents, and nothing else. One agent runs on
+// each machine. Package server carries the messages over HTTP; package controller decides what to command.
 //
-// An agent sends a Heartbeat every so often. The controller that leads the machine answers with
-// commands in a HeartbeatResponse; any other answers with status 421 and a Redirect. Commands that
-// cannot wait for the next heartbeat are pushed in a CommandRequest.
+// An agent sends a Heartbeat periodically. The controller that leads the machine answers with commands in
+// a HeartbeatResponse; any other controller answers with status 421 and a Redirect. Commands that cannot
+// wait for the next heartbeat are pushed in a CommandRequest.
 //
-// Fencing. Every set of commands carries a fencing token. An agent keeps the highest token that it
-// has seen and refuses commands with a lower one, so a controller that was replaced cannot
-// command any more. An agent's epoch is one life between two expiries of its lease: it stops
-// and forgets all of its tasks when no controller has answered for the length of the lease, and then begins a new
-// epoch. Commands for another epoch are refused.
+// Fencing. Every set of commands carries a fencing token. An agent keeps the highest token that it has
+// seen and refuses commands with a lower one, so that a controller that was replaced can no longer command
+// the agent. An agent's lease expires when no controller has answered for the length of the lease; the
+// agent then stops and forgets all of its tasks. An epoch is the time between two expiries of the lease.
+// An agent refuses commands for another epoch than its present one.
 //
-// The protocol has names of its own. They stand in the JSON tags and in the texts of the constants,
-// and mean:
+// The protocol has its own names. They appear in the JSON tags and in the values of the constants, and
+// mean:
 //
 //	bench     machine                pass   attempt             recallS    notice of interruption
 //	stock     machine type           stage  state of a task     halted     stopped
@@ -24,33 +23,33 @@
 //	foreman   leader                 winddownS  grace period
 package agent
 
-// TaskState is what an agent says that a task is doing.
+// TaskState is the state of a task as its agent reports it.
 type TaskState string
 
 // The states of a task, in order. A task that has ended is listed until its removal is commanded.
 const (
-	Pulling       TaskState = "pulling" // its image
+	Pulling       TaskState = "pulling" // pulling its image
 	Running       TaskState = "running"
 	Checkpointing TaskState = "flushing" // saving a checkpoint before it stops
 	Ended         TaskState = "ended"
 )
 
-// Cause is why a task ended. Agents know further causes, for tasks that they could not start.
+// Cause is why a task ended. Agents report further causes, for tasks that they could not start.
 type Cause string
 
-// The causes that make a difference.
+// The causes that the code distinguishes.
 const (
-	CauseDone    Cause = "done"   // it completed
-	CauseStopped Cause = "halted" // by command
-	CauseError   Cause = "error"  // it failed
+	CauseDone    Cause = "done"   // the task completed
+	CauseStopped Cause = "halted" // the task was stopped by command
+	CauseError   Cause = "error"  // the task failed
 )
 
 // TaskStatus is one task in a heartbeat.
 type TaskStatus struct {
-	Task            string    `json:"piece"` // job and number: j-000412/3
+	Task            string    `json:"piece"` // job ID and task index, such as j-000412/3
 	Attempt         uint64    `json:"pass"`
 	State           TaskState `json:"stage"`
-	Cause           Cause     `json:"cause"` // of a task that has ended
+	Cause           Cause     `json:"cause"` // only of a task that has ended
 	CheckpointSaved bool      `json:"kept"`
 }
 
@@ -63,12 +62,12 @@
 	Spot                      bool         `json:"loaners"`
 	Epoch                     uint64       `json:"shift"`
 	Sequence                  uint64       `json:"tally"`   // grows within an epoch
-	FencingToken              uint64       `json:"baton"`   // the highest that it has seen
-	InterruptionNoticeSeconds *float64     `json:"recallS"` // until a spot instance is taken away; nil: no notice
+	FencingToken              uint64       `json:"baton"`   // the highest that the agent has seen
+	InterruptionNoticeSeconds *float64     `json:"recallS"` // until the spot instance is reclaimed; nil: no notice
 	Tasks                     []TaskStatus `json:"pieces"`
 }
 
-// Newer reports whether the heartbeat is later than the one with an epoch and a sequence number.
+// Newer reports whether the heartbeat is later than the one with the given epoch and sequence number.
 func (h *Heartbeat) Newer(epoch, sequence uint64) bool {
 	return h.Epoch > epoch || h.Epoch == epoch && h.Sequence > sequence
 }
@@ -79,7 +78,7 @@
 // The actions. Each is idempotent for an attempt of a task.
 const (
 	Start  Action = "launch" // pull the image and run the task
-	Stop   Action = "kill"   // end the task, after the grace period if it has one
+	Stop   Action = "kill"   // stop the task, after the grace period if the command has one
 	Remove Action = "reap"   // forget a task that has ended
 )
 
@@ -88,7 +87,7 @@
 	Action             Action  `json:"order"`
 	Task               string  `json:"piece"`
 	Attempt            uint64  `json:"pass"`
-	GracePeriodSeconds float64 `json:"winddownS,omitempty"` // to save a checkpoint; 0: none
+	GracePeriodSeconds float64 `json:"winddownS,omitempty"` // for saving a checkpoint; 0: none
 }
 
 // HeartbeatResponse is the leader's answer to a heartbeat.
@@ -97,12 +96,13 @@
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the body of a 421, which answers a heartbeat that did not come to the leader.
+// Redirect is the body of a 421, which answers a heartbeat that was sent to a controller that is not the
+// leader.
 type Redirect struct {
-	LeaderAddr string `json:"foreman,omitempty"` // empty: not known
+	LeaderAddr string `json:"foreman,omitempty"` // empty: leader not known
 }
 
-// CommandRequest is the body of a push.
+// CommandRequest is the body of a request that pushes commands to an agent.
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"`
 	Epoch        uint64    `json:"shift"`
--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -8,25 +8,25 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// agentState is what the controller that commands a machine knows of its worker agent. It is volatile:
-// it begins anew with each leadership of the machine's partition, and is never stored.
+// agentState is what the controller that commands a machine knows of the machine's worker agent. It is
+// volatile: it is created anew with each leadership of the machine's partition, and is never stored.
 type agentState struct {
-	leadership *leadership  // under which the machine is commanded
-	since      units.Micros // when that began
+	leadership *leadership  // leadership under which the machine is commanded
+	since      units.Micros // when this controller began to command the machine under it
 
-	// What the latest heartbeat has shown. It may have come by itself, or as the answer to a probe or a
+	// State from the latest heartbeat, which the agent sent by itself or as the answer to a probe or a
 	// direct command.
 	epoch        uint64
 	sequence     uint64
-	tokenSeen    uint64       // highest fencing token that a heartbeat has shown
-	heardAt      units.Micros // when it came; 0: none yet
-	heardSince   units.Micros // since when they come without interruption
-	leaseEnd     units.Micros // when the agent's lease has expired for certain if it stays silent
+	tokenSeen    uint64       // highest fencing token in any heartbeat
+	heardAt      units.Micros // when the latest heartbeat arrived; 0: none yet
+	heardSince   units.Micros // since when heartbeats arrive without interruption
+	leaseEnd     units.Micros // when the agent's lease has certainly expired unless it is renewed
 	tasks        map[taskKey]agent.TaskStatus
 	runningSince map[taskKey]runStart
-	images       map[string]units.Micros // images that are surely there, and when they were last used
+	images       map[string]units.Micros // images known to be on the machine, and when each was last used
 	notice       reclaimNotice
-	completions  map[taskKey]completion // tasks seen to complete
+	completions  map[taskKey]completion // tasks that were seen to complete
 
 	responses responseState
 	command   directCommand
@@ -34,13 +34,14 @@
 
 	quarantine     quarantineState
 	idleSince      units.Micros
-	entriesLeaving map[taskKey]bool // entries that a write under way takes off the document
-	draining       bool             // takes no new work, so that it can be given back
+	entriesLeaving map[taskKey]bool // entries that a commit in flight removes from the document
+	draining       bool             // takes no new tasks, so that the machine becomes empty and can be deleted
 	decommission   decommissionDecision
 }
 
-// newAgentState knows nothing of an agent yet. Another controller may have answered it until it had to
-// stop doing so, one staleness bound after its last proof of freshness.
+// newAgentState returns the state of an agent that was not heard yet. Another controller may have renewed
+// the agent's lease until one staleness bound after its own last proof of freshness, so the lease counts as
+// renewed one staleness bound from now.
 func newAgentState(led *leadership, now, stalenessBound, lease units.Micros) *agentState {
 	state := &agentState{
 		leadership: led, since: now, heardSince: now, idleSince: now,
@@ -52,46 +53,47 @@
 	return state
 }
 
-// forgetEpoch forgets which epoch the agent is in, since it was restarted.
+// forgetEpoch clears the agent's epoch and all that is counted within it, because the agent was restarted.
 func (s *agentState) forgetEpoch() {
 	s.epoch, s.sequence, s.tokenSeen = 0, 0, 0
 	s.runningSince = map[taskKey]runStart{}
 }
 
-// extendLease notes that the agent may have renewed its lease at a moment.
+// extendLease records that the agent may have renewed its lease at renewedAt.
 func (s *agentState) extendLease(renewedAt, lease units.Micros) {
 	s.leaseEnd = max(s.leaseEnd, renewedAt+lease+leaseMargin(lease))
 }
 
-// leaseMargin is added to a lease for the drift of the steady clocks, and for messages under way when
-// the response was given.
+// leaseMargin returns what is added to a lease for the drift of the steady clocks, and for messages that
+// were in flight when the response was sent.
 func leaseMargin(lease units.Micros) units.Micros {
-	const maxDrift = 500 // one part in so many
+	const maxDrift = 500 // the clocks drift by at most one part in 500
 	return lease/maxDrift + units.Second
 }
 
-// startDraining keeps new tasks away, so that the machine can be deleted when it is empty.
+// startDraining keeps new tasks off the machine, so that it becomes empty and can be deleted.
 func (s *agentState) startDraining() { s.draining = true }
 
-// stopDraining lets the machine have tasks again.
+// stopDraining lets the machine take new tasks again.
 func (s *agentState) stopDraining() { s.draining = false }
 
-// noteUsed notes that the machine is not idle.
+// noteUsed records that the machine is in use now, which restarts its idle time.
 func (s *agentState) noteUsed(now units.Micros) { s.idleSince = now }
 
-// forgiveSilence forgets what the agent did not answer, and that its machine seemed not to be used.
+// forgiveSilence discards the failed probes and ends the draining: during an outage of its zone the agent
+// could not answer, and its machine only seemed to be unused.
 func (s *agentState) forgiveSilence() {
 	s.probe.failures = 0
 	s.stopDraining()
 }
 
-// takesNewTasks reports whether nothing speaks against new tasks on the machine. Whether it is reached
-// is another question.
+// takesNewTasks reports whether the machine's state permits new tasks. It does not check whether the
+// machine can be reached.
 func (s *agentState) takesNewTasks() bool {
 	return !s.notice.announced && !s.quarantine.active && !s.draining && !s.decommission.decided()
 }
 
-// sortedTasks lists the reported tasks in a fixed order, so that runs replay exactly.
+// sortedTasks returns the reported tasks in a fixed order, so that runs replay exactly.
 func (s *agentState) sortedTasks() []taskKey {
 	keys := make([]taskKey, 0, len(s.tasks))
 	for key := range s.tasks {
@@ -106,73 +108,75 @@
 // runStart is when a task was first seen running.
 type runStart struct {
 	at    units.Micros
-	exact bool // seen to start, so the length can be known
+	exact bool // the start was observed, so that the run time can be measured
 }
 
-// completion is when a task was seen to complete, and 1 plus the tenths of a second that it ran.
+// completion is when a task was seen to complete, and its run time.
 type completion struct {
 	seenAt units.Micros
-	tenths int
+	tenths int // 1 plus the run time in tenths of a second; 1 if the run time is not known
 }
 
-// reclaimNotice is the cloud's announcement that it reclaims a spot machine.
+// reclaimNotice is the cloud's announcement that it will reclaim a spot machine.
 type reclaimNotice struct {
 	announced bool
-	endsAt    units.Micros // when it is taken
+	endsAt    units.Micros // when the machine is reclaimed
 }
 
-// expired reports whether the announced moment has passed.
+// expired reports whether the announced reclaim time has passed.
 func (n reclaimNotice) expired(now units.Micros) bool { return n.announced && now > n.endsAt }
 
-// probe is the question to an agent for its heartbeat; there is one at a time.
+// probe is the state of the requests for an agent's heartbeat; at most one is in flight.
 type probe struct {
 	inFlight bool
-	askedAt  units.Micros // when the fleet monitor last asked for one
-	failedAt units.Micros // when one last failed; 0: the latest was answered
-	failures int          // in a row, with no heartbeat between
+	askedAt  units.Micros // when the fleet monitor last sent a probe
+	failedAt units.Micros // when a probe last failed; 0: the latest one was answered
+	failures int          // consecutive failures, with no heartbeat in between
 }
 
-// answered notes that the agent has answered.
+// answered records that the agent has answered the probe.
 func (p *probe) answered() { p.inFlight, p.failedAt = false, 0 }
 
-// withdrawn notes that the probe did not leave: that says nothing of the agent.
+// withdrawn records that the probe was not sent, which says nothing about the agent.
 func (p *probe) withdrawn() { p.inFlight = false }
 
-// failed notes that it has not.
+// failed records that the agent has not answered the probe.
 func (p *probe) failed(now units.Micros) {
 	p.inFlight, p.failedAt = false, now
 	p.failures++
 }
 
-// maxLostResponses is how many heartbeats in a row may show that the responses before them were lost.
-// Fewer may be the luck of a bad network.
+// maxLostResponses is how many consecutive heartbeats must show that earlier responses were lost for the
+// machine to count as unreachable outbound without a failed probe. Fewer may be due to random packet loss.
 const maxLostResponses = 3
 
 // responseState is what is known of the responses to an agent's heartbeats.
 type responseState struct {
-	givenAt    units.Micros // when the latest was given
-	givenSince units.Micros // since when they are given, without a pause as long as a lease
-	startAt    units.Micros // when one with a start was given, and no later heartbeat has come; 0: none
-	token      uint64       // fencing token of the latest
-	lost       int          // heartbeats in a row that show that responses do not arrive
+	givenAt    units.Micros // when the latest response was sent
+	givenSince units.Micros // since when responses are sent without a pause longer than a lease
+	startAt    units.Micros // when a response with a start was sent, if no newer heartbeat has arrived since; 0: none
+	token      uint64       // fencing token of the latest response
+	lost       int          // consecutive heartbeats that show that responses do not arrive
 }
 
-// heartbeatCame notes a new heartbeat that is about to be answered with a fencing token, and what it
-// tells of the responses before it. tokenShown is the token that it shows; newEpoch says that the
-// agent's lease has expired since the last.
+// heartbeatCame records a new heartbeat, which is about to be answered with a fencing token, and what the
+// heartbeat shows about earlier responses. tokenShown is the token in the heartbeat; newEpoch says that the
+// agent's lease has expired since the previous heartbeat.
 //
-// It notices a machine whose heartbeats arrive while nothing reaches it: it looks alive, but its lease
-// expires and takes its tasks with it, and what it is told to stop goes on until then.
+// It detects a machine whose heartbeats arrive while responses and commands do not reach it. Such a machine
+// looks alive, but its lease expires, which ends its tasks, and a task that it was told to stop runs until
+// then.
 func (r *responseState) heartbeatCame(now, lease units.Micros, newEpoch bool, tokenShown, token uint64) {
 	switch {
 	case newEpoch && now-r.givenAt < lease && now-r.givenSince > lease:
-		// The lease expired though heartbeats came, and were answered, for all that time. After a
-		// cut they may come all at once, or only the new epoch, which says nothing.
+		// The lease expired although heartbeats arrived and were answered throughout that time. A new
+		// epoch alone proves nothing: after a network partition the delayed heartbeats may arrive all
+		// at once, or only one of the new epoch.
 		r.lost = maxLostResponses
 	case tokenShown >= token:
 		r.lost = 0
 	case r.token == token:
-		r.lost++ // an earlier response had this token, and the agent has not seen it
+		r.lost++ // an earlier response had this token, but the agent has not seen it
 	}
 	r.token = token
 	if now-r.givenAt > lease {
@@ -182,21 +186,22 @@
 	r.startAt = 0
 }
 
-// steady reports whether heartbeats have come, and been answered, for so long without interruption.
+// steady reports whether heartbeats have arrived, and been answered, without interruption for longer than
+// the given duration.
 func (r *responseState) steady(now, heartbeatPeriod, long units.Micros) bool {
 	return now-r.givenAt < silenceAfter(heartbeatPeriod) && now-r.givenSince > long
 }
 
-// silenceAfter is how long after a heartbeat an agent counts as heard.
+// silenceAfter returns how long after a heartbeat an agent still counts as heard.
 func silenceAfter(heartbeatPeriod units.Micros) units.Micros { return 2*heartbeatPeriod + units.Second }
 
 // decommissionDecision is the decision to delete a machine in the cloud. It is never revoked.
 type decommissionDecision struct {
-	reason string // empty: there is none
-	atOnce bool   // the machine is deleted before that is written down
+	reason string // empty: no decision
+	atOnce bool   // the machine is deleted before the decision is stored
 }
 
-// decideDecommission decides to delete the machine, and reports whether that is new.
+// decideDecommission decides to delete the machine; it returns false if that was already decided.
 func (s *agentState) decideDecommission(reason string, atOnce bool) bool {
 	if s.decommission.decided() {
 		return false
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -13,10 +13,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// audit looks at effects a last time as they leave, whatever path they came by: it asks package guard
-// once more, refuses what an invariant forbids, and counts the rest. It owns the counts of decisions by
-// their reasons between two lines of the log, and of violations since the start. It never allows
-// something by itself, and nothing is decided by its counts.
+// audit checks effects a last time before they are sent, whichever code they come from: it asks package
+// guard once more, refuses what an invariant forbids, and counts the rest. It owns the counts of decisions
+// by reason since the last log line, and the counts of violations since the start. It never permits
+// anything by itself, and no decision depends on its counts.
 type audit struct {
 	*environment
 	replica    *replica
@@ -51,26 +51,26 @@
 	}
 }
 
-// empty reports whether nothing was decided.
+// empty reports whether no decision was counted.
 func (d *decisionCounts) empty() bool {
 	return d.starts+len(d.stops)+len(d.releases)+len(d.forgets)+len(d.answers) == 0
 }
 
-// countForgotten counts a job that may leave the accepted ones.
+// countForgotten counts a job that may be removed from the accepted jobs.
 func (a *audit) countForgotten(reason guard.ForgetReason) { a.decisions.forgets[reason]++ }
 
-// takeDecisions returns the counts of decisions and begins anew.
+// takeDecisions returns the counts of decisions and resets them.
 func (a *audit) takeDecisions() decisionCounts {
 	taken := a.decisions
 	a.decisions = newDecisionCounts()
 	return taken
 }
 
-// decisionLogPeriod is how often decisions are told in the log, if there are any.
+// decisionLogPeriod is how often decisions are logged, if there are any.
 const decisionLogPeriod = units.Second
 
-// logDecisions writes one line for all decisions since the last, with the revision and the age of
-// the proof that they rest on, and the terms under which they were made.
+// logDecisions writes one log line for all decisions since the previous line, with the replica's revision,
+// the age of the proof that the decisions rest on, and the terms under which they were made.
 func (a *audit) logDecisions() {
 	if a.decisions.empty() {
 		return
@@ -83,7 +83,7 @@
 	a.log.Info("decisions", attrs...)
 }
 
-// countsAttr is a group of counts in the order of their names.
+// countsAttr returns a log group of counts, sorted by name.
 func countsAttr[K ~string](name string, counts map[K]int) slog.Attr {
 	attrs := make([]any, 0, len(counts))
 	for _, key := range slices.Sorted(maps.Keys(counts)) {
@@ -92,7 +92,7 @@
 	return slog.Group(name, attrs...)
 }
 
-// Invariants, as the log calls them.
+// Invariants, by their names in the log.
 const (
 	invariantStart   = "no start without authority, dependencies done and acceptance"
 	invariantCommand = "no command without leadership and recent replica"
@@ -101,16 +101,16 @@
 	invariantAnswer  = "no answer older than a stored outcome"
 )
 
-// reportViolation tells of something that was refused because an invariant forbids it: it is logged
-// with the facts and counted. Nothing should ever come here.
+// reportViolation logs, with its facts, and counts something that was refused because an invariant forbids
+// it. It should never be called.
 func (a *audit) reportViolation(invariant string, facts ...any) {
 	a.violations[invariant]++
 	attrs := append([]any{"invariant", invariant}, facts...)
 	a.log.Error("invariant violated, refused", append(attrs, a.freshness.logAttrs()...)...)
 }
 
-// checkCommands returns the commands that may leave for a machine. ok is false if nothing may be said
-// to the machine at all.
+// checkCommands returns the commands that may be sent to a machine. ok is false if this controller may not
+// command the machine at all.
 func (a *audit) checkCommands(m *machine, commands []agent.Command) (allowed []agent.Command, ok bool) {
 	permissions := a.facts.permissionsOver(m)
 	if !permissions.MayCommand {
@@ -133,7 +133,7 @@
 	return allowed, true
 }
 
-// checkCommand reports whether one command may leave, and counts it.
+// checkCommand reports whether one command may be sent, and counts it.
 func (a *audit) checkCommand(m *machine, command agent.Command, facts guard.TaskFacts, entered bool, permissions guard.Permissions) bool {
 	switch command.Action {
 	case agent.Start:
@@ -149,12 +149,13 @@
 			reason = facts.MustStop()
 		}
 		a.decisions.stops[reason]++
-	case agent.Remove: // ends nothing: the task has ended already
+	case agent.Remove: // nothing to check: the task has ended already
 	}
 	return true
 }
 
-// logCommands writes the ids of what a machine is told, and the proof that it rests on.
+// logCommands logs the tasks and attempts that a machine's commands name, and the proof that the commands
+// rest on.
 func (a *audit) logCommands(m *machine, commands []agent.Command) {
 	attrs := append(a.freshness.logAttrs(), "machine", m.name, "fencing_token", a.replica.fencingToken(m), "agent_epoch", m.agent.epoch)
 	for _, command := range commands {
@@ -163,13 +164,13 @@
 	a.log.Debug("commands", attrs...)
 }
 
-// attemptKey is a task's attempt as commands name it.
+// attemptKey identifies an attempt of a task by the names that commands use.
 type attemptKey struct {
 	task    string
 	attempt uint64
 }
 
-// entriesByAttempt are a machine's entries by what commands call them.
+// entriesByAttempt returns a machine's entries, keyed as commands name them.
 func (m *machine) entriesByAttempt() map[attemptKey]schema.Task {
 	entries := make(map[attemptKey]schema.Task, len(m.doc.Tasks))
 	for _, task := range m.doc.Tasks {
@@ -178,7 +179,7 @@
 	return entries
 }
 
-// auditReleases takes back releases that nothing proves, and counts the others.
+// auditReleases undoes releases for which there is no proof, and counts the others.
 func (s *stagedShard) auditReleases() {
 	if !s.ownShard {
 		return
@@ -191,8 +192,8 @@
 	}
 }
 
-// auditReleases takes back releases of one machine's entries that nothing proves; all of them go with
-// a deleted machine.
+// auditReleases undoes releases of one machine's entries for which there is no proof. All entries of a
+// deleted machine are released.
 func (m *stagedMachine) auditReleases() {
 	kept := m.keptKeys()
 	for _, task := range m.machine.doc.Tasks {
@@ -205,9 +206,9 @@
 	}
 }
 
-// checkRelease reports whether an entry may go, and counts it.
+// checkRelease reports whether an entry may be released, and counts it.
 func (a *audit) checkRelease(m *machine, task schema.Task) bool {
-	reason := guard.ReleaseMachineDeleted // with its machine; there may be no agent to know more
+	reason := guard.ReleaseMachineDeleted // the machine may have no agent state to check
 	if !m.deleted {
 		reason = a.facts.ofTask(m, task).MayRelease(a.facts.ofPresence(m, task))
 	}
@@ -237,14 +238,14 @@
 	if _, stored := p.replica.outcomes.get(id); stored {
 		return true
 	}
-	if j := p.replica.jobs[id]; j != nil && j.cancellationShown { // the outcome was written with it
+	if j := p.replica.jobs[id]; j != nil && j.cancellationShown { // the outcome was written with the cancellation
 		return true
 	}
 	return slices.ContainsFunc(p.joint.operations, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
 }
 
-// checkAnswer looks at an answer to a user. What was found before the job's outcome was shown gives way
-// to the outcome: another controller may have told it to the user already.
+// checkAnswer checks an answer to a user and returns the answer to send. An answer that differs from the
+// job's stored outcome is replaced by the outcome: another controller may have told the user already.
 func (a *audit) checkAnswer(answer *JobStatus) *JobStatus {
 	outcome, stored := a.replica.outcomes.get(answer.ID)
 	facts := answer.facts(outcome, stored)
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -23,7 +23,7 @@
 	entry schema.Task
 }
 
-// fired checks whether an invariant was violated since it was last asked.
+// fired checks whether an invariant was violated since the last call.
 func (a *auditCase) fired(invariant string, want bool) {
 	a.Helper()
 	if got := a.c.audit.violations[invariant] > 0; got != want {
@@ -32,7 +32,7 @@
 	clear(a.c.audit.violations)
 }
 
-// TestInvariantsFire has each invariant refuse what breaks it, and count it.
+// TestInvariantsFire breaks each invariant, and checks that the audit refuses and counts that.
 func TestInvariantsFire(t *testing.T) {
 	c, store, _ := foreignJob(t)
 	a := &auditCase{T: t, c: c, store: store, m: c.replica.machines["n-000001"], entry: schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}}
@@ -47,12 +47,12 @@
 func (a *auditCase) checkStarts() {
 	c, start := a.c, []agent.Command{{Action: agent.Start, Task: "j-000001/0", Attempt: a.entry.Attempt}}
 	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) > 0 {
-		a.Error("what is not entered is started")
+		a.Error("a task that is not entered is started")
 	}
 	a.fired(invariantStart, true)
 	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(a.entry)), a.store.rev+1, false)
 	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) != 1 {
-		a.Error("what is entered is not started")
+		a.Error("an entered task is not started")
 	}
 	a.fired(invariantStart, false)
 	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), a.store.rev+2, false)
@@ -78,11 +78,11 @@
 	p := newPlan(c.planner, c.partitions.led[0])
 	p.joint.removedJobs[c.replica.jobShardOf("j-000001")] = map[string]bool{"j-000001": true}
 	p.auditForgotten()
-	a.fired(invariantForget, false) // its cancellation is shown, so its outcome is stored
+	a.fired(invariantForget, false) // the job's cancellation is shown, so its outcome is stored
 	c.replica.jobs["j-000001"].cancellationShown = false
 	p.auditForgotten()
 	if p.joint.removedJobs[c.replica.jobShardOf("j-000001")]["j-000001"] {
-		a.Error("a job without an outcome is cleared away")
+		a.Error("a job without an outcome is removed")
 	}
 	a.fired(invariantForget, true)
 }
@@ -91,32 +91,32 @@
 	c := a.c
 	c.dependencies.learnOutcome("j-000001", schema.Outcome{State: StageCancelled})
 	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); status.Stage != StageCancelled {
-		a.Errorf("a cancelled job is called %s", status.Stage)
+		a.Errorf("a cancelled job is reported as %s", status.Stage)
 	}
-	a.fired(invariantAnswer, false) // overtaken by the outcome, which is told instead
+	a.fired(invariantAnswer, false) // replaced by the stored outcome
 	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); status.Stage != StageCancelled {
-		a.Errorf("a cancelled job is called %s", status.Stage)
+		a.Errorf("a cancelled job is reported as %s", status.Stage)
 	}
 	a.fired(invariantAnswer, true)
 }
 
-// checkCommands leaves the controller with an old replica.
+// checkCommands leaves the controller with a replica that is too old to command.
 func (a *auditCase) checkCommands() {
 	c := a.c
 	c.freshness.provenAt = c.now - c.cfg.Settings.StalenessBound() - units.Second
 	if _, ok := c.audit.checkCommands(a.m, nil); ok {
-		a.Error("a controller whose replica is old commands")
+		a.Error("a controller whose replica is too old may command")
 	}
 	a.fired(invariantCommand, true)
 }
 
-// TestTimeline rebuilds from the log alone who led what, on which proof, and what was started
-// and answered, as docs/operations.md tells to.
+// TestTimeline reconstructs from the log alone which controller led what, on which proof, and what was
+// started and answered, as docs/operations.md describes.
 func TestTimeline(t *testing.T) {
 	var log bytes.Buffer
 	c, o, step := foreignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	c.freshness.provenAt = 0 // the proof is lost, and found again
+	c.freshness.provenAt = 0 // the proof of freshness is lost, and regained by the steps below
 	c.authority.since = c.now
 	for range 80 {
 		step()
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -9,21 +9,22 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// commandPlanner compares what should be on a machine with what is there. It keeps nothing and sends
-// nothing; whether a task may start or must stop is decided by package guard.
+// commandPlanner compares the tasks that should be on a machine with those that are there, and returns the
+// commands that make up the difference. It has no state of its own and sends nothing; package guard decides
+// whether a task may start or must stop.
 type commandPlanner struct {
 	replica  *replica
 	facts    *factSource
 	capacity reportedCapacity
 }
 
-// reportedCapacity tells how much of a machine is free.
+// reportedCapacity determines how much of a machine is free.
 type reportedCapacity interface {
-	// reportedFreeCapacity is what no reported task uses.
+	// reportedFreeCapacity returns the capacity that no reported task uses.
 	reportedFreeCapacity(m *machine) *resources
 }
 
-// commandsFor lists the commands for a machine; none before its agent was heard.
+// commandsFor returns the commands for a machine; none until its agent has been heard.
 func (p *commandPlanner) commandsFor(m *machine) []agent.Command {
 	if m.agent.heardAt == 0 {
 		return []agent.Command{}
@@ -46,8 +47,8 @@
 	return list.commands
 }
 
-// entriesByPriority lists the tasks that are entered on a machine, the most important first: each may be
-// waiting for free capacity.
+// entriesByPriority returns the tasks that are entered on a machine, the highest priority first, because
+// tasks may be waiting for free capacity there.
 func (p *commandPlanner) entriesByPriority(m *machine) []schema.Task {
 	tasks := slices.Clone(m.doc.Tasks)
 	slices.SortStableFunc(tasks, func(a, b schema.Task) int {
@@ -63,12 +64,12 @@
 	return 0
 }
 
-// commandList is the commands for one machine as they are put together.
+// commandList collects the commands for one machine.
 type commandList struct {
 	*commandPlanner
 	machine     *machine
 	permissions guard.Permissions
-	free        *resources       // what is left for starts
+	free        *resources       // capacity left for starts
 	expected    map[taskKey]bool // tasks that may be on the machine for now
 	commands    []agent.Command
 }
@@ -77,14 +78,14 @@
 	l.commands = append(l.commands, agent.Command{Action: action, Task: key.task(), Attempt: key.attempt, GracePeriodSeconds: gracePeriodSeconds})
 }
 
-// start starts a task that should run and is not there. It may be entered together with the stops that
-// make capacity for it: it waits until that is free.
+// start adds the start of a task that should run and is not reported. The task may be entered together with
+// the stops that free its capacity; its start waits until that capacity is free.
 func (l *commandList) start(task schema.Task, facts guard.TaskFacts) {
 	key := keyOf(task)
 	l.expected[key] = true
 	_, there := l.machine.agent.tasks[key]
-	// One whose entry leaves must not be started again meanwhile: the same write may have put it
-	// elsewhere.
+	// A task whose entry is being removed must not be started again: the same write may have placed it
+	// on another machine.
 	if there || l.machine.agent.entriesLeaving[key] {
 		return
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// stop stops a task that should not run though it is entered. Those of jobs that are over are left to
+// stop adds the stop of a task that is entered but should not run. Tasks of jobs that are over are left to
 // clearUnexpected.
 func (l *commandList) stop(task schema.Task) {
 	j := l.replica.unstoredJobOf(task)
@@ -113,8 +114,9 @@
 	l.add(agent.Stop, key, gracePeriod)
 }
 
-// clearUnexpected stops and then removes what is on the machine and nobody expects there. Once a task is removed, a
-// late start would start the attempt anew: that waits until no such command can be under way.
+// clearUnexpected stops tasks that are on the machine but not expected there, and removes them once they
+// have ended. After a removal, a late start would start the attempt again, so removals wait until no start
+// command can still arrive.
 func (l *commandList) clearUnexpected() {
 	quiesced := l.facts.quiesced(l.machine)
 	for _, key := range l.machine.agent.sortedTasks() {
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -10,8 +10,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// foreignJob is a controller that commands n-000001, beside another that leads the partition of
-// j-000001, which is accepted and nowhere yet.
+// foreignJob returns a controller that commands n-000001, with its store and a function that runs one step.
+// Another controller leads the partition of j-000001, a job that is accepted and has no entry yet.
 func foreignJob(t *testing.T) (*Controller, *fakeStore, func(extra ...Message) []Effect) {
 	t.Helper()
 	cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}}}
@@ -44,7 +44,7 @@
 		step()
 	}
 	if m := c.replica.machines["n-000001"]; m == nil || m.agent == nil || !c.facts.quiesced(m) {
-		t.Fatal("the machine is not commanded")
+		t.Fatal("n-000001 is not commanded, or a command may still arrive there")
 	}
 	return c, o, step
 }
@@ -53,13 +53,13 @@
 	return schema.MachineShardKey(schema.MachineShardIndex("n-000001", layout.MachineShards))
 }
 
-// machineWith is the document of n-000001 with some tasks.
+// machineWith returns the machine shard document with n-000001 and the given tasks.
 func machineWith(tasks ...schema.Task) schema.MachineShard {
 	m := schema.Machine{Name: "n-000001", Addr: "n-000001", MachineKind: schema.MachineKind{Type: "big", Zone: "a"}, Tasks: tasks}
 	return schema.MachineShard{Machines: []schema.Machine{m}}
 }
 
-// countStarts counts the starts that effects command.
+// countStarts counts the start commands among effects.
 func countStarts(effects []Effect) int {
 	n := 0
 	for _, e := range effects {
@@ -73,7 +73,7 @@
 			if a, ok := e.Body.(agent.HeartbeatResponse); ok {
 				commands = a.Commands
 			}
-		case StoreCall, CloudCall, BroadcastHeartbeat: // start nothing
+		case StoreCall, CloudCall, BroadcastHeartbeat: // carry no commands
 		}
 		for _, command := range commands {
 			if command.Action == agent.Start {
@@ -84,7 +84,7 @@
 	return n
 }
 
-// news is the answer to the open watch.
+// news returns the answer to the open watch, with some events.
 func (o *fakeStore) news(events ...kv.Event) Message {
 	watch := o.waits[len(o.waits)-1]
 	o.waits = o.waits[:len(o.waits)-1]
@@ -97,8 +97,9 @@
 	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.rev, Events: events}}
 }
 
-// TestNoStartOfWhatTheSameAnswerCancels tells a commander in one answer that a task was entered on its
-// machine and that its job is cancelled. No command may leave when only the first of the two is read.
+// TestNoStartOfWhatTheSameAnswerCancels shows a controller, in one answer of the store, that a task was
+// entered on its machine and that the task's job is cancelled. A start would be sent if the controller sent
+// commands after reading only the first of the two events.
 func TestNoStartOfWhatTheSameAnswerCancels(t *testing.T) {
 	for name, cancelled := range map[string]bool{"accepted": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
@@ -115,7 +116,7 @@
 				got += countStarts(step())
 			}
 			if cancelled && got > 0 || !cancelled && got == 0 {
-				t.Errorf("%d starts are commanded", got)
+				t.Errorf("%d starts commanded", got)
 			}
 		})
 	}
--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -8,12 +8,13 @@
 // maxDeletions is how many machines one request may delete.
 const maxDeletions = 100
 
-// deletionRetryDelay is how long after a failed deletion of decommissioned machines the next one is sent.
+// deletionRetryDelay is how long after a failed deletion of decommissioned machines the next request is
+// sent.
 const deletionRetryDelay = 300 * units.Millisecond
 
 // decommissioner marks machines as decommissioned, that is, to be deleted in the cloud. The first reason
-// counts, and the decision is never revoked; it is forgotten with what this process knows of the
-// machine's agent. It deletes nothing and releases no task: plans store the decision, the autoscaler
+// counts, and the decision is never revoked; but it is part of the machine's agent state, and lost with it.
+// The decommissioner deletes nothing and releases no task: plans store the decision, and the autoscaler
 // deletes the machines.
 type decommissioner struct {
 	*environment
@@ -28,9 +29,9 @@
 	}
 }
 
-// giveUp marks machines whose tasks wait to be placed anew. They are deleted before the decision is
-// stored: nothing is placed on a machine that is not heard, and what a controller that is behind still
-// enters there is dropped with it.
+// giveUp marks lost machines whose tasks wait to be placed again. The machines are deleted before the
+// decision is stored: nothing is placed on a machine that is not heard, and entries that a controller with
+// an outdated replica still adds there are dropped with the machine.
 func (d *decommissioner) giveUp(reason string, machines ...*machine) {
 	for _, m := range machines {
 		d.markOne(m, reason, true)
@@ -56,8 +57,9 @@
 	return count
 }
 
-// deleteDecommissioned deletes the decommissioned machines, in one request at a time. Their entries go only
-// when the cloud has confirmed it, which proves that nothing runs there any more.
+// deleteDecommissioned deletes the decommissioned machines, in one request at a time. The machines' entries
+// are dropped only when the cloud has confirmed the deletion, which proves that no task runs there any
+// more.
 func (a *autoscaler) deleteDecommissioned() {
 	if a.deletionInFlight {
 		return
@@ -76,7 +78,8 @@
 	})
 }
 
-// deletableMachines lists machines to be deleted of the partitions that this process leads.
+// deletableMachines returns the machines to be deleted, of the partitions that this process leads, at most
+// maxDeletions of them.
 func (a *autoscaler) deletableMachines() []string {
 	var names []string
 	for _, m := range a.replica.sortedMachines() {
@@ -88,14 +91,14 @@
 	return names
 }
 
-// confirmDeletion notes that the cloud has deleted machines.
+// confirmDeletion records that the cloud has deleted machines.
 func (a *autoscaler) confirmDeletion(names []string) {
 	a.deletionInFlight = false
 	a.log.Info("machines deleted", "machines", names)
 	a.planNeeded = true
 	for _, name := range names {
 		if m := a.replica.machines[name]; m != nil {
-			m.deleted = true // the next write of its machine shard drops it
+			m.deleted = true // the next write of the machine shard drops its entry
 		}
 	}
 }
--- a/internal/controller/decommission_test.go
+++ b/internal/controller/decommission_test.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/cloud"
 )
 
-// TestDeletionIsConfirmed deletes a decommissioned machine: it counts as deleted only when the cloud says
-// so, and until then the request is repeated.
+// TestDeletionIsConfirmed deletes a decommissioned machine. The machine counts as deleted only when the
+// cloud confirms it, and until then the request is repeated.
 func TestDeletionIsConfirmed(t *testing.T) {
 	rig := newAutoscalerRig(t)
 	mine, other := rig.addMachine("m-1", 0), rig.addMachine("m-2", 1)
@@ -23,12 +23,12 @@
 		rig.deleteDecommissioned()
 		call := rig.sentOne(CloudDelete)
 		if !slices.Equal(call.Machines.Names, []string{"m-1"}) {
-			t.Errorf("deleted %v", call.Machines.Names)
+			t.Errorf("asked to delete %v", call.Machines.Names)
 		}
 		rig.deleteDecommissioned() // one request at a time
 		rig.answer(call, CloudResult{Status: status})
 		if rig.deleteDecommissioned(); len(rig.effects) > 0 || mine.deleted {
-			t.Errorf("status %d: repeated at once, or deleted %v", status, mine.deleted)
+			t.Errorf("status %d: request repeated at once, or machine deleted: %v", status, mine.deleted)
 		}
 		rig.now += deletionRetryDelay
 		rig.runTimers()
@@ -36,18 +36,18 @@
 	rig.deleteDecommissioned()
 	rig.answer(rig.sentOne(CloudDelete), CloudResult{Status: cloud.StatusOK})
 	if !mine.deleted || other.deleted {
-		t.Errorf("deleted %v, another leader's %v", mine.deleted, other.deleted)
+		t.Errorf("machine deleted: %v, another leader's machine deleted: %v", mine.deleted, other.deleted)
 	}
 }
 
-// TestGivenUpAtOnce deletes a machine that was given up without waiting for the stored decision; the first
-// reason stays.
+// TestGivenUpAtOnce checks that a machine that is given up is deleted before the decision is stored, and
+// that a later reason does not replace the first.
 func TestGivenUpAtOnce(t *testing.T) {
 	rig := newAutoscalerRig(t)
 	m := rig.addMachine("m-1", 0)
 	rig.decommission.giveUp("silent", m)
 	rig.decommission.mark("idle", m)
 	if rig.deleteDecommissioned(); !slices.Equal(rig.sentOne(CloudDelete).Machines.Names, []string{"m-1"}) || !rig.planNeeded {
-		t.Errorf("not deleted, or no plan asked for: %v", rig.planNeeded)
+		t.Errorf("machine not deleted, or no plan requested: %v", rig.planNeeded)
 	}
 }
--- a/internal/controller/facts.go
+++ b/internal/controller/facts.go
@@ -6,15 +6,15 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// factSource gathers the facts that package guard decides on: what the replica shows, what agents have
-// said, and what this controller may do. It decides nothing itself and keeps nothing.
+// factSource gathers the facts on which package guard bases its decisions: what the replica shows, what
+// agents have reported, and what this controller may do. It decides nothing and has no state of its own.
 type factSource struct {
 	*environment
 	replica   *replica
 	authority *authority
 }
 
-// ofTask gathers what is known of a task that is entered on a machine.
+// ofTask returns the facts of a task that is entered on a machine.
 func (f *factSource) ofTask(m *machine, task schema.Task) guard.TaskFacts {
 	j := f.replica.acceptedJob(task.Job)
 	if j == nil {
@@ -34,7 +34,7 @@
 	}
 }
 
-// permissionsOver is what this controller may do with a machine now.
+// permissionsOver returns what this controller may do with a machine now.
 func (f *factSource) permissionsOver(m *machine) guard.Permissions {
 	return guard.Permissions{
 		MayCommand: m.agent != nil && f.authority.leads(m.part()),
@@ -42,7 +42,7 @@
 	}
 }
 
-// ofPresence gathers what is known of a task's presence on a machine that this controller commands.
+// ofPresence returns the facts of a task's presence on a machine that this controller commands.
 func (f *factSource) ofPresence(m *machine, task schema.Task) guard.MachineFacts {
 	status, listed := m.agent.tasks[keyOf(task)]
 	return guard.MachineFacts{
@@ -55,8 +55,8 @@
 	}
 }
 
-// countUndecided counts the tasks entered on machines that this controller commands whose jobs are neither
-// shown nor proven to be over: their entries stay until one or the other is.
+// countUndecided counts the tasks entered on machines that this controller commands whose jobs the replica
+// neither shows as accepted nor proves to be over. Their entries stay until it does one or the other.
 func (f *factSource) countUndecided() int {
 	undecided := 0
 	for _, m := range f.replica.machines {
@@ -81,13 +81,14 @@
 	return facts.Accepted && facts.MustStop() == guard.KeepRunning
 }
 
-// mayRelease reports whether a task that is entered on a machine is certainly not, or no longer, active
-// there, so that its entry may go.
+// mayRelease reports whether the entry of a task on a machine may be released, because the task is
+// certainly not, or no longer, active there.
 func (f *factSource) mayRelease(m *machine, task schema.Task) bool {
 	return f.ofTask(m, task).MayRelease(f.ofPresence(m, task)) != guard.KeepEntry
 }
 
-// facts gathers what is known of a job of a led partition; outcome is its stored one, if there is one.
+// facts returns the facts of a job of a led partition; outcome is the job's stored outcome, or zero if none
+// is stored.
 func (j *job) facts(outcome schema.Outcome) guard.JobFacts {
 	return guard.JobFacts{
 		Cancelled:             j.cancelled(),
@@ -98,7 +99,7 @@
 	}
 }
 
-// facts gathers what an answer says and what is stored of its job's outcome.
+// facts returns the facts of an answer to a user, given the stored outcome of the answer's job.
 func (s *JobStatus) facts(outcome schema.Outcome, stored bool) guard.AnswerFacts {
 	return guard.AnswerFacts{
 		Final:         s.terminal(),
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -6,8 +6,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestDirectCommand goes through the stages of a direct command. One without an answer is unclear until
-// a heartbeat shows that it can be carried out no more.
+// TestDirectCommand goes through the stages of a direct command. A command without an answer is unclear
+// until a heartbeat shows that it can no longer be carried out.
 func TestDirectCommand(t *testing.T) {
 	const token, epoch = 7, 3
 	for name, tc := range map[string]struct {
@@ -24,7 +24,7 @@
 	} {
 		var command directCommand
 		if !command.settled() {
-			t.Fatal("a command is open before one was sent")
+			t.Fatal("not settled before a command was sent")
 		}
 		command.send(token, epoch)
 		tc.happens(&command)
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestQuiesced looks at each thing that lets a command still arrive.
+// TestQuiesced checks each condition under which a command can still arrive.
 func TestQuiesced(t *testing.T) {
 	for name, tc := range map[string]struct {
 		happens func(c *Controller, state *agentState)
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLostResponses has heartbeats come to a machine's commander, one a period, and counts those that
-// show that the responses before them were lost.
+// TestLostResponses records one heartbeat per period of a machine, and counts the heartbeats that show that
+// the responses before them were lost.
 func TestLostResponses(t *testing.T) {
 	const (
 		lease  = 31 * units.Second
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -7,17 +7,17 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// agentGateway is the exchange with worker agents: it answers their heartbeats, sends them direct
-// commands and probes, and has unregistered ones registered. It owns the calls to agents that are not
-// answered yet, the heartbeats and changed machines of a step, when each machine was last heard here,
-// and the registrations under way.
+// agentGateway exchanges messages with worker agents: it answers their heartbeats, sends them direct
+// commands and probes, and starts the registration of unregistered machines. It owns the calls to agents
+// that have no answer yet, the heartbeats and changed machines of a step, the time at which this controller
+// last heard each machine, and the registrations in progress.
 //
-// It promises that agents are answered and told only when a step has read all that it was given (see
-// answerHeartbeats and pushCommands), and that no command leaves unless the audit has let it. It never
-// decides what may run: commandPlanner asks package guard for that.
+// Agents receive responses and commands only after a step has read all of its messages (see
+// answerHeartbeats and pushCommands), and no command is sent that the audit has not allowed. The gateway
+// never decides what may run: commandPlanner asks package guard for that.
 type agentGateway struct {
 	*environment
-	store      *storeClient // whether it answers
+	store      *storeClient // asked only whether it fails
 	replica    *replica
 	partitions *partitionTable
 	authority  *authority
@@ -25,30 +25,30 @@
 	reconciler *reconciler
 	audit      *audit
 
-	calls         map[uint64]pendingAgentCall // not answered yet
+	calls         map[uint64]pendingAgentCall // by call ID; calls without an answer yet
 	callWaits     callWaits
-	heartbeats    []HeartbeatRequest       // that have come in this step
-	changed       []*machine               // machines whose entries have changed in this step
-	heardAt       map[string]units.Micros  // when each machine was last heard here
+	heartbeats    []HeartbeatRequest       // received in this step
+	changed       []*machine               // machines whose entries changed in this step
+	heardAt       map[string]units.Micros  // by machine: when this controller last heard it
 	registrations map[string]*registration // by machine
 }
 
 // pendingAgentCall is a call to an agent without an answer yet.
 type pendingAgentCall interface {
-	// done takes the agent's heartbeat; nil if there was no answer.
+	// done handles the agent's heartbeat; nil if there was no answer.
 	done(heartbeat *agent.Heartbeat)
-	// notSent takes the news that the call did not leave in time, and never will.
+	// notSent handles a call that was not sent in time and never will be.
 	notSent()
 }
 
-// callWaits is what is known of calls that had to wait for their turn, since it was last told.
+// callWaits counts the calls that had to wait for their turn, since the counts were last taken.
 type callWaits struct {
-	waited  int // calls that did
-	notSent int // calls that came back
-	longest units.Micros
+	waited  int          // calls that had to wait
+	notSent int          // calls that were never sent
+	longest units.Micros // longest wait
 }
 
-// note enters the result of a call.
+// note counts the result of a call.
 func (w *callWaits) note(result AgentResult) {
 	if result.Waited > 0 {
 		w.waited++
@@ -59,15 +59,15 @@
 	}
 }
 
-// take returns what is known and begins anew.
+// take returns the counts and resets them.
 func (w *callWaits) take() callWaits {
 	taken := *w
 	*w = callWaits{}
 	return taken
 }
 
-// call calls an agent, to carry out commands or, if they are nil, for its heartbeat alone. There is one
-// command and one probe to a machine at a time, so that the calls that wait for their turn are bounded
+// call sends an agent commands or, if commands is nil, only asks for its heartbeat. Each machine has at
+// most one command and one probe in flight, so that the number of calls that wait for their turn is bounded
 // by the number of machines.
 func (g *agentGateway) call(address string, commands *agent.CommandRequest, pending pendingAgentCall) {
 	id := g.newCallID()
@@ -79,12 +79,12 @@
 	g.emit(call)
 }
 
-// hasStart reports whether commands start a task.
+// hasStart reports whether one of the commands starts a task.
 func hasStart(commands []agent.Command) bool {
 	return slices.ContainsFunc(commands, func(command agent.Command) bool { return command.Action == agent.Start })
 }
 
-// handleResult takes the answer to a call.
+// handleResult handles the result of a call to an agent.
 func (g *agentGateway) handleResult(result AgentResult) {
 	pending, ok := g.calls[result.CallID]
 	if !ok {
@@ -99,25 +99,25 @@
 	pending.done(result.Heartbeat)
 }
 
-// receive keeps a heartbeat until the step has read all else that it was given.
+// receive keeps a heartbeat until the step has read all of its messages.
 func (g *agentGateway) receive(request HeartbeatRequest) {
 	g.heartbeats = append(g.heartbeats, request)
 }
 
-// noteChanged notes a machine whose entries have changed, to be told at the end of the step.
+// noteChanged records a machine whose entries have changed; it is sent commands at the end of the step.
 func (g *agentGateway) noteChanged(m *machine) { g.changed = append(g.changed, m) }
 
-// noteHeard notes that a machine is heard here, whoever commands it.
+// noteHeard records that this controller hears a machine, whichever controller commands it.
 func (g *agentGateway) noteHeard(name string) { g.heardAt[name] = g.now }
 
-// heardWithin reports whether a machine was heard here, less than so long ago.
+// heardWithin reports whether this controller heard a machine less than the given time ago.
 func (g *agentGateway) heardWithin(name string, length units.Micros) bool {
 	at, ok := g.heardAt[name]
 	return ok && g.now-at < length
 }
 
-// heardAgo tells how long ago each machine was last heard here. Those that were not for two leases are
-// forgotten.
+// heardAgo returns how many microseconds ago this controller last heard each machine. It forgets machines
+// that it has not heard for two leases.
 func (g *agentGateway) heardAgo() map[string]int64 {
 	ago := map[string]int64{}
 	for name, at := range g.heardAt {
@@ -130,11 +130,12 @@
 	return ago
 }
 
-// isLeader reports whether this controller leads a partition, though it may not yet, or not now, act as
-// its leader.
+// isLeader reports whether this controller leads a partition, even if it may not yet, or may currently not,
+// act as its leader.
 func (g *agentGateway) isLeader(partition int) bool { return g.partitions.led[partition] != nil }
 
-// leaderOf names the controller that leads a partition, if it lives and is another.
+// leaderOf returns the name of the controller that leads a partition; empty if that controller is not
+// registered or is this one.
 func (g *agentGateway) leaderOf(partition int) string {
 	if p := g.replica.partitions[partition]; p != nil && g.replica.leaderRegistered(p) && p.doc.Member != g.cfg.Member {
 		return p.doc.Member
@@ -142,7 +143,8 @@
 	return ""
 }
 
-// beginCommand begins a new view of a machine that this controller commands from now on.
+// beginCommand creates the agent state of a machine that this controller commands from now on, and probes
+// the machine.
 func (g *agentGateway) beginCommand(m *machine, led *leadership) {
 	m.forgetOccupancy()
 	m.agent = newAgentState(led, g.now, g.cfg.Settings.StalenessBound(), g.cfg.Settings.Lease())
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -6,8 +6,9 @@
 	"frostdock.example/frostdock/internal/agent"
 )
 
-// answerHeartbeats answers the worker heartbeats of a step. They wait until it has read all else that
-// it was given: a response that starts a task must not leave beside the news that cancels its job.
+// answerHeartbeats answers the worker heartbeats of a step. It runs after the step has read all of its
+// messages: a response that starts a task must not be sent in the step that learns that the task's job is
+// cancelled.
 func (g *agentGateway) answerHeartbeats() {
 	requests := g.heartbeats
 	g.heartbeats = nil
@@ -16,8 +17,8 @@
 	}
 }
 
-// answerHeartbeat answers a worker heartbeat: it finds the machine, checks that this controller
-// commands it, takes what the heartbeat tells and responds with commands.
+// answerHeartbeat answers one worker heartbeat: it finds the machine, checks that this controller commands
+// it, applies the heartbeat and responds with commands.
 func (g *agentGateway) answerHeartbeat(request HeartbeatRequest) {
 	heartbeat := &request.Heartbeat
 	if !g.replica.synced || heartbeat.Machine == "" {
@@ -36,28 +37,30 @@
 	g.respond(m, request)
 }
 
-// refuse answers that the agent may try again, here or elsewhere.
+// refuse answers that the agent may try again, with this controller or another.
 func (g *agentGateway) refuse(request HeartbeatRequest) {
 	g.reply(request.RequestID, http.StatusServiceUnavailable, nil)
 }
 
-// redirect answers that another controller commands the machine; leader is empty if it is not known.
+// redirect answers that another controller commands the machine; leader is empty if that controller is not
+// known.
 func (g *agentGateway) redirect(request HeartbeatRequest, leader string) {
 	g.reply(request.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: leader})
 }
 
-// checkCommander reports whether this controller commands the machine. If not, it answers.
+// checkCommander reports whether this controller commands the machine. If it does not, checkCommander
+// answers the request.
 func (g *agentGateway) checkCommander(m *machine, request HeartbeatRequest) bool {
 	partition := m.shard.partition
 	switch {
-	case m.doc.Decommissioned: // nobody commands it any more
+	case m.doc.Decommissioned: // no controller commands it any more
 		g.redirect(request, "")
 	case !g.isLeader(partition):
 		g.noteHeard(m.name)
 		g.redirect(request, g.leaderOf(partition))
 	case request.Heartbeat.FencingToken > g.replica.fencingToken(m) || m.agent == nil:
-		// A later leader commands it. The agent would drop a response from here, yet go on sending
-		// its heartbeats here while its lease runs out.
+		// A later leader commands the machine. The agent would drop a response from this controller,
+		// but go on sending its heartbeats here until its lease expires.
 		g.redirect(request, "")
 	case !g.authority.leads(partition):
 		g.refuse(request)
@@ -67,11 +70,11 @@
 	return false
 }
 
-// takeHeartbeat takes what a heartbeat tells. That it is answered renews the agent's lease, also when it
-// is a late duplicate.
+// takeHeartbeat applies a heartbeat that is about to be answered. The answer renews the agent's lease, even
+// if the heartbeat is a late duplicate.
 func (g *agentGateway) takeHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
 	state, lease := m.agent, g.cfg.Settings.Lease()
-	if heartbeat.Newer(state.epoch, state.sequence) { // a late duplicate is no sign of life
+	if heartbeat.Newer(state.epoch, state.sequence) { // a late duplicate does not show that the agent is alive
 		g.noteHeard(m.name)
 		newEpoch := state.epoch > 0 && heartbeat.Epoch > state.epoch
 		state.responses.heartbeatCame(g.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -5,9 +5,9 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// pushCommands sends commands to the machines whose entries have changed. That waits until a step has
-// read all that it was given: what enters a task may be followed, in the same answer of the key-value
-// store, by what cancels its job, and the task must not be started.
+// pushCommands sends commands to the machines whose entries have changed. It runs after a step has read all
+// of its messages: in one answer of the key-value store, the change that enters a task may be followed by
+// the one that cancels its job, and then the task must not be started.
 func (g *agentGateway) pushCommands() {
 	changed := g.changed
 	g.changed = nil
@@ -18,7 +18,7 @@
 	}
 }
 
-// push sends a machine its commands directly, instead of with the response to its next heartbeat.
+// push sends a machine its commands directly, instead of in the response to its next heartbeat.
 func (g *agentGateway) push(m *machine) {
 	state := m.agent
 	if state == nil || !state.command.settled() || !g.authority.leads(m.part()) {
@@ -59,16 +59,16 @@
 		g.reconciler.reconcile(m, heartbeat)
 		return
 	}
-	p.state.command.unanswered() // the next write of the machine's document raises its token
+	p.state.command.unanswered() // the next write of the machine's document raises the machine's fencing token
 	g.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", p.state.command.token)
 }
 
-// commandRetryDelay is how long after a direct command or a probe came back unsent the next is decided. The
-// machine's next heartbeat may come before.
+// commandRetryDelay is how long after a direct command or a probe could not be sent the next one is
+// decided. The machine's next heartbeat may arrive before that.
 const commandRetryDelay = 250 * units.Millisecond
 
-// notSent lets the command be decided anew, from what is known then. Nothing has left, so there is nothing to
-// fence off.
+// notSent has the command decided again after a delay, from what is known by then. Nothing was sent, so
+// there is nothing to fence off.
 func (p *pushCall) notSent() {
 	g, m := p.gateway, p.machine
 	if m.agent != p.state {
@@ -100,10 +100,10 @@
 	gateway         *agentGateway
 	machine         *machine
 	state           *agentState // under which it was sent
-	epoch, sequence uint64      // of the latest heartbeat at that moment
+	epoch, sequence uint64      // of the latest heartbeat when the probe was sent
 }
 
-// notSent asks again, unless the agent is heard meanwhile.
+// notSent probes the machine again after a delay, unless the agent is heard in the meantime.
 func (p *probeCall) notSent() {
 	g, m, state := p.gateway, p.machine, p.state
 	if m.agent != state {
@@ -128,9 +128,9 @@
 	}
 	state.probe.answered()
 	if !heartbeat.Newer(p.epoch, p.sequence) && state.epoch == p.epoch && state.sequence == p.sequence {
-		// The answer to what was asked just now is no late duplicate: the agent has begun to count anew, so
-		// it was restarted and all that it had is gone. Otherwise its heartbeats would be passed over
-		// for ever.
+		// The answer to a probe is no late duplicate. That its sequence number is not newer means that
+		// the agent counts from the start again: it was restarted and has lost its tasks. Without
+		// forgetEpoch its heartbeats would be ignored for ever.
 		g.log.Info("agent restarted", "machine", m.name)
 		state.forgetEpoch()
 	}
--- a/internal/controller/push_test.go
+++ b/internal/controller/push_test.go
@@ -9,7 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// directCommands lists the commands of one kind that effects push to machines, with the call of the first.
+// directCommands returns, for each command of one action that effects push to a machine, the call that
+// carries it.
 func directCommands(effects []Effect, action agent.Action) (calls []AgentCall) {
 	for _, effect := range effects {
 		call, ok := effect.(AgentCall)
@@ -25,7 +26,7 @@
 	return calls
 }
 
-// notSent answers calls of agents that they did not leave, in place of what the store made of them.
+// notSent replaces the results of calls among messages by results that say that the calls were not sent.
 func notSent(messages []Message, calls []AgentCall) []Message {
 	for _, call := range calls {
 		for i, message := range messages {
@@ -37,15 +38,15 @@
 	return messages
 }
 
-// pushCase is a controller that commands n-000001, where a task of j-000001 is entered, with the steps of
-// its own: all direct commands come back as not sent while refuse is set.
+// pushCase is a controller that commands n-000001, where a task of j-000001 is entered. Its step method
+// makes all direct commands come back as not sent while refuse is set.
 type pushCase struct {
 	c      *Controller
 	store  *fakeStore
 	now    units.Micros
 	msgs   []Message
 	refuse bool
-	tasks  []agent.TaskStatus // on the machine, as its agent says
+	tasks  []agent.TaskStatus // on the machine, as its agent reports
 }
 
 func newPushCase(t *testing.T) *pushCase {
@@ -72,39 +73,39 @@
 	return effects
 }
 
-// enterTask shows that a task of j-000001 is entered on n-000001, to run or to be stopped.
+// enterTask shows the controller a task of j-000001 that is entered on n-000001, to run or to be stopped.
 func (p *pushCase) enterTask(mode schema.StopMode) []Effect {
 	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1, StopMode: mode}
 	return p.step(p.store.news(kv.Event{Set: shardOfMachine(p.c.replica.layout), Value: encode(machineWith(entry)), ModRevision: p.store.rev + 1}))
 }
 
-// cancelJob shows that j-000001 is cancelled.
+// cancelJob shows the controller that j-000001 is cancelled.
 func (p *pushCase) cancelJob() []Effect {
 	return p.step(p.store.news(
 		kv.Event{Set: schema.CancellationPrefix + "j-000001", Value: encode(map[string]string{"w": "x"}), ModRevision: p.store.rev + 1},
 		kv.Event{Set: schema.OutcomePrefix + "j-000001", Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: p.store.rev + 1}))
 }
 
-// TestNotSentIsDecidedAnew has the start of a task come back as not sent. It raises no fencing token, is told
-// again after a pause, and not once its job is cancelled meanwhile.
+// TestNotSentIsDecidedAnew has the start of a task come back as not sent. The start raises no fencing
+// token, is sent again after a delay, and is not sent once the task's job is cancelled.
 func TestNotSentIsDecidedAnew(t *testing.T) {
 	p := newPushCase(t)
 	m := p.c.replica.machines["n-000001"]
 	token := p.c.replica.fencingToken(m)
 	starts := len(directCommands(p.enterTask(schema.KeepRunning), agent.Start))
 	if starts != 1 {
-		t.Fatalf("%d starts at first", starts)
+		t.Fatalf("%d starts sent when the task was entered, want 1", starts)
 	}
-	// One retry after each delay at most, and one with each probe that is answered.
+	// At most one retry after each delay, and one with each answered probe.
 	const seconds, stepsPerSecond, most = 4, 40, 4*4 + 4 + 1
 	for range seconds * stepsPerSecond {
 		starts += len(directCommands(p.step(), agent.Start))
 	}
 	if starts < 2 || starts > most {
-		t.Errorf("told %d times in %d s", starts, seconds)
+		t.Errorf("start sent %d times in %d s", starts, seconds)
 	}
 	if m.agent.command.unclear() || p.c.replica.fencingToken(m) != token {
-		t.Errorf("unclear %v, token raised from %d to %d", m.agent.command.unclear(), token, p.c.replica.fencingToken(m))
+		t.Errorf("command unclear: %v, token raised from %d to %d", m.agent.command.unclear(), token, p.c.replica.fencingToken(m))
 	}
 	starts = len(directCommands(p.cancelJob(), agent.Start))
 	p.refuse = false
@@ -112,12 +113,12 @@
 		starts += len(directCommands(p.step(), agent.Start))
 	}
 	if starts != 0 {
-		t.Errorf("%d starts after the cancellation", starts)
+		t.Errorf("%d starts sent after the cancellation", starts)
 	}
 }
 
-// TestNotSentStopIsToldAgain has the stop of a task come back as not sent. It is told with the answer to the
-// next heartbeat, and directly when calls leave again.
+// TestNotSentStopIsToldAgain has the stop of a task come back as not sent. The stop is sent in the response
+// to the next heartbeat, and directly once calls are sent again.
 func TestNotSentStopIsToldAgain(t *testing.T) {
 	p := newPushCase(t)
 	p.refuse = false
@@ -134,7 +135,7 @@
 	p.step(heartbeat())
 	p.refuse = true
 	if stops := len(directCommands(p.enterTask(schema.StopImmediately), agent.Stop)); stops != 1 {
-		t.Fatalf("%d stops at first", stops)
+		t.Fatalf("%d stops sent when the entry asked for one, want 1", stops)
 	}
 	p.step()
 	told := false
@@ -145,7 +146,7 @@
 		}
 	}
 	if !told {
-		t.Error("not told with the answer to the next heartbeat")
+		t.Error("no stop in the response to the next heartbeat")
 	}
 	p.refuse = false
 	stops := 0
@@ -153,12 +154,12 @@
 		stops += len(directCommands(p.step(), agent.Stop))
 	}
 	if stops == 0 {
-		t.Error("not told again directly")
+		t.Error("stop not sent again directly")
 	}
 }
 
-// TestCommandsLeaveWhileEntitled looks at until when commands may leave: as long as the proof that they were
-// decided on is recent enough, for starts and for other commands.
+// TestCommandsLeaveWhileEntitled checks until when a start may be sent: as long as the proof of freshness
+// that it was decided on is recent enough for starts.
 func TestCommandsLeaveWhileEntitled(t *testing.T) {
 	p := newPushCase(t)
 	starts := directCommands(p.enterTask(schema.KeepRunning), agent.Start)
@@ -166,6 +167,6 @@
 		t.Errorf("starts %+v, proven at %v", starts, p.c.freshness.provenAt)
 	}
 	if remaining := starts[0].LeaveBefore - p.c.now; remaining <= 0 || remaining > maxStartProofAge {
-		t.Errorf("a start may leave for %v", remaining)
+		t.Errorf("a start may be sent for another %v", remaining)
 	}
 }
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -7,37 +7,37 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// quarantineMonitor withholds work from machines that fail tasks of several jobs, and owns the
-// quarantine of each. Jobs that fail everywhere do not count: otherwise a few jobs submitted with a
-// mistake take all machines out of use.
+// quarantineMonitor withholds new tasks from machines on which tasks of several jobs fail, and owns the
+// quarantine of each machine. Jobs that fail everywhere do not count: otherwise a few jobs submitted with a
+// mistake would take all machines out of use.
 type quarantineMonitor struct {
 	*environment
 	replica *replica
 }
 
-// quarantineState is whether a machine is kept from work.
+// quarantineState is whether a machine is kept from new tasks.
 type quarantineState struct {
 	active     bool
-	changedAt  units.Micros    // when that last changed
-	failedJobs map[string]bool // jobs with a task that failed here
+	changedAt  units.Micros    // when active last changed
+	failedJobs map[string]bool // IDs of jobs of which a task failed on the machine
 }
 
-// quarantinePeriod is how long a machine that fails tasks gets no work. Then it is tried once more:
-// what ailed it may be over, and jobs must not wait beside it for good.
+// quarantinePeriod is how long a machine that fails tasks gets no new ones. Then it is tried once more: the
+// cause may be gone, and jobs must not wait for ever while the machine is unused.
 const quarantinePeriod = 30 * units.Second
 
 // Thresholds by which failures are attributed to a machine, or to a job.
 const (
-	// A job fails everywhere if it has failed on so many machines, or on all that there are, but on two
-	// at least.
+	// A job is at fault if it has failed on this many machines, or on all if there are fewer, but on at
+	// least two.
 	maxMachinesAtFault   = 3
 	minFailuresElsewhere = 2
-	// A machine fails if tasks of so many jobs have failed on it.
+	// A machine is at fault if tasks of this many jobs that are not at fault have failed on it.
 	minJobsFailed = 2
 )
 
-// succeeded notes that a task of a job has completed. If the job seemed to be at fault, it was its
-// machines.
+// succeeded records that a task of a job has completed. If the job seemed to be at fault, the machines on
+// which it failed are judged again: the fault was theirs.
 func (q *quarantineMonitor) succeeded(j *job) {
 	j.failures = 0
 	wasAtFault := q.jobAtFault(j)
@@ -47,7 +47,7 @@
 	}
 }
 
-// failed notes that a task of a job has failed on a machine.
+// failed records that a task of a job has failed on a machine.
 func (q *quarantineMonitor) failed(j *job, m *machine) {
 	j.backOff(q.now)
 	m.agent.quarantine.failedJobs[j.id] = true
@@ -58,8 +58,8 @@
 	q.judgeMachinesOf(j)
 }
 
-// jobAtFault reports whether the job itself seems to be at fault: it failed on several machines, or on
-// all that there are, and completed on none.
+// jobAtFault reports whether the job itself seems to be at fault: its tasks failed on several machines, or
+// on all that there are, and none of its tasks completed.
 func (q *quarantineMonitor) jobAtFault(j *job) bool {
 	if len(j.failedOn) < minFailuresElsewhere || j.succeeded || j.doneCount() > 0 {
 		return false
@@ -71,7 +71,7 @@
 		}
 		heard++
 		if heard > len(j.failedOn) || heard == maxMachinesAtFault {
-			break // no need to count a whole fleet
+			break // no need to count the rest of the fleet
 		}
 	}
 	return len(j.failedOn) >= min(maxMachinesAtFault, heard)
@@ -86,7 +86,7 @@
 	}
 }
 
-// judgeMachine begins or ends the quarantine of a machine by the jobs that have failed on it.
+// judgeMachine starts or ends the quarantine of a machine by the jobs that have failed on it.
 func (q *quarantineMonitor) judgeMachine(m *machine) {
 	state := &m.agent.quarantine
 	jobs := 0
@@ -101,7 +101,7 @@
 	}
 }
 
-// expire ends a machine's quarantine after a while.
+// expire ends a machine's quarantine after quarantinePeriod.
 func (q *quarantineMonitor) expire(m *machine) {
 	state := &m.agent.quarantine
 	if state.active && q.now-state.changedAt > quarantinePeriod {
@@ -110,14 +110,14 @@
 	}
 }
 
-// Bounds of how long a job waits after a failure.
+// Limits of the exponential back-off of a job after failures.
 const (
 	maxBackOff        = 40 * units.Second
-	failuresPerDouble = 2 // the wait doubles with so many failures in a row
+	failuresPerDouble = 2 // consecutive failures for which the delay doubles
 	maxBackOffDoubles = 6
 )
 
-// backOff lets a job wait before its next start, since one of its tasks failed.
+// backOff delays the next start of a job after one of its tasks failed.
 func (j *job) backOff(now units.Micros) {
 	j.failures++
 	j.failedAt = now
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -8,14 +8,14 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fleetMonitor looks after the machines that this controller commands: it probes those that are overdue,
-// notices those that cannot be reached, and gives up those that are gone for all that can be known. It
-// owns the suspicion of zones that may be cut off (zones.go).
+// fleetMonitor watches the machines that this controller commands: it probes those whose heartbeat is
+// overdue, detects those that cannot be reached, and gives up those that are lost as far as can be known.
+// It owns the suspicion of zones that may be cut off (zones.go).
 //
-// Silence is evidence only where it is not this controller's own: most machines must be heard here, no
-// other living controller may hear the machine, and its zone must not be suspected. The monitor never
-// releases a task's entry: a machine that is given up keeps its entries until the cloud confirms that
-// it is deleted.
+// Silence counts as evidence only where this controller's own network cannot be the cause: most machines
+// must be heard here, no other live controller may hear the machine, and its zone must not be suspected.
+// The monitor never releases a task's entry: a machine that is given up keeps its entries until the cloud
+// confirms that the machine is deleted.
 type fleetMonitor struct {
 	*environment
 	replica        *replica
@@ -26,10 +26,10 @@
 	decommissioner machineDecommissioner
 	unheard        *unheardPartitions
 
-	suspectZones       map[string]zoneSuspicion // that may be cut off
+	suspectZones       map[string]zoneSuspicion // by zone: zones that may be cut off
 	zoneLogPeriods     map[string]*period
 	decommissionings   period
-	silenceSuspectedAt units.Micros // when most machines, or those of a zone, were last silent
+	silenceSuspectedAt units.Micros // when most machines, or those of one zone, were last found silent
 }
 
 // machineDecommissioner decommissions machines.
@@ -37,33 +37,32 @@
 	giveUp(reason string, machines ...*machine)
 }
 
-// Times and counts by which machines are judged.
+// Periods and thresholds by which machines are judged.
 const (
-	// A heartbeat is overdue after so many tenths of its period, and its machine counts as heard for
-	// so many.
-	overdueTenths = 13
-	hearingTenths = 15
+	// In tenths of the heartbeat period, from the latest heartbeat.
+	overdueTenths = 13 // the next heartbeat is overdue after that
+	hearingTenths = 15 // the machine counts as heard until then
 
 	probePeriod        = units.Second
 	reclaimProbePeriod = units.Second / 2
 	giveUpPeriod       = units.Second
-	minFailedProbes    = 2 // in a row; fewer may be the luck of a bad network
-	maxSilentShare     = 8 // at once one machine of so many is given up as silent, and one more
+	minFailedProbes    = 2 // consecutive; fewer may be due to random packet loss
+	maxSilentShare     = 8 // at most 1/8 of the machines, plus one, are given up as silent at once
 )
 
-// fleetHealth is what a controller sees of the machines that it commands, in one look.
+// fleetHealth is what a controller observes of the machines that it commands in one survey.
 type fleetHealth struct {
 	total     int // machines
-	hearing   int // whose heartbeats come
-	reporting int // that are not unreachable inbound
+	hearing   int // machines whose heartbeats arrive
+	reporting int // machines that are not unreachable inbound
 	zones     map[string]*zoneHealth
 
-	silent              []*machine // neither heartbeats nor answers come
-	unreachableOutbound []*machine // heartbeats come, but nothing reaches them
-	unreachableInbound  []*machine // answers come, but heartbeats reach nobody
+	silent              []*machine // neither heartbeats nor answers arrive
+	unreachableOutbound []*machine // heartbeats arrive, but no response or command reaches them
+	unreachableInbound  []*machine // answers arrive, but heartbeats reach no controller
 }
 
-// check looks at all machines and acts on what it sees.
+// check surveys all machines and acts on the result.
 func (f *fleetMonitor) check() {
 	if !f.replica.synced {
 		return
@@ -85,13 +84,13 @@
 	f.giveUpUnreachable(health)
 }
 
-// silenceSuspectedWithin reports whether many machines were silent at once less than so long ago: the
-// cloud's list may tell why.
+// silenceSuspectedWithin reports whether many machines were silent at once less than the given time ago; if
+// so, the cloud's machine list may show why.
 func (f *fleetMonitor) silenceSuspectedWithin(length units.Micros) bool {
 	return f.silenceSuspectedAt > 0 && f.now-f.silenceSuspectedAt < length
 }
 
-// survey looks at all machines that this controller commands.
+// survey examines all machines that this controller commands.
 func (f *fleetMonitor) survey() *fleetHealth {
 	health := &fleetHealth{zones: map[string]*zoneHealth{}}
 	for _, m := range f.replica.sortedMachines() {
@@ -103,7 +102,7 @@
 	return health
 }
 
-// surveyMachine enters one machine into the view, and probes it if its heartbeat is overdue.
+// surveyMachine adds one machine to the survey, and probes it if its heartbeat is overdue.
 func (f *fleetMonitor) surveyMachine(health *fleetHealth, m *machine) {
 	state := m.agent
 	health.total++
@@ -119,17 +118,18 @@
 		return
 	}
 	heartbeatPeriod := f.cfg.Settings.HeartbeatPeriod()
-	// A new leader probes at once, and need not wait as long.
+	// A new leader has probed its machines at once, and waits one heartbeat period less for the first
+	// heartbeat.
 	silentFor := f.now - max(state.heardAt, state.since-heartbeatPeriod)
 	overdue := silentFor > heartbeatPeriod*overdueTenths/10
 	if silentFor < heartbeatPeriod*hearingTenths/10 {
 		health.hearing++
 		zone.hearing++
 		if state.tokenSeen < f.replica.fencingToken(m) && state.heardAt > 0 {
-			f.agents.push(m) // raise its token, so that absence can prove something
+			f.agents.push(m) // the agent must show the present token before a task's absence proves anything
 		}
 	}
-	// In a zone where many fall silent all are probed, and those that do not answer once more.
+	// In a zone where many machines fall silent, all are probed, and those that do not answer once more.
 	probedWithZone := state.probe.failures > 0 && f.suspectZones[m.doc.Zone].probedAt > 0
 	if (overdue || state.command.unclear() || probedWithZone) && f.now-state.probe.askedAt > probePeriod {
 		f.probe(m)
@@ -142,28 +142,29 @@
 	}
 }
 
-// probe asks a machine for its heartbeat, and notes when.
+// probe asks a machine for its heartbeat, and records when.
 func (f *fleetMonitor) probe(m *machine) {
 	m.agent.probe.askedAt = f.now
 	f.agents.probe(m)
 }
 
-// unreachableOutbound reports whether a machine's heartbeats come while nothing reaches it.
+// unreachableOutbound reports whether a machine's heartbeats arrive while responses and commands do not
+// reach it.
 func (f *fleetMonitor) unreachableOutbound(m *machine) bool {
 	lost := m.agent.responses.lost
 	return lost >= maxLostResponses || lost > 0 && m.agent.probe.failures >= minFailedProbes
 }
 
-// unreachableInbound reports whether a machine answers what it is asked while none of its heartbeats
-// has come for longer than a lease. Direct commands renew no lease, so all that it is given ends with
-// its epoch, again and again.
+// unreachableInbound reports whether no heartbeat of a machine has arrived for longer than a lease, though
+// the machine may still answer calls. Direct commands renew no lease, so the tasks that such a machine is
+// given end with its epoch, again and again.
 func (f *fleetMonitor) unreachableInbound(m *machine) bool {
 	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.since)
 	return f.now-lastAnswered > f.cfg.Settings.Lease()+2*f.cfg.Settings.HeartbeatPeriod()
 }
 
-// giveUpReclaimed gives up machines whose announced reclaim time has come and that do not answer any more, and
-// probes the others.
+// giveUpReclaimed gives up machines whose announced reclaim time has passed and that do not answer any
+// more, and probes the others.
 func (f *fleetMonitor) giveUpReclaimed() {
 	var reclaimed []*machine
 	for _, m := range f.expiredNotices() {
@@ -177,7 +178,7 @@
 	f.decommissioner.giveUp("reclaimed", reclaimed...)
 }
 
-// expiredNotices lists the machines whose announced reclaim time has come.
+// expiredNotices returns the machines whose announced reclaim time has passed.
 func (f *fleetMonitor) expiredNotices() []*machine {
 	var expired []*machine
 	for _, m := range f.replica.sortedMachines() {
@@ -188,8 +189,9 @@
 	return expired
 }
 
-// giveUpUnreachable gives up machines that are gone for all that can be known. Every living controller
-// must say that it does not hear the machine.
+// giveUpUnreachable gives up machines that are lost as far as can be known. Before a silent machine or one
+// that is unreachable inbound is given up, every other live controller must say that it does not hear the
+// machine (see heardByOthers).
 func (f *fleetMonitor) giveUpUnreachable(health *fleetHealth) {
 	var gone []*machine
 	for _, m := range health.silent {
@@ -208,7 +210,7 @@
 	}
 }
 
-// goneForCertain reports whether nothing speaks for a silent machine any more.
+// goneForCertain reports whether no evidence is left that a silent machine is alive.
 func (f *fleetMonitor) goneForCertain(health *fleetHealth, m *machine) bool {
 	return m.agent.probe.failures >= minFailedProbes &&
 		!f.suspectZones[m.doc.Zone].suspected &&
@@ -217,8 +219,8 @@
 }
 
 // zoneHeardSince reports whether another machine of the same zone was heard after this one was overdue.
-// Where a controller commands but a few machines in a zone that is cut off, the first to be overdue
-// would be deleted before the others were probed.
+// Without this check, a controller that commands only a few machines in a zone that is cut off would delete
+// the first overdue machine before it has probed the others.
 func (f *fleetMonitor) zoneHeardSince(health *fleetHealth, m *machine) bool {
 	zone := health.zones[m.doc.Zone]
 	if len(health.zones) <= 1 || len(zone.machines) <= 1 {
@@ -228,9 +230,9 @@
 	return slices.ContainsFunc(zone.machines, func(other *machine) bool { return other != m && other.agent.heardAt > overdueAt })
 }
 
-// heardByOthers reports whether another living controller hears the machine. One that cannot be asked
-// might, unless the way to the machine's zone is open: while controllers refuse each other's
-// connections, nothing that died would be replaced.
+// heardByOthers reports whether another live controller hears the machine. A controller from which no
+// recent peer heartbeat has arrived counts as hearing it, unless the machine's zone can be reached from
+// here: while controllers refuse each other's connections, no lost machine would be replaced otherwise.
 func (f *fleetMonitor) heardByOthers(name string, zoneReachable bool) bool {
 	for key := range f.replica.registeredSince {
 		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, schema.RegistrationPrefix), "/")
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -8,15 +8,15 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// reconciler takes what agents' heartbeats tell into the view of their machines, and from there into
-// what is known of jobs: which tasks run, which have completed or failed. It sends nothing.
+// reconciler applies agents' heartbeats to the state of their machines, and from there to the state of
+// jobs: which tasks run, and which have completed or failed. It sends nothing.
 type reconciler struct {
 	*environment
 	replica    *replica
 	quarantine *quarantineMonitor
 }
 
-// reconcile takes a heartbeat if it is newer than what is known.
+// reconcile applies a heartbeat if it is newer than the latest one that was applied.
 func (r *reconciler) reconcile(m *machine, heartbeat *agent.Heartbeat) {
 	if !heartbeat.Newer(m.agent.epoch, m.agent.sequence) {
 		return
@@ -29,7 +29,7 @@
 	r.takeTasks(m, heartbeat)
 }
 
-// noteEpoch notices an agent whose lease has expired since its last heartbeat.
+// noteEpoch detects that an agent's lease has expired since its previous heartbeat.
 func (r *reconciler) noteEpoch(m *machine, heartbeat *agent.Heartbeat) {
 	if state := m.agent; heartbeat.Epoch > state.epoch && state.epoch > 0 {
 		r.log.Info("agent in new epoch", "machine", m.name, "agent_epoch", heartbeat.Epoch)
@@ -37,21 +37,21 @@
 	}
 }
 
-// noteSignOfLife notes when the agent was heard, and what that says of its lease and its commands.
+// noteSignOfLife records when the agent was heard, and what that implies for its lease and its commands.
 func (r *reconciler) noteSignOfLife(state *agentState, heartbeat *agent.Heartbeat) {
 	if r.now-state.heardAt > silenceAfter(r.cfg.Settings.HeartbeatPeriod()) {
 		state.heardSince = r.now
 	}
 	state.epoch, state.sequence, state.heardAt = heartbeat.Epoch, heartbeat.Sequence, r.now
 	state.probe.failures = 0
-	// Its lease had not expired when it sent this, and its epoch may have begun just then: what was
-	// known of the expiry of an earlier one says nothing about this one.
+	// The agent's lease had not expired when it sent the heartbeat, and its epoch may have begun at that
+	// moment: the expiry that was known for an earlier lease does not apply to the present one.
 	state.extendLease(r.now, r.cfg.Settings.Lease())
 	state.tokenSeen = max(state.tokenSeen, heartbeat.FencingToken)
 	state.command.heartbeatCame(heartbeat.FencingToken, heartbeat.Epoch)
 }
 
-// noteReclaim notes the first interruption notice of a spot machine.
+// noteReclaim records the first interruption notice of a spot machine.
 func (r *reconciler) noteReclaim(m *machine, heartbeat *agent.Heartbeat) {
 	seconds := heartbeat.InterruptionNoticeSeconds
 	if seconds == nil || m.agent.notice.announced {
@@ -61,7 +61,8 @@
 	r.log.Info("spot reclaim notice", "machine", m.name, "notice_s", *seconds)
 }
 
-// takeTasks takes the list of the machine's tasks.
+// takeTasks replaces the machine's reported tasks by those of a heartbeat, and records tasks that run or
+// have ended.
 func (r *reconciler) takeTasks(m *machine, heartbeat *agent.Heartbeat) {
 	state := m.agent
 	before := state.tasks
@@ -91,15 +92,15 @@
 	}
 }
 
-// keyOfStatus is the attempt that a status is about; ok is false if it does not name one.
+// keyOfStatus returns the attempt that a status is about; ok is false if the status does not name one.
 func keyOfStatus(status agent.TaskStatus) (key taskKey, ok bool) {
 	job, number, ok := strings.Cut(status.Task, "/")
 	index, err := strconv.Atoi(number)
 	return taskKey{job, index, status.Attempt}, ok && err == nil
 }
 
-// noteRunning notes a running task; j is nil if its job is not accepted. listed says that the heartbeat
-// before had it too, so that its start has been seen.
+// noteRunning records a running task; j is nil if the task's job is not accepted. listed says that the
+// previous heartbeat listed the task too, so that its start was observed.
 func (r *reconciler) noteRunning(m *machine, j *job, key taskKey, listed bool) {
 	state := m.agent
 	if j != nil {
@@ -115,7 +116,8 @@
 	}
 }
 
-// noteEnded notes a task that has ended since the last heartbeat, if it is bound to that machine.
+// noteEnded records a task that has ended since the previous heartbeat, if the task is bound to that
+// machine.
 func (r *reconciler) noteEnded(m *machine, j *job, key taskKey, status agent.TaskStatus) {
 	bound, ok := j.bindings[key.num]
 	if !ok || bound.machine != m || bound.attempt != key.attempt {
@@ -132,14 +134,14 @@
 	}
 }
 
-// noteDone notes a task that has completed.
+// noteDone records a task that has completed.
 func (r *reconciler) noteDone(m *machine, j *job, key taskKey) {
 	if j.done.Contains(key.num) {
 		return
 	}
 	r.quarantine.succeeded(j)
-	// Only a task seen from its start to its end tells its length; and only tasks that completed:
-	// failed ones end in seconds and would make the job look tiny.
+	// The run time is known only for a task that was seen from its start to its end. It is taken only
+	// from completed tasks: failed ones end in seconds and would make the job look tiny.
 	ran := units.Micros(0)
 	if run, ok := m.agent.runningSince[key]; ok && run.exact {
 		ran = r.now - run.at
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -8,27 +8,26 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// registration is a machine that is about to be entered into its machine shard: one that ran before
-// there were any documents, or came of a rental whose answer was lost or late.
+// registration is a machine that is about to be entered into its machine shard: a machine that ran before
+// there were any documents, or one from a rental whose answer was lost or late.
 type registration struct {
-	request   HeartbeatRequest // the latest
-	heardAt   units.Micros     // when it came
-	waiting   bool             // it is not answered yet
-	confirmed bool             // the machine itself has answered
-	token     uint64           // the highest fencing token that it has seen
+	request   HeartbeatRequest // the latest one
+	heardAt   units.Micros     // when the latest request arrived
+	waiting   bool             // the request is not answered yet
+	confirmed bool             // the machine itself has answered a probe
+	token     uint64           // the highest fencing token that the machine has seen
 }
 
-// A registration's heartbeat may wait for the entry for a while. The entry is written all the same for
-// longer: a thousand machines that come at once need more writes than can be made before their agents
-// give up, and each would begin anew.
+// A registration outlives its heartbeat: a thousand machines that register at once need more writes than
+// can be made before their agents give up, and otherwise each registration would start over.
 const (
-	registrationReplyWait = 3500 * units.Millisecond
-	registrationKept      = 20 * units.Second
+	registrationReplyWait = 3500 * units.Millisecond // how long the heartbeat may wait for the entry
+	registrationKept      = 20 * units.Second        // how long after the latest heartbeat the entry may be written
 )
 
-// register has an unregistered machine entered, if this controller leads the partition of its machine
-// shard. First the machine itself must answer: a heartbeat may be a late duplicate from a machine that is
-// long gone, and must not bring it back.
+// register starts the registration of an unregistered machine if this controller leads the partition of its
+// machine shard. The machine itself must first answer a probe: a heartbeat may be a late duplicate from a
+// machine that no longer exists, and must not bring it back.
 func (g *agentGateway) register(request HeartbeatRequest) {
 	name := request.Heartbeat.Machine
 	g.noteHeard(name)
@@ -42,7 +41,7 @@
 		return
 	}
 	if known := g.registrations[name]; known != nil {
-		g.declineRegistration(known) // the agent waits for its earlier request no longer
+		g.declineRegistration(known) // the agent no longer waits for its earlier request
 		known.request, known.heardAt, known.waiting = request, g.now, true
 		return
 	}
@@ -51,15 +50,15 @@
 	g.call(request.Heartbeat.Addr, nil, &registrationProbe{gateway: g, name: name, registration: begun, tokenShown: request.Heartbeat.FencingToken})
 }
 
-// registrationProbe is a question to an unregistered machine whether it is there.
+// registrationProbe is a probe that checks that an unregistered machine exists.
 type registrationProbe struct {
 	gateway      *agentGateway
 	name         string
 	registration *registration
-	tokenShown   uint64 // by the heartbeat that began it
+	tokenShown   uint64 // fencing token in the heartbeat that started the registration
 }
 
-// notSent gives the registration up, as if there had been no answer: the agent tries again.
+// notSent drops the registration, as if the probe had got no answer: the agent tries again.
 func (p *registrationProbe) notSent() { p.done(nil) }
 
 func (p *registrationProbe) done(heartbeat *agent.Heartbeat) {
@@ -85,7 +84,7 @@
 	}
 }
 
-// confirmedRegistrations lists the machines that may be entered, by name.
+// confirmedRegistrations returns the names of the machines that may be entered, sorted.
 func (g *agentGateway) confirmedRegistrations() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(g.registrations)) {
@@ -96,7 +95,8 @@
 	return names
 }
 
-// finishRegistrations answers machines whose entry is stored, and those that have waited too long.
+// finishRegistrations answers the heartbeats of machines whose entry is stored and those that have waited
+// too long, and drops registrations that are finished or too old.
 func (g *agentGateway) finishRegistrations() {
 	for _, name := range slices.Sorted(maps.Keys(g.registrations)) {
 		r := g.registrations[name]
--- a/internal/controller/unheard.go
+++ b/internal/controller/unheard.go
@@ -2,9 +2,10 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// unheardPartitions hands over partitions none of whose machines are heard here, to a controller that
-// hears most of them: this controller's own network is what fails, and while it leads the partition
-// the machines' leases run out. It decides nothing else, and writes through leadershipManager alone.
+// unheardPartitions hands over a partition to a controller that hears most of its machines, when this
+// controller hears none: its own network is then at fault, and as long as it leads the partition, the
+// leases of the partition's machines run out. It decides nothing else, and writes through leadershipManager
+// alone.
 type unheardPartitions struct {
 	*environment
 	store       *storeClient
@@ -15,8 +16,8 @@
 	peers       *peerTable
 }
 
-// minPeriodsLed is for how many heartbeat periods a partition was led before it may be handed over as
-// unheard.
+// minPeriodsLed is for how many heartbeat periods a partition must have been led before it may be handed
+// over because no machine is heard.
 const minPeriodsLed = 3
 
 // transfer hands over at most one partition.
@@ -54,5 +55,5 @@
 			heard++
 		}
 	}
-	return heard*2 > machines // not if there are no machines
+	return heard*2 > machines // false if the partition has no machines
 }
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -7,39 +7,39 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// zoneSuspicion is what is remembered of a zone that may be cut off.
+// zoneSuspicion is what is known of a zone that may be cut off.
 type zoneSuspicion struct {
-	probedAt  units.Micros // when all machines there were probed
-	suspected bool         // it still may be
+	probedAt  units.Micros // when all machines of the zone were probed
+	suspected bool         // the zone may still be cut off
 }
 
-// zoneHealth is what a controller sees of its machines in one zone.
+// zoneHealth is what a controller observes of its machines in one zone.
 type zoneHealth struct {
 	machines []*machine
-	hearing  int // whose heartbeats come
-	failing  int // that did not answer a probe
+	hearing  int // machines whose heartbeats arrive
+	failing  int // machines that did not answer a probe
 }
 
-// The machines of a suspected zone have so long to answer, and are probed again after a while.
+// Periods of the probes and log lines of suspected zones.
 const (
-	zoneProbeWait   = 1800 * units.Millisecond
-	zoneProbePeriod = 10 * units.Second
-	zoneLogPeriod   = 10 * units.Second
+	zoneProbeWait   = 1800 * units.Millisecond // how long the machines have to answer a probe
+	zoneProbePeriod = 10 * units.Second        // after which all machines of the zone are probed again
+	zoneLogPeriod   = 10 * units.Second        // at most one log line for each zone in that time
 )
 
 // recentlyHeardPeriod is how long after a heartbeat a machine needs no probe, and counts as having
 // answered one.
 const recentlyHeardPeriod = units.Second
 
-// How many of a zone's machines say something of the zone.
+// How many of a zone's machines are evidence about the whole zone.
 const (
-	minFailingInZone   = 3  // so many that fail at once make a zone suspect,
-	failingShareInZone = 20 // or one of so many, where that is more
-	answeringShare     = 4  // a zone is cut off if fewer than one of so many answers
-	minMachinesToVouch = 4  // in a smaller zone, heard machines say nothing of the way to it
+	minFailingInZone   = 3  // a zone is suspected when at least that many machines fail at once,
+	failingShareInZone = 20 // and at least 1/20 of its machines
+	answeringShare     = 4  // a zone counts as cut off if fewer than 1/4 of its machines answer
+	minMachinesToVouch = 4  // in a smaller zone, heard machines do not show that the zone can be reached
 )
 
-// zone is the view of a zone.
+// zone returns the health of a zone, and adds the zone if it is new.
 func (h *fleetHealth) zone(name string) *zoneHealth {
 	zone := h.zones[name]
 	if zone == nil {
@@ -54,12 +54,12 @@
 	return z != nil && z.failing >= max(minFailingInZone, len(z.machines)/failingShareInZone)
 }
 
-// reachable reports whether the way to the zone is open: most machines there are heard.
+// reachable reports whether the zone can be reached from here: at least half of its machines are heard.
 func (z *zoneHealth) reachable() bool {
 	return len(z.machines) >= minMachinesToVouch && z.hearing*2 >= len(z.machines)
 }
 
-// heardSince counts the zone's machines that were heard since then.
+// heardSince counts the zone's machines that were heard at or after a moment.
 func (z *zoneHealth) heardSince(at units.Micros) int {
 	heard := 0
 	for _, m := range z.machines {
@@ -70,9 +70,9 @@
 	return heard
 }
 
-// clearSuspicion is called when a zone is no longer suspected. What its machines did not answer before
-// says nothing about them, and none was idle: without this the last to be heard again would be given
-// up as silent, and those that were to be emptied would be as idle.
+// clearSuspicion is called when a zone is no longer suspected. Probes that failed during the outage say
+// nothing about the zone's machines, and none of the machines was idle. Otherwise the last machines to be
+// heard again would be given up as silent, and those that were being drained would be given up as idle.
 func (z *zoneHealth) clearSuspicion(wasSuspected bool) {
 	if z == nil || !wasSuspected {
 		return
@@ -82,12 +82,12 @@
 	}
 }
 
-// judgeZones notices zones that may be cut off. When several machines of a zone fall silent at once, all
-// of them there are probed, so that those that have died with them are known before their heartbeats
-// are overdue. If next to none answers, it is the way to the zone that is lost: the machines run on
-// behind the cut, their tasks until their leases expire, and all of them are back after it. Deleting
-// them would take a large part of the fleet away for minutes. Of those that are really gone the
-// cloud's list will tell.
+// judgeZones detects zones that may be cut off. When several machines of a zone fall silent at once, all
+// machines of the zone are probed, so that those that died at the same time are known before their
+// heartbeats are overdue. If almost none of them answers, the network path to the zone is lost: the
+// machines keep running, their tasks until their leases expire, and all machines are back once the path is.
+// Deleting them would remove a large part of the fleet for minutes. The cloud's machine list will show
+// which of them are really gone.
 func (f *fleetMonitor) judgeZones(zones map[string]*zoneHealth) {
 	for name, suspicion := range f.suspectZones {
 		if !zones[name].severalFailing() {
@@ -95,14 +95,14 @@
 			zones[name].clearSuspicion(suspicion.suspected)
 		}
 	}
-	others := len(zones) > 1 // with one zone alone, a silent majority is doubted anyway
+	others := len(zones) > 1 // with one zone alone, check does not trust a silent majority anyway
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
 		zone := zones[name]
 		suspicion, open := f.suspectZones[name]
 		switch {
 		case !zone.severalFailing():
 		case !open || f.now-suspicion.probedAt > zoneProbePeriod:
-			suspectedYet := others && (!open || suspicion.suspected) // until the first answers
+			suspectedYet := others && (!open || suspicion.suspected) // until the first answers are judged
 			f.suspectZones[name] = zoneSuspicion{probedAt: f.now, suspected: suspectedYet}
 			f.probeZone(zone)
 		case f.now-suspicion.probedAt > zoneProbeWait:
@@ -111,7 +111,7 @@
 	}
 }
 
-// probeZone probes all machines of a zone that were not heard just now.
+// probeZone probes all machines of a zone that were not heard within recentlyHeardPeriod.
 func (f *fleetMonitor) probeZone(zone *zoneHealth) {
 	for _, m := range zone.machines {
 		if f.now-m.agent.heardAt > recentlyHeardPeriod {
