--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -67,8 +67,8 @@
 // leaseMargin returns what is added to a lease for the drift of the steady clocks, and for messages that
 // were in flight when the response was sent.
 func leaseMargin(lease units.Micros) units.Micros {
-	const maxDrift = 500 // the clocks drift by at most one part in 500
-	return lease/maxDrift + units.Second
+	const driftDivisor = 500 // the clocks drift by at most one part in 500
+	return lease/driftDivisor + units.Second
 }
 
 // startDraining keeps new tasks off the machine, so that it becomes empty and can be deleted.
@@ -80,9 +80,9 @@
 // noteUsed records that the machine is in use now, which restarts its idle time.
 func (s *agentState) noteUsed(now units.Micros) { s.idleSince = now }
 
-// forgiveSilence discards the failed probes and ends the draining: during an outage of its zone the agent
-// could not answer, and its machine only seemed to be unused.
-func (s *agentState) forgiveSilence() {
+// resetAfterZoneOutage discards the failed probes and ends the draining: during an outage of its zone the
+// agent could not answer, and its machine only seemed to be unused.
+func (s *agentState) resetAfterZoneOutage() {
 	s.probe.failures = 0
 	s.stopDraining()
 }
@@ -147,7 +147,7 @@
 }
 
 // maxLostResponses is how many consecutive heartbeats must show that earlier responses were lost for the
-// machine to count as unreachable outbound without a failed probe. Fewer may be due to random packet loss.
+// machine to count as unreachable outbound without failed probes. Fewer may be due to random packet loss.
 const maxLostResponses = 3
 
 // responseState is what is known of the responses to an agent's heartbeats.
@@ -159,14 +159,14 @@
 	lost       int          // consecutive heartbeats that show that responses do not arrive
 }
 
-// heartbeatCame records a new heartbeat, which is about to be answered with a fencing token, and what the
-// heartbeat shows about earlier responses. tokenShown is the token in the heartbeat; newEpoch says that the
-// agent's lease has expired since the previous heartbeat.
+// heartbeatReceived records a new heartbeat, which is about to be answered with a fencing token, and what
+// the heartbeat shows about earlier responses. tokenShown is the token in the heartbeat; newEpoch says that
+// the agent's lease has expired since the previous heartbeat.
 //
 // It detects a machine whose heartbeats arrive while responses and commands do not reach it. Such a machine
 // looks alive, but its lease expires, which ends its tasks, and a task that it was told to stop runs until
 // then.
-func (r *responseState) heartbeatCame(now, lease units.Micros, newEpoch bool, tokenShown, token uint64) {
+func (r *responseState) heartbeatReceived(now, lease units.Micros, newEpoch bool, tokenShown, token uint64) {
 	switch {
 	case newEpoch && now-r.givenAt < lease && now-r.givenSince > lease:
 		// The lease expired although heartbeats arrived and were answered throughout that time. A new
@@ -188,8 +188,8 @@
 
 // steady reports whether heartbeats have arrived, and been answered, without interruption for longer than
 // the given duration.
-func (r *responseState) steady(now, heartbeatPeriod, long units.Micros) bool {
-	return now-r.givenAt < silenceAfter(heartbeatPeriod) && now-r.givenSince > long
+func (r *responseState) steady(now, heartbeatPeriod, duration units.Micros) bool {
+	return now-r.givenAt < silenceAfter(heartbeatPeriod) && now-r.givenSince > duration
 }
 
 // silenceAfter returns how long after a heartbeat an agent still counts as heard.
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -225,7 +225,7 @@
 func (p *plan) auditForgotten() {
 	for _, shard := range p.replica.jobShards {
 		for _, id := range slices.Sorted(maps.Keys(p.joint.removedJobs[shard])) {
-			if !p.outcomeIsSafe(id) {
+			if !p.outcomeStoredOrStaged(id) {
 				p.audit.reportViolation(invariantForget, "job", id)
 				delete(p.joint.removedJobs[shard], id)
 			}
@@ -233,8 +233,8 @@
 	}
 }
 
-// outcomeIsSafe reports whether a job's outcome is stored, or is written by this plan's transaction.
-func (p *plan) outcomeIsSafe(id string) bool {
+// outcomeStoredOrStaged reports whether a job's outcome is stored, or is written by this plan's transaction.
+func (p *plan) outcomeStoredOrStaged(id string) bool {
 	if _, stored := p.replica.outcomes.get(id); stored {
 		return true
 	}
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -23,8 +23,8 @@
 	entry schema.Task
 }
 
-// fired checks whether an invariant was violated since the last call.
-func (a *auditCase) fired(invariant string, want bool) {
+// checkViolation checks whether an invariant was violated since the last call.
+func (a *auditCase) checkViolation(invariant string, want bool) {
 	a.Helper()
 	if got := a.c.audit.violations[invariant] > 0; got != want {
 		a.Errorf("%q fired: %v", invariant, got)
@@ -34,7 +34,7 @@
 
 // TestInvariantsFire breaks each invariant, and checks that the audit refuses and counts that.
 func TestInvariantsFire(t *testing.T) {
-	c, store, _ := foreignJob(t)
+	c, store, _ := controllerWithForeignJob(t)
 	a := &auditCase{T: t, c: c, store: store, m: c.replica.machines["n-000001"], entry: schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}}
 	a.checkStarts()
 	a.checkReleases()
@@ -49,17 +49,17 @@
 	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) > 0 {
 		a.Error("a task that is not entered is started")
 	}
-	a.fired(invariantStart, true)
+	a.checkViolation(invariantStart, true)
 	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(a.entry)), a.store.rev+1, false)
 	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) != 1 {
 		a.Error("an entered task is not started")
 	}
-	a.fired(invariantStart, false)
+	a.checkViolation(invariantStart, false)
 	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), a.store.rev+2, false)
 	if allowed, _ := c.audit.checkCommands(a.m, start); len(allowed) > 0 {
 		a.Error("a task of a cancelled job is started")
 	}
-	a.fired(invariantStart, true)
+	a.checkViolation(invariantStart, true)
 }
 
 func (a *auditCase) checkReleases() {
@@ -70,7 +70,7 @@
 	if len(shard.machines[0].kept) != 1 {
 		a.Error("an entry is released while its task runs")
 	}
-	a.fired(invariantRelease, true)
+	a.checkViolation(invariantRelease, true)
 }
 
 func (a *auditCase) checkForgotten() {
@@ -78,13 +78,13 @@
 	p := newPlan(c.planner, c.partitions.led[0])
 	p.joint.removedJobs[c.replica.jobShardOf("j-000001")] = map[string]bool{"j-000001": true}
 	p.auditForgotten()
-	a.fired(invariantForget, false) // the job's cancellation is shown, so its outcome is stored
+	a.checkViolation(invariantForget, false) // the job's cancellation is shown, so its outcome is stored
 	c.replica.jobs["j-000001"].cancellationShown = false
 	p.auditForgotten()
 	if p.joint.removedJobs[c.replica.jobShardOf("j-000001")]["j-000001"] {
 		a.Error("a job without an outcome is removed")
 	}
-	a.fired(invariantForget, true)
+	a.checkViolation(invariantForget, true)
 }
 
 func (a *auditCase) checkAnswers() {
@@ -93,11 +93,11 @@
 	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StagePending}); status.Stage != StageCancelled {
 		a.Errorf("a cancelled job is reported as %s", status.Stage)
 	}
-	a.fired(invariantAnswer, false) // replaced by the stored outcome
+	a.checkViolation(invariantAnswer, false) // replaced by the stored outcome
 	if status := c.audit.checkAnswer(&JobStatus{ID: "j-000001", Stage: StageDone}); status.Stage != StageCancelled {
 		a.Errorf("a cancelled job is reported as %s", status.Stage)
 	}
-	a.fired(invariantAnswer, true)
+	a.checkViolation(invariantAnswer, true)
 }
 
 // checkCommands leaves the controller with a replica that is too old to command.
@@ -107,14 +107,14 @@
 	if _, ok := c.audit.checkCommands(a.m, nil); ok {
 		a.Error("a controller whose replica is too old may command")
 	}
-	a.fired(invariantCommand, true)
+	a.checkViolation(invariantCommand, true)
 }
 
 // TestTimeline reconstructs from the log alone which controller led what, on which proof, and what was
 // started and answered, as docs/operations.md describes.
 func TestTimeline(t *testing.T) {
 	var log bytes.Buffer
-	c, o, step := foreignJob(t)
+	c, o, step := controllerWithForeignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	c.freshness.provenAt = 0 // the proof of freshness is lost, and regained by the steps below
 	c.authority.since = c.now
@@ -122,7 +122,7 @@
 		step()
 	}
 	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
-	step(o.news(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}))
+	step(o.watchEvents(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}))
 	for range 80 {
 		step()
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -83,10 +83,10 @@
 func (l *commandList) start(task schema.Task, facts guard.TaskFacts) {
 	key := keyOf(task)
 	l.expected[key] = true
-	_, there := l.machine.agent.tasks[key]
+	_, reported := l.machine.agent.tasks[key]
 	// A task whose entry is being removed must not be started again: the same write may have placed it
 	// on another machine.
-	if there || l.machine.agent.entriesLeaving[key] {
+	if reported || l.machine.agent.entriesLeaving[key] {
 		return
 	}
 	if facts.MayStart(l.permissions) == guard.StartAllowed && l.free.tryReserve(&l.replica.jobs[task.Job].spec) {
@@ -103,8 +103,8 @@
 	}
 	key := keyOf(task)
 	l.expected[key] = true // not to be removed before its completion is stored
-	status, there := l.machine.agent.tasks[key]
-	if !there || status.State == agent.Ended {
+	status, reported := l.machine.agent.tasks[key]
+	if !reported || status.State == agent.Ended {
 		return
 	}
 	gracePeriod := 0.0
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -10,9 +10,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// foreignJob returns a controller that commands n-000001, with its store and a function that runs one step.
-// Another controller leads the partition of j-000001, a job that is accepted and has no entry yet.
-func foreignJob(t *testing.T) (*Controller, *fakeStore, func(extra ...Message) []Effect) {
+// controllerWithForeignJob returns a controller that commands n-000001, with its store and a function that
+// runs one step. Another controller leads the partition of j-000001, a job that is accepted and has no
+// entry yet.
+func controllerWithForeignJob(t *testing.T) (*Controller, *fakeStore, func(extra ...Message) []Effect) {
 	t.Helper()
 	cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}}}
 	s := &cfg.Settings
@@ -84,8 +85,8 @@
 	return n
 }
 
-// news returns the answer to the open watch, with some events.
-func (o *fakeStore) news(events ...kv.Event) Message {
+// watchEvents returns the answer to the open watch, with some events.
+func (o *fakeStore) watchEvents(events ...kv.Event) Message {
 	watch := o.waits[len(o.waits)-1]
 	o.waits = o.waits[:len(o.waits)-1]
 	for _, e := range events {
@@ -103,7 +104,7 @@
 func TestNoStartOfWhatTheSameAnswerCancels(t *testing.T) {
 	for name, cancelled := range map[string]bool{"accepted": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
-			c, o, step := foreignJob(t)
+			c, o, step := controllerWithForeignJob(t)
 			entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
 			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}}
 			if cancelled {
@@ -111,7 +112,7 @@
 					kv.Event{Set: schema.CancellationPrefix + entry.Job, Value: encode(map[string]string{"w": "x"}), ModRevision: o.rev + 2},
 					kv.Event{Set: schema.OutcomePrefix + entry.Job, Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: o.rev + 2})
 			}
-			got := countStarts(step(o.news(events...)))
+			got := countStarts(step(o.watchEvents(events...)))
 			for range 40 {
 				got += countStarts(step())
 			}
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -94,9 +94,9 @@
 // command's token and epoch are the present ones.
 func (d *directCommand) unanswered() { d.stage = commandUnclear }
 
-// heartbeatCame records the token and the epoch in a heartbeat. A higher value of either fences off an
+// heartbeatReceived records the token and the epoch in a heartbeat. A higher value of either fences off an
 // unclear command.
-func (d *directCommand) heartbeatCame(token, epoch uint64) {
+func (d *directCommand) heartbeatReceived(token, epoch uint64) {
 	if d.unclear() && (token > d.token || epoch > d.epoch) {
 		d.stage = commandSettled
 	}
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -17,10 +17,10 @@
 		"sent":                     {func(*directCommand) {}, commandInFlight},
 		"answered":                 {(*directCommand).answered, commandSettled},
 		"unanswered":               {(*directCommand).unanswered, commandUnclear},
-		"higher token":             {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token+1, epoch) }, commandSettled},
-		"later epoch":              {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch+1) }, commandSettled},
-		"same token and epoch":     {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch) }, commandUnclear},
-		"later epoch while waited": {func(d *directCommand) { d.heartbeatCame(token, epoch+1) }, commandInFlight},
+		"higher token":             {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token+1, epoch) }, commandSettled},
+		"later epoch":              {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token, epoch+1) }, commandSettled},
+		"same token and epoch":     {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token, epoch) }, commandUnclear},
+		"later epoch while waited": {func(d *directCommand) { d.heartbeatReceived(token, epoch+1) }, commandInFlight},
 	} {
 		var command directCommand
 		if !command.settled() {
@@ -50,7 +50,7 @@
 		"start about to":      {func(c *Controller, state *agentState) { state.responses.startAt = c.now - responseLifetime }, false},
 		"agent was restarted": {func(_ *Controller, state *agentState) { state.forgetEpoch() }, false},
 	} {
-		c, _, _ := foreignJob(t)
+		c, _, _ := controllerWithForeignJob(t)
 		m := c.replica.machines["n-000001"]
 		tc.happens(c, m.agent)
 		if got := c.facts.quiesced(m); got != tc.want {
@@ -82,7 +82,7 @@
 		now := 100 * units.Second
 		for beat := 1; beat <= tc.beats; beat++ {
 			now += period
-			responses.heartbeatCame(now, lease, tc.newEpoch && beat == tc.beats, tc.shown, token)
+			responses.heartbeatReceived(now, lease, tc.newEpoch && beat == tc.beats, tc.shown, token)
 		}
 		if responses.lost != tc.want {
 			t.Errorf("%s: %d lost, want %d", name, responses.lost, tc.want)
--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -33,7 +33,7 @@
 	if !g.checkCommander(m, request) {
 		return
 	}
-	g.takeHeartbeat(m, heartbeat)
+	g.applyHeartbeat(m, heartbeat)
 	g.respond(m, request)
 }
 
@@ -70,14 +70,14 @@
 	return false
 }
 
-// takeHeartbeat applies a heartbeat that is about to be answered. The answer renews the agent's lease, even
+// applyHeartbeat applies a heartbeat that is about to be answered. The answer renews the agent's lease, even
 // if the heartbeat is a late duplicate.
-func (g *agentGateway) takeHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
+func (g *agentGateway) applyHeartbeat(m *machine, heartbeat *agent.Heartbeat) {
 	state, lease := m.agent, g.cfg.Settings.Lease()
 	if heartbeat.Newer(state.epoch, state.sequence) { // a late duplicate does not show that the agent is alive
 		g.noteHeard(m.name)
 		newEpoch := state.epoch > 0 && heartbeat.Epoch > state.epoch
-		state.responses.heartbeatCame(g.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
+		state.responses.heartbeatReceived(g.now, lease, newEpoch, heartbeat.FencingToken, g.replica.fencingToken(m))
 	}
 	g.reconciler.reconcile(m, heartbeat)
 	state.extendLease(g.now, lease)
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -30,8 +30,8 @@
 	}
 	commands, ok := g.audit.checkCommands(m, g.commands.commandsFor(m))
 	token := g.replica.fencingToken(m)
-	nothingToTell := len(commands) == 0 && state.tokenSeen == token
-	if !ok || nothingToTell || state.tokenSeen > token {
+	nothingToSend := len(commands) == 0 && state.tokenSeen == token
+	if !ok || nothingToSend || state.tokenSeen > token {
 		return
 	}
 	state.command.send(token, state.epoch)
@@ -44,7 +44,7 @@
 type pushCall struct {
 	gateway *agentGateway
 	machine *machine
-	state   *agentState // under which it was sent
+	state   *agentState // agent state when the command was sent
 }
 
 func (p *pushCall) done(heartbeat *agent.Heartbeat) {
@@ -99,7 +99,7 @@
 type probeCall struct {
 	gateway         *agentGateway
 	machine         *machine
-	state           *agentState // under which it was sent
+	state           *agentState // agent state when the probe was sent
 	epoch, sequence uint64      // of the latest heartbeat when the probe was sent
 }
 
--- a/internal/controller/push_test.go
+++ b/internal/controller/push_test.go
@@ -51,7 +51,7 @@
 
 func newPushCase(t *testing.T) *pushCase {
 	t.Helper()
-	c, store, _ := foreignJob(t)
+	c, store, _ := controllerWithForeignJob(t)
 	return &pushCase{c: c, store: store, now: c.now, refuse: true}
 }
 
@@ -76,12 +76,12 @@
 // enterTask shows the controller a task of j-000001 that is entered on n-000001, to run or to be stopped.
 func (p *pushCase) enterTask(mode schema.StopMode) []Effect {
 	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1, StopMode: mode}
-	return p.step(p.store.news(kv.Event{Set: shardOfMachine(p.c.replica.layout), Value: encode(machineWith(entry)), ModRevision: p.store.rev + 1}))
+	return p.step(p.store.watchEvents(kv.Event{Set: shardOfMachine(p.c.replica.layout), Value: encode(machineWith(entry)), ModRevision: p.store.rev + 1}))
 }
 
 // cancelJob shows the controller that j-000001 is cancelled.
 func (p *pushCase) cancelJob() []Effect {
-	return p.step(p.store.news(
+	return p.step(p.store.watchEvents(
 		kv.Event{Set: schema.CancellationPrefix + "j-000001", Value: encode(map[string]string{"w": "x"}), ModRevision: p.store.rev + 1},
 		kv.Event{Set: schema.OutcomePrefix + "j-000001", Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: p.store.rev + 1}))
 }
@@ -97,11 +97,11 @@
 		t.Fatalf("%d starts sent when the task was entered, want 1", starts)
 	}
 	// At most one retry after each delay, and one with each answered probe.
-	const seconds, stepsPerSecond, most = 4, 40, 4*4 + 4 + 1
+	const seconds, stepsPerSecond, maxStarts = 4, 40, 4*4 + 4 + 1
 	for range seconds * stepsPerSecond {
 		starts += len(directCommands(p.step(), agent.Start))
 	}
-	if starts < 2 || starts > most {
+	if starts < 2 || starts > maxStarts {
 		t.Errorf("start sent %d times in %d s", starts, seconds)
 	}
 	if m.agent.command.unclear() || p.c.replica.fencingToken(m) != token {
@@ -138,14 +138,14 @@
 		t.Fatalf("%d stops sent when the entry asked for one, want 1", stops)
 	}
 	p.step()
-	told := false
+	sent := false
 	for _, effect := range p.step(heartbeat()) {
 		if reply, ok := effect.(Reply); ok && reply.RequestID == 9 {
 			response, _ := reply.Body.(agent.HeartbeatResponse)
-			told = len(response.Commands) == 1 && response.Commands[0].Action == agent.Stop
+			sent = len(response.Commands) == 1 && response.Commands[0].Action == agent.Stop
 		}
 	}
-	if !told {
+	if !sent {
 		t.Error("no stop in the response to the next heartbeat")
 	}
 	p.refuse = false
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -28,12 +28,12 @@
 
 // Thresholds by which failures are attributed to a machine, or to a job.
 const (
-	// A job is at fault if it has failed on this many machines, or on all if there are fewer, but on at
-	// least two.
-	maxMachinesAtFault   = 3
-	minFailuresElsewhere = 2
+	// A job is at fault if it has failed on this many machines, or on all that are heard if those are
+	// fewer, but on at least two.
+	jobFaultMachines    = 3
+	minJobFaultMachines = 2
 	// A machine is at fault if tasks of this many jobs that are not at fault have failed on it.
-	minJobsFailed = 2
+	machineFaultJobs = 2
 )
 
 // succeeded records that a task of a job has completed. If the job seemed to be at fault, the machines on
@@ -61,7 +61,7 @@
 // jobAtFault reports whether the job itself seems to be at fault: its tasks failed on several machines, or
 // on all that there are, and none of its tasks completed.
 func (q *quarantineMonitor) jobAtFault(j *job) bool {
-	if len(j.failedOn) < minFailuresElsewhere || j.succeeded || j.doneCount() > 0 {
+	if len(j.failedOn) < minJobFaultMachines || j.succeeded || j.doneCount() > 0 {
 		return false
 	}
 	heard := 0
@@ -70,11 +70,11 @@
 			continue
 		}
 		heard++
-		if heard > len(j.failedOn) || heard == maxMachinesAtFault {
+		if heard > len(j.failedOn) || heard == jobFaultMachines {
 			break // no need to count the rest of the fleet
 		}
 	}
-	return len(j.failedOn) >= min(maxMachinesAtFault, heard)
+	return len(j.failedOn) >= min(jobFaultMachines, heard)
 }
 
 // judgeMachinesOf judges the machines on which a job has failed.
@@ -95,7 +95,7 @@
 			jobs++
 		}
 	}
-	if failing := jobs >= minJobsFailed; failing != state.active {
+	if failing := jobs >= machineFaultJobs; failing != state.active {
 		state.active, state.changedAt = failing, q.now
 		q.log.Warn("machine quarantine", "machine", m.name, "quarantined", failing)
 	}
@@ -112,14 +112,14 @@
 
 // Limits of the exponential back-off of a job after failures.
 const (
-	maxBackOff        = 40 * units.Second
-	failuresPerDouble = 2 // consecutive failures for which the delay doubles
-	maxBackOffDoubles = 6
+	maxBackOff          = 40 * units.Second
+	failuresPerDoubling = 2 // the delay doubles every 2 consecutive failures
+	maxBackOffDoublings = 6
 )
 
 // backOff delays the next start of a job after one of its tasks failed.
 func (j *job) backOff(now units.Micros) {
 	j.failures++
 	j.failedAt = now
-	j.retryAt = now + min(units.Second<<min(j.failures/failuresPerDouble, maxBackOffDoubles), maxBackOff)
+	j.retryAt = now + min(units.Second<<min(j.failures/failuresPerDoubling, maxBackOffDoublings), maxBackOff)
 }
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -41,19 +41,19 @@
 const (
 	// In tenths of the heartbeat period, from the latest heartbeat.
 	overdueTenths = 13 // the next heartbeat is overdue after that
-	hearingTenths = 15 // the machine counts as heard until then
+	heardTenths   = 15 // the machine counts as heard until then
 
 	probePeriod        = units.Second
 	reclaimProbePeriod = units.Second / 2
 	giveUpPeriod       = units.Second
 	minFailedProbes    = 2 // consecutive; fewer may be due to random packet loss
-	maxSilentShare     = 8 // at most 1/8 of the machines, plus one, are given up as silent at once
+	silentFleetDivisor = 8 // at most 1/8 of the machines, plus one, are given up as silent at once
 )
 
 // fleetHealth is what a controller observes of the machines that it commands in one survey.
 type fleetHealth struct {
-	total     int // machines
-	hearing   int // machines whose heartbeats arrive
+	total     int // machines commanded
+	heard     int // machines whose heartbeats arrive
 	reporting int // machines that are not unreachable inbound
 	zones     map[string]*zoneHealth
 
@@ -70,10 +70,10 @@
 	health := f.survey()
 	f.judgeZones(health.zones)
 	f.giveUpReclaimed()
-	if health.hearing == 0 && health.total > 0 {
+	if health.heard == 0 && health.total > 0 {
 		f.unheard.transfer()
 	}
-	mostSilent := health.hearing*2 < health.total
+	mostSilent := health.heard*2 < health.total
 	if len(health.silent) > 0 && mostSilent {
 		f.silenceSuspectedAt = f.now
 	}
@@ -122,9 +122,9 @@
 	// heartbeat.
 	silentFor := f.now - max(state.heardAt, state.since-heartbeatPeriod)
 	overdue := silentFor > heartbeatPeriod*overdueTenths/10
-	if silentFor < heartbeatPeriod*hearingTenths/10 {
-		health.hearing++
-		zone.hearing++
+	if silentFor < heartbeatPeriod*heardTenths/10 {
+		health.heard++
+		zone.heard++
 		if state.tokenSeen < f.replica.fencingToken(m) && state.heardAt > 0 {
 			f.agents.push(m) // the agent must show the present token before a task's absence proves anything
 		}
@@ -193,25 +193,25 @@
 // that is unreachable inbound is given up, every other live controller must say that it does not hear the
 // machine (see heardByOthers).
 func (f *fleetMonitor) giveUpUnreachable(health *fleetHealth) {
-	var gone []*machine
+	var lost []*machine
 	for _, m := range health.silent {
-		if len(gone) <= health.total/maxSilentShare && f.goneForCertain(health, m) {
-			gone = append(gone, m)
+		if len(lost) <= health.total/silentFleetDivisor && f.presumedLost(health, m) {
+			lost = append(lost, m)
 		}
 	}
-	f.decommissioner.giveUp("silent", gone...)
+	f.decommissioner.giveUp("silent", lost...)
 	f.decommissioner.giveUp("unreachable outbound", health.unreachableOutbound...)
 	mostReport := health.reporting*2 >= health.total
 	for _, m := range health.unreachableInbound {
-		answers := f.now-m.agent.heardAt < f.cfg.Settings.HeartbeatPeriod()*hearingTenths/10
+		answers := f.now-m.agent.heardAt < f.cfg.Settings.HeartbeatPeriod()*heardTenths/10
 		if mostReport && answers && !f.heardByOthers(m.name, true) {
 			f.decommissioner.giveUp("unreachable inbound", m)
 		}
 	}
 }
 
-// goneForCertain reports whether no evidence is left that a silent machine is alive.
-func (f *fleetMonitor) goneForCertain(health *fleetHealth, m *machine) bool {
+// presumedLost reports whether no evidence is left that a silent machine is alive.
+func (f *fleetMonitor) presumedLost(health *fleetHealth, m *machine) bool {
 	return m.agent.probe.failures >= minFailedProbes &&
 		!f.suspectZones[m.doc.Zone].suspected &&
 		f.zoneHeardSince(health, m) &&
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -24,9 +24,9 @@
 	r.planNeeded = true
 	m.forgetOccupancy()
 	r.noteEpoch(m, heartbeat)
-	r.noteSignOfLife(m.agent, heartbeat)
+	r.noteLiveness(m.agent, heartbeat)
 	r.noteReclaim(m, heartbeat)
-	r.takeTasks(m, heartbeat)
+	r.applyTasks(m, heartbeat)
 }
 
 // noteEpoch detects that an agent's lease has expired since its previous heartbeat.
@@ -37,8 +37,8 @@
 	}
 }
 
-// noteSignOfLife records when the agent was heard, and what that implies for its lease and its commands.
-func (r *reconciler) noteSignOfLife(state *agentState, heartbeat *agent.Heartbeat) {
+// noteLiveness records when the agent was heard, and what that implies for its lease and its commands.
+func (r *reconciler) noteLiveness(state *agentState, heartbeat *agent.Heartbeat) {
 	if r.now-state.heardAt > silenceAfter(r.cfg.Settings.HeartbeatPeriod()) {
 		state.heardSince = r.now
 	}
@@ -48,7 +48,7 @@
 	// moment: the expiry that was known for an earlier lease does not apply to the present one.
 	state.extendLease(r.now, r.cfg.Settings.Lease())
 	state.tokenSeen = max(state.tokenSeen, heartbeat.FencingToken)
-	state.command.heartbeatCame(heartbeat.FencingToken, heartbeat.Epoch)
+	state.command.heartbeatReceived(heartbeat.FencingToken, heartbeat.Epoch)
 }
 
 // noteReclaim records the first interruption notice of a spot machine.
@@ -61,9 +61,9 @@
 	r.log.Info("spot reclaim notice", "machine", m.name, "notice_s", *seconds)
 }
 
-// takeTasks replaces the machine's reported tasks by those of a heartbeat, and records tasks that run or
+// applyTasks replaces the machine's reported tasks by those of a heartbeat, and records tasks that run or
 // have ended.
-func (r *reconciler) takeTasks(m *machine, heartbeat *agent.Heartbeat) {
+func (r *reconciler) applyTasks(m *machine, heartbeat *agent.Heartbeat) {
 	state := m.agent
 	before := state.tasks
 	state.tasks = make(map[taskKey]agent.TaskStatus, len(heartbeat.Tasks))
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -22,7 +22,7 @@
 // can be made before their agents give up, and otherwise each registration would start over.
 const (
 	registrationReplyWait = 3500 * units.Millisecond // how long the heartbeat may wait for the entry
-	registrationKept      = 20 * units.Second        // how long after the latest heartbeat the entry may be written
+	registrationLifetime  = 20 * units.Second        // how long after the latest heartbeat the entry may be written
 )
 
 // register starts the registration of an unregistered machine if this controller leads the partition of its
@@ -40,14 +40,14 @@
 		g.refuse(request)
 		return
 	}
-	if known := g.registrations[name]; known != nil {
-		g.declineRegistration(known) // the agent no longer waits for its earlier request
-		known.request, known.heardAt, known.waiting = request, g.now, true
+	if existing := g.registrations[name]; existing != nil {
+		g.declineRegistration(existing) // the agent no longer waits for its earlier request
+		existing.request, existing.heardAt, existing.waiting = request, g.now, true
 		return
 	}
-	begun := &registration{request: request, heardAt: g.now, waiting: true}
-	g.registrations[name] = begun
-	g.call(request.Heartbeat.Addr, nil, &registrationProbe{gateway: g, name: name, registration: begun, tokenShown: request.Heartbeat.FencingToken})
+	started := &registration{request: request, heardAt: g.now, waiting: true}
+	g.registrations[name] = started
+	g.call(request.Heartbeat.Addr, nil, &registrationProbe{gateway: g, name: name, registration: started, tokenShown: request.Heartbeat.FencingToken})
 }
 
 // registrationProbe is a probe that checks that an unregistered machine exists.
@@ -106,7 +106,7 @@
 			if r.waiting {
 				g.answerHeartbeat(r.request)
 			}
-		case g.now-r.heardAt > registrationKept:
+		case g.now-r.heardAt > registrationLifetime:
 			delete(g.registrations, name)
 		case g.now-r.heardAt > registrationReplyWait:
 			g.declineRegistration(r)
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -16,7 +16,7 @@
 // zoneHealth is what a controller observes of its machines in one zone.
 type zoneHealth struct {
 	machines []*machine
-	hearing  int // machines whose heartbeats arrive
+	heard    int // machines whose heartbeats arrive
 	failing  int // machines that did not answer a probe
 }
 
@@ -33,10 +33,10 @@
 
 // How many of a zone's machines are evidence about the whole zone.
 const (
-	minFailingInZone   = 3  // a zone is suspected when at least that many machines fail at once,
-	failingShareInZone = 20 // and at least 1/20 of its machines
-	answeringShare     = 4  // a zone counts as cut off if fewer than 1/4 of its machines answer
-	minMachinesToVouch = 4  // in a smaller zone, heard machines do not show that the zone can be reached
+	minFailingInZone        = 3  // a zone is suspected when at least that many machines fail at once,
+	failingZoneDivisor      = 20 // and at least 1/20 of its machines
+	answeringZoneDivisor    = 4  // a zone counts as cut off if fewer than 1/4 of its machines answer
+	minMachinesForReachable = 4  // in a smaller zone, heard machines do not show that the zone can be reached
 )
 
 // zone returns the health of a zone, and adds the zone if it is new.
@@ -51,12 +51,13 @@
 
 // severalFailing reports whether so many of a zone's machines fail at once that the zone may be cut off.
 func (z *zoneHealth) severalFailing() bool {
-	return z != nil && z.failing >= max(minFailingInZone, len(z.machines)/failingShareInZone)
+	return z != nil && z.failing >= max(minFailingInZone, len(z.machines)/failingZoneDivisor)
 }
 
-// reachable reports whether the zone can be reached from here: at least half of its machines are heard.
+// reachable reports whether the zone can be reached from here: it has enough machines to tell, and at least
+// half of them are heard.
 func (z *zoneHealth) reachable() bool {
-	return len(z.machines) >= minMachinesToVouch && z.hearing*2 >= len(z.machines)
+	return len(z.machines) >= minMachinesForReachable && z.heard*2 >= len(z.machines)
 }
 
 // heardSince counts the zone's machines that were heard at or after a moment.
@@ -71,14 +72,15 @@
 }
 
 // clearSuspicion is called when a zone is no longer suspected. Probes that failed during the outage say
-// nothing about the zone's machines, and none of the machines was idle. Otherwise the last machines to be
-// heard again would be given up as silent, and those that were being drained would be given up as idle.
+// nothing about the zone's machines, and none of the machines was idle. Without this reset, the last
+// machines to be heard again would be given up as silent, and those that were being drained would be
+// deleted as idle.
 func (z *zoneHealth) clearSuspicion(wasSuspected bool) {
 	if z == nil || !wasSuspected {
 		return
 	}
 	for _, m := range z.machines {
-		m.agent.forgiveSilence()
+		m.agent.resetAfterZoneOutage()
 	}
 }
 
@@ -95,18 +97,18 @@
 			zones[name].clearSuspicion(suspicion.suspected)
 		}
 	}
-	others := len(zones) > 1 // with one zone alone, check does not trust a silent majority anyway
+	otherZones := len(zones) > 1 // with one zone alone, check does not trust a silent majority anyway
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
 		zone := zones[name]
-		suspicion, open := f.suspectZones[name]
+		suspicion, known := f.suspectZones[name]
 		switch {
 		case !zone.severalFailing():
-		case !open || f.now-suspicion.probedAt > zoneProbePeriod:
-			suspectedYet := others && (!open || suspicion.suspected) // until the first answers are judged
-			f.suspectZones[name] = zoneSuspicion{probedAt: f.now, suspected: suspectedYet}
+		case !known || f.now-suspicion.probedAt > zoneProbePeriod:
+			suspectedAtFirst := otherZones && (!known || suspicion.suspected) // until the first answers are judged
+			f.suspectZones[name] = zoneSuspicion{probedAt: f.now, suspected: suspectedAtFirst}
 			f.probeZone(zone)
 		case f.now-suspicion.probedAt > zoneProbeWait:
-			f.judgeAnswers(name, zone, suspicion, others)
+			f.judgeAnswers(name, zone, suspicion, otherZones)
 		}
 	}
 }
@@ -121,10 +123,10 @@
 }
 
 // judgeAnswers judges a zone by how many of its machines have answered.
-func (f *fleetMonitor) judgeAnswers(name string, zone *zoneHealth, suspicion zoneSuspicion, others bool) {
+func (f *fleetMonitor) judgeAnswers(name string, zone *zoneHealth, suspicion zoneSuspicion, otherZones bool) {
 	wasSuspected := suspicion.suspected
 	answered := zone.heardSince(suspicion.probedAt - recentlyHeardPeriod)
-	suspicion.suspected = others && answered*answeringShare < len(zone.machines)
+	suspicion.suspected = otherZones && answered*answeringZoneDivisor < len(zone.machines)
 	f.suspectZones[name] = suspicion
 	if !suspicion.suspected {
 		zone.clearSuspicion(wasSuspected)
