--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -6,8 +6,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestDirectCommand goes through the stages of a direct command. One without an answer is unclear until
-// a heartbeat shows that it can be carried out no more.
+// TestDirectCommand goes through the stages of a direct command. A command without an answer is unclear
+// until a heartbeat shows that it can no longer be carried out.
 func TestDirectCommand(t *testing.T) {
 	const token, epoch = 7, 3
 	for name, tc := range map[string]struct {
@@ -17,14 +17,14 @@
 		"sent":                     {func(*directCommand) {}, commandInFlight},
 		"answered":                 {(*directCommand).answered, commandSettled},
 		"unanswered":               {(*directCommand).unanswered, commandUnclear},
-		"higher token":             {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token+1, epoch) }, commandSettled},
-		"later epoch":              {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch+1) }, commandSettled},
-		"same token and epoch":     {func(d *directCommand) { d.unanswered(); d.heartbeatCame(token, epoch) }, commandUnclear},
-		"later epoch while waited": {func(d *directCommand) { d.heartbeatCame(token, epoch+1) }, commandInFlight},
+		"higher token":             {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token+1, epoch) }, commandSettled},
+		"later epoch":              {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token, epoch+1) }, commandSettled},
+		"same token and epoch":     {func(d *directCommand) { d.unanswered(); d.heartbeatReceived(token, epoch) }, commandUnclear},
+		"later epoch while waited": {func(d *directCommand) { d.heartbeatReceived(token, epoch+1) }, commandInFlight},
 	} {
 		var command directCommand
 		if !command.settled() {
-			t.Fatal("a command is open before one was sent")
+			t.Fatal("not settled before a command was sent")
 		}
 		command.send(token, epoch)
 		tc.happens(&command)
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestQuiesced looks at each thing that lets a command still arrive.
+// TestQuiesced checks each condition under which a command can still arrive.
 func TestQuiesced(t *testing.T) {
 	for name, tc := range map[string]struct {
 		happens func(c *Controller, state *agentState)
@@ -50,7 +50,7 @@
 		"start about to":      {func(c *Controller, state *agentState) { state.responses.startAt = c.now - responseLifetime }, false},
 		"agent was restarted": {func(_ *Controller, state *agentState) { state.forgetEpoch() }, false},
 	} {
-		c, _, _ := foreignJob(t)
+		c, _, _ := controllerWithForeignJob(t)
 		m := c.replica.machines["n-000001"]
 		tc.happens(c, m.agent)
 		if got := c.facts.quiesced(m); got != tc.want {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestLostResponses has heartbeats come to a machine's commander, one a period, and counts those that
-// show that the responses before them were lost.
+// TestLostResponses records one heartbeat per period of a machine, and counts the heartbeats that show that
+// the responses before them were lost.
 func TestLostResponses(t *testing.T) {
 	const (
 		lease  = 31 * units.Second
@@ -82,7 +82,7 @@
 		now := 100 * units.Second
 		for beat := 1; beat <= tc.beats; beat++ {
 			now += period
-			responses.heartbeatCame(now, lease, tc.newEpoch && beat == tc.beats, tc.shown, token)
+			responses.heartbeatReceived(now, lease, tc.newEpoch && beat == tc.beats, tc.shown, token)
 		}
 		if responses.lost != tc.want {
 			t.Errorf("%s: %d lost, want %d", name, responses.lost, tc.want)
