--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,36 +1,37 @@
-// Package guard decides, from facts alone, what a controller may do that cannot be taken back: start
-// a task, stop one, release a task's entry on a machine, forget a job, answer a user. No other place
-// decides any of these. Each decision has a reason that is told in the log.
+// Package guard decides, from facts alone, which irreversible actions a controller may take: start a
+// task, stop one, release a task's entry on a machine, forget a job (remove it from the accepted jobs),
+// answer a user. These decisions are made nowhere else. Each one has a reason, which is logged.
 //
 // Invariants:
-//   - A task is started only under leadership and a recent replica, when its job is accepted and not
-//     cancelled, its dependencies are done, and it is neither completed nor to be stopped.
+//   - A task is started only by the leader of the machine's partition and with a recent replica, when its
+//     job is accepted and not cancelled, its dependencies are done, and it is neither completed nor to be
+//     stopped.
 //   - A task's entry is released only when the task is certainly not active on the machine: its
-//     completion is stored, the machine's heartbeat says under the present fencing token that it
-//     ended, the machine's lease has expired, no command can still start it and the heartbeat lacks
-//     it, or the machine is deleted.
+//     completion is stored, the machine's heartbeat reports under the current fencing token that the
+//     task ended, the machine's lease has expired, no command can still start the task and the heartbeat
+//     does not list it, or the machine is deleted.
 //   - A job is forgotten only when its outcome is stored, or is written in the same transaction.
 //   - A final answer to a user never contradicts a stored outcome.
 //
-// The absence of something from a replica proves nothing, since a replica may show documents in an order
-// in which a job is in none of them for a while. A job that is not among the accepted ones is over
-// only if that is proven; where it is not (NotProvenOver), its tasks are neither started nor stopped and
-// their entries stay, until the replica shows the job or the proof.
+// The absence of a job from a replica proves nothing: documents may be shown in an order in which none
+// of them lists the job for a while. A job that is not among the accepted jobs is over only if that is
+// proven. Until it is (NotProvenOver), its tasks are neither started nor stopped and their entries stay,
+// until the replica shows either the job or the proof.
 //
-// The package keeps no state and knows no controller: gathering the facts, and looking at effects once
-// more as they leave, is the caller's part.
+// The package keeps no state and does not depend on the controller: the caller gathers the facts, and
+// checks effects a second time before they leave.
 package guard
 
-// TaskFacts is what is known of a task that is entered on a machine, and of its job. The zero value is
-// a task whose job was accepted and is over.
+// TaskFacts is what is known about a task that has an entry on a machine, and about its job. The zero
+// value describes a task whose job was accepted and is over.
 type TaskFacts struct {
-	Accepted         bool // the job is among the accepted ones
-	NotProvenOver    bool // it is not, and nothing proves that it has left them: it may just not be shown
-	Cancelled        bool // the job is, itself or because of one that it depends on
-	DependenciesDone bool // all jobs that it depends on have the stored outcome "done"
-	Completed        bool // the task is, as far as this controller knows
-	CompletionStored bool // its completion is stored
-	StopRequested    bool // its entry says that it is to be stopped
+	Accepted         bool // the job is among the accepted jobs
+	NotProvenOver    bool // it is not, and may only be missing from the replica: nothing proves that it is over
+	Cancelled        bool // the job is cancelled, itself or because of a job that it depends on
+	DependenciesDone bool // every job that it depends on has the stored outcome "done"
+	Completed        bool // the task has completed, as far as this controller knows
+	CompletionStored bool // the task's completion is stored
+	StopRequested    bool // the task's entry requests that it be stopped
 }
 
 // StopReason is why a task must not run on a machine.
@@ -43,10 +44,10 @@
 	StopCancelled       StopReason = "job is cancelled"
 	StopCompleted       StopReason = "task is completed"
 	StopRequestedByPlan StopReason = "requested by plan"
-	StopNotEntered      StopReason = "not entered" // no entry allows it to run; MustStop judges entries only
+	StopNotEntered      StopReason = "not entered" // the task has no entry; never returned by MustStop, which judges entries only
 )
 
-// MustStop tells whether the task must not run where it is entered, and why.
+// MustStop returns why the task must not run on the machine that it is entered on, or KeepRunning.
 func (f TaskFacts) MustStop() StopReason {
 	switch {
 	case !f.Accepted && !f.NotProvenOver:
@@ -61,10 +62,10 @@
 	return KeepRunning
 }
 
-// Permissions is what a controller may do with a machine at a moment.
+// Permissions is what a controller may do with a machine at the time of the decision.
 type Permissions struct {
-	MayCommand bool // it leads the machine's partition, and its replica is recent enough to command
-	MayStart   bool // its replica is recent enough for starts
+	MayCommand bool // it leads the machine's partition, and its replica is recent enough to send commands
+	MayStart   bool // its replica is recent enough to start tasks
 }
 
 // StartRefusal is why a task must not be started.
@@ -80,7 +81,7 @@
 	StartJobNotShown      StartRefusal = "job not shown"
 )
 
-// MayStart tells whether the task may be started now, and why not.
+// MayStart returns why the task must not be started now, or StartAllowed.
 func (f TaskFacts) MayStart(permissions Permissions) StartRefusal {
 	switch {
 	case f.MustStop() != KeepRunning:
@@ -97,17 +98,17 @@
 	return StartAllowed
 }
 
-// MachineFacts is what the controller that commands a machine knows of a task's presence there.
+// MachineFacts is what the controller that commands a machine knows about a task's presence on it.
 type MachineFacts struct {
-	Reported       bool // the latest heartbeat has the task
-	Ended          bool // and says that it has ended
-	TokenSeen      bool // the machine has shown its present fencing token
-	LeaseExpired   bool // the machine's lease has surely expired
-	Quiesced       bool // no command can still arrive, so that absence from a heartbeat proves something
+	Reported       bool // the latest heartbeat lists the task
+	Ended          bool // the latest heartbeat reports that the task has ended
+	TokenSeen      bool // a heartbeat has shown the machine's current fencing token
+	LeaseExpired   bool // the machine's lease has certainly expired
+	Quiesced       bool // no command can still arrive, so a task that the heartbeat does not list is not on the machine
 	MachineDeleted bool // the cloud has confirmed that the machine is deleted
 }
 
-// ReleaseReason is why a task's entry on a machine may go.
+// ReleaseReason is why a task's entry on a machine may be released.
 type ReleaseReason string
 
 // Reasons to release an entry.
@@ -121,24 +122,24 @@
 	ReleaseJobOver          ReleaseReason = "job is over"
 )
 
-// MayRelease tells whether the task is certainly not, or no longer, active on the machine, and why.
+// MayRelease returns why the task is certainly not, or no longer, active on the machine, or KeepEntry.
 func (f TaskFacts) MayRelease(machine MachineFacts) ReleaseReason {
 	switch {
 	case machine.MachineDeleted:
 		return ReleaseMachineDeleted
-	case !f.Accepted && f.NotProvenOver: // what is known of its completions may not be shown either
+	case !f.Accepted && f.NotProvenOver: // the replica may lack its completions as well
 		return KeepEntry
-	case !f.Accepted: // who clears a job away has stored its outcome with it
+	case !f.Accepted: // a job is removed only with or after its stored outcome
 		return ReleaseJobOver
 	case f.CompletionStored:
 		return ReleaseCompletionStored
-	case f.Completed: // not stored: without the entry it would run again
+	case f.Completed: // the completion is not stored: without the entry the task would run again
 		return KeepEntry
 	case machine.LeaseExpired:
 		return ReleaseLeaseExpired
 	case machine.Reported && machine.Ended && machine.TokenSeen:
-		// Only a heartbeat under the present token tells of a completion that lasts: an older one may
-		// be a late duplicate, from before the attempt was started again in a later agent epoch.
+		// Only a heartbeat under the current token proves that the task has ended for good: an older one
+		// may be a late duplicate, from before the attempt was started again in a later agent epoch.
 		return ReleaseReportedEnd
 	case machine.Reported:
 		return KeepEntry
@@ -148,16 +149,16 @@
 	return KeepEntry
 }
 
-// JobFacts is what the leader of a job's partition knows of it.
+// JobFacts is what the leader of a job's partition knows about the job.
 type JobFacts struct {
 	Cancelled             bool
-	CancellationShown     bool // its cancellation document is shown, and goes with it
+	CancellationShown     bool // the replica shows its cancellation document, which is deleted with the job
 	CancelledByDependency bool // it is cancelled because of a job that it depends on
-	Entered               bool // tasks of it may be on machines
-	Completed             bool // all of its tasks are
+	Entered               bool // some of its tasks have entries on machines
+	Completed             bool // all of its tasks have completed
 }
 
-// ForgetReason is why a job may leave the accepted ones.
+// ForgetReason is why a job may be removed from the accepted jobs.
 type ForgetReason string
 
 // Reasons to forget a job.
@@ -168,8 +169,8 @@
 	ForgetCancelledByDependency ForgetReason = "cancelled by dependency"
 )
 
-// MayForget tells whether the job may leave the accepted ones, and why. Its outcome is stored by then,
-// or in the same transaction.
+// MayForget returns why the job may be removed from the accepted jobs, or KeepJob. Its outcome is
+// stored by then, or is written in the same transaction.
 func (f JobFacts) MayForget() ForgetReason {
 	switch {
 	case !f.Cancelled && f.Completed:
@@ -181,28 +182,28 @@
 	case f.CancelledByDependency:
 		return ForgetCancelledByDependency
 	}
-	return KeepJob // its outcome is known, and its cancellation, written with the outcome, is shown next
+	return KeepJob // its outcome is known, and its cancellation document, written with the outcome, is shown next
 }
 
-// AnswerFacts is what is known when a user is told of a job.
+// AnswerFacts is what is known when a user is told a job's status.
 type AnswerFacts struct {
 	Final         bool // the answer says that the job is done or cancelled
 	Cancelled     bool // the answer says that the job is cancelled
 	OutcomeStored bool // an outcome of the job is stored
-	Agrees        bool // and the answer says the same
+	Agrees        bool // the answer agrees with the stored outcome
 }
 
-// AnswerBasis is what a final answer to a user rests on.
+// AnswerBasis is the evidence that an answer to a user rests on.
 type AnswerBasis string
 
-// What answers rest on.
+// Possible bases of an answer.
 const (
 	AnswerStoredOutcome  AnswerBasis = "stored outcome"
 	AnswerDerivedOutcome AnswerBasis = "derived outcome"
 	AnswerRecentReplica  AnswerBasis = "recent replica"
 )
 
-// Basis tells what the answer rests on.
+// Basis returns the evidence that the answer rests on.
 func (f AnswerFacts) Basis() AnswerBasis {
 	switch {
 	case f.OutcomeStored:
@@ -213,10 +214,10 @@
 	return AnswerRecentReplica
 }
 
-// Overtaken reports whether the answer is older than an outcome that is stored: the outcome is to be
-// told instead.
+// Overtaken reports whether the answer is older than a stored outcome that differs from it: the user
+// must be told the outcome instead.
 func (f AnswerFacts) Overtaken() bool { return f.OutcomeStored && !f.Agrees }
 
-// Contradicts reports whether the answer breaks the invariant: it names another outcome than the
-// stored one.
+// Contradicts reports whether the answer violates the invariant: it is final, and states another
+// outcome than the stored one.
 func (f AnswerFacts) Contradicts() bool { return f.Overtaken() && f.Final }
