--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -13,78 +13,79 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// replica mirrors in this process what the key-value store holds, decoded and with the indexes that
-// the duties need. It is fed by one watch and by this controller's own commits, in any order: of two
-// states of a key the later revision counts. It is exact as of watchRevision.
+// replica is this process's decoded mirror of the key-value store, with the indexes that the
+// controller's components need. It is fed by one watch and by this controller's own commits, in any
+// order: of two states of a key, the one with the later revision counts. It holds every change up to
+// watchRevision.
 //
-// What a change means for this process's own duties (leadership, commands, limits, dependencies) it
-// tells its observer; it decides nothing itself.
+// It makes no decisions: it notifies its observer of changes that affect other components of this
+// process (leadership, commands, limits, dependencies).
 type replica struct {
 	env      *environment
 	observer replicaObserver
 
-	revisions     map[string]uint64 // of every live key under schema.ActivePrefix
-	tombstones    map[string]uint64 // keys that this controller deleted ahead of the watch
+	revisions     map[string]uint64 // mod revision of every live key under schema.ActivePrefix
+	tombstones    map[string]uint64 // keys that this controller deleted ahead of the watch, with the revision of the deletion
 	watchRevision uint64
-	// Pages of the store are read at different moments, so a loaded replica is whole only when the
-	// changes up to the last page are known: what moved from one document to another meanwhile may
-	// stand in neither before.
+	// completeRevision is the latest revision of a loaded page. Pages are read at different times, and
+	// an entry that moved from one document to another meanwhile may be in neither, so a loaded replica
+	// is complete only when the watch has reached this revision.
 	completeRevision uint64
 	synced           bool
 
-	registeredSince   map[string]units.Micros // by key: when it was first seen here
-	registeredFormats map[string]int          // by key: the format that the process knows
+	registeredSince   map[string]units.Micros // by key: when the registration was first seen here
+	registeredFormats map[string]int          // by key: the latest format that the process knows
 	partitions        map[int]*partitionDoc
 	machineShards     []*machineShard
 	machines          map[string]*machine
-	everSeen          map[string]bool // names of all machines that were seen here
-	machinesByName    []*machine      // sorted; nil when machines has changed
-	unlocatedMachines map[string]bool // whose shard, since a split, was not shown yet
+	everSeen          map[string]bool // names of all machines that this replica was ever shown
+	machinesByName    []*machine      // sorted by name; nil when they must be sorted again
+	unlocatedMachines map[string]bool // machines whose shard has not been shown since a split
 	jobs              map[string]*job
-	unlocatedJobs     map[string]bool // the same of jobs
+	unlocatedJobs     map[string]bool // jobs whose shard has not been shown since a split
 	unlocatedLog      period
 	jobShards         []*jobShard
-	jobsByAge         []*job // accepted jobs, the oldest first; nil when they have changed
+	jobsByAge         []*job // accepted jobs, the oldest first; nil when they must be sorted again
 	progressSegments  map[string]*progressSegment
 	outcomes          *outcomeCache
 	dependencies      *dag.Graph
-	maxProgressGaps   int // that the stored progress of a job may have
+	maxProgressGaps   int // maximum number of gaps in the stored progress of a job
 	firstRented       *schema.FirstMachine
 
-	defaultPartition func(shard int) int // the partition of a machine shard that has no document yet
-	layoutKnown      bool                // the store's own layout is known
+	defaultPartition func(shard int) int // returns the partition of a machine shard that has no document yet
+	layoutKnown      bool                // the layout was read from the store
 	layout           schema.Layout
 	machineDirectory shardDirectory
 	jobDirectory     shardDirectory
-	format           int // of the documents, as the store says
+	format           int // format version of the stored documents
 }
 
-// replicaObserver is told of changes that concern more than the replica.
+// replicaObserver is notified of changes that affect more than the replica.
 type replicaObserver interface {
-	// partitionChanged follows a change of a partition's leader.
+	// partitionChanged is called after a change of a partition's leader.
 	partitionChanged(partition int)
-	// formatRaised follows a raised format of the store; it returns how many gaps a job's progress may
-	// have from now on.
+	// formatRaised is called after the store's format was raised; it returns how many gaps the stored
+	// progress of a job may have from now on.
 	formatRaised() int
-	// jobAccepted and jobRemoved follow jobs that enter and leave the accepted ones.
+	// jobAccepted and jobRemoved are called after a job has entered or left the accepted jobs.
 	jobAccepted(j *job)
 	jobRemoved(j *job)
-	// jobCancelled follows a job that is shown as cancelled before its outcome may be.
+	// jobCancelled is called when a job is shown as cancelled, which may be before its outcome is shown.
 	jobCancelled(id string)
-	// outcomeShown follows a stored outcome, which never changes.
+	// outcomeShown is called when a stored outcome, which never changes, is shown.
 	outcomeShown(id string, outcome schema.Outcome)
-	// machineChanged follows a machine's entry.
+	// machineChanged is called after a machine's entry was applied.
 	machineChanged(m *machine, change machineChange)
 }
 
-// machineChange is what changed with a machine's entry.
+// machineChange is what changed in a machine's entry.
 type machineChange struct {
 	previousTasks schema.Tasks
 	entryChanged  bool
-	moved         bool // to another partition
+	moved         bool // the machine moved to another partition
 }
 
-// maxOutcomes is how many outcomes a replica keeps; the store holds them all.
+// maxOutcomes is how many outcomes a replica caches; the store holds all of them.
 const maxOutcomes = 40000
 
 func newReplica(env *environment, layout schema.Layout, defaultPartition func(shard int) int) *replica {
@@ -105,8 +106,8 @@
 	return r
 }
 
-// apply takes one change of a key. An older one than what is known is ignored, since this
-// controller's own commits run ahead of the watch.
+// apply applies one change of a key. A change that is older than the known state is ignored, since this
+// controller's own commits are applied before the watch shows them.
 func (r *replica) apply(key string, value json.RawMessage, revision uint64, deleted bool) {
 	if id, ok := strings.CutPrefix(key, schema.OutcomePrefix); ok {
 		r.applyOutcome(key, id, value, deleted)
@@ -124,7 +125,7 @@
 	r.applyDocument(key, value, revision, deleted)
 }
 
-// isNewer reports whether a change is not known yet.
+// isNewer reports whether a change is newer than the known state of its key.
 func (r *replica) isNewer(key string, revision uint64, deleted bool) bool {
 	known, tombstone := r.revisions[key], r.tombstones[key]
 	if revision < known || tombstone > 0 && revision <= tombstone {
@@ -133,7 +134,7 @@
 	return deleted || revision > known
 }
 
-// applyDocument passes a new state of a key on to what it holds.
+// applyDocument passes the new state of a key to the handler of its kind of document.
 func (r *replica) applyDocument(key string, value json.RawMessage, revision uint64, deleted bool) {
 	switch {
 	case strings.HasPrefix(key, schema.RegistrationPrefix):
@@ -175,14 +176,13 @@
 	}
 }
 
-// numberAfterPrefix reads the number after a key's prefix; it must be below the limit.
+// numberAfterPrefix returns the number after a key's prefix, and whether it is valid and below the limit.
 func numberAfterPrefix(key, prefix string, limit int) (int, bool) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, prefix))
 	return n, err == nil && n >= 0 && n < limit
 }
 
-// sortedMachines lists the machines in the order of their names: the order of a map would make runs
-// differ.
+// sortedMachines returns the machines in the order of their names: map order would make runs differ.
 func (r *replica) sortedMachines() []*machine {
 	if r.machinesByName == nil {
 		r.machinesByName = slices.SortedFunc(maps.Values(r.machines), func(a, b *machine) int { return strings.Compare(a.name, b.name) })
@@ -190,7 +190,7 @@
 	return r.machinesByName
 }
 
-// sortedJobs lists the accepted jobs that are not over, the oldest first.
+// sortedJobs returns the accepted jobs that are not over, the oldest first.
 func (r *replica) sortedJobs() []*job {
 	if r.jobsByAge == nil {
 		r.jobsByAge = make([]*job, 0, len(r.jobs))
--- a/internal/controller/replica_jobs.go
+++ b/internal/controller/replica_jobs.go
@@ -11,15 +11,15 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// progressSegment is a document of jobs' progress.
+// progressSegment is a stored document with the progress of some of a partition's jobs.
 type progressSegment struct {
 	key       string
 	partition int
-	size      int // of the stored value
+	size      int // of the stored value, in bytes
 	jobs      map[string]schema.JobProgress
 }
 
-// job finds what is known of a job, or begins to know it.
+// job returns what is known about a job, in a new record if nothing was known.
 func (r *replica) job(id string) *job {
 	j := r.jobs[id]
 	if j == nil {
@@ -29,14 +29,14 @@
 	return j
 }
 
-// dropIfUnused forgets a job of which nothing is left in the store.
+// dropIfUnused deletes the record of a job that has nothing left in the store.
 func (r *replica) dropIfUnused(j *job) {
 	if !j.accepted && !j.cancellationShown && j.progressSegment == nil && len(j.bindings) == 0 {
 		delete(r.jobs, j.id)
 	}
 }
 
-// applyCancellation notes that a job is cancelled, or that it has been removed since.
+// applyCancellation records that a job is cancelled, or that its cancellation document was deleted.
 func (r *replica) applyCancellation(id string, deleted bool) {
 	j := r.job(id)
 	j.cancellationShown = !deleted
@@ -48,8 +48,8 @@
 	r.observer.jobCancelled(id)
 }
 
-// applyJobShard takes a job shard's new contents. One that was deleted owns its names all the same, and
-// lists none.
+// applyJobShard applies a job shard's new contents. A deleted shard still owns its names, but lists no
+// jobs.
 func (r *replica) applyJobShard(s *jobShard, value json.RawMessage, revision uint64) {
 	doc := schema.JobShard{ShardCount: s.splitCount}
 	if len(value) > 0 {
@@ -59,36 +59,36 @@
 		}
 	}
 	r.jobsByAge = nil
-	awaited := r.unlist(s)
+	previousIDs := r.detachJobs(s)
 	s.jobIDs, s.size, s.splitCount, s.revision = make([]string, 0, len(doc.Jobs)), len(value), doc.ShardCount, revision
 	r.growJobShards(doc.ShardCount)
-	r.jobDirectory.note(s.number, doc.ShardCount)
+	r.jobDirectory.noteCount(s.number, doc.ShardCount)
 	for i := range doc.Jobs {
-		if spec := &doc.Jobs[i]; !r.jobDirectory.isOld(spec.ID, s.number, revision) {
-			r.listJob(spec, s)
+		if spec := &doc.Jobs[i]; !r.jobDirectory.isStale(spec.ID, s.number, revision) {
+			r.attachJob(spec, s)
 		}
 	}
-	r.locateJobs(awaited)
+	r.locateJobs(previousIDs)
 	if len(r.unlocatedJobs) > 0 {
 		r.locateJobs(slices.Sorted(maps.Keys(r.unlocatedJobs)))
 	}
 }
 
-// unlist takes all jobs off the list of a shard, and returns their ids.
-func (r *replica) unlist(s *jobShard) []string {
+// detachJobs removes all jobs from a shard's list, and returns their ids.
+func (r *replica) detachJobs(s *jobShard) []string {
 	for _, id := range s.jobIDs {
 		r.jobs[id].shard = nil
 	}
 	return s.jobIDs
 }
 
-// listJob enters a job that a job shard lists.
-func (r *replica) listJob(spec *schema.Job, s *jobShard) {
+// attachJob adds a job to the list of the job shard whose document contains it.
+func (r *replica) attachJob(spec *schema.Job, s *jobShard) {
 	j := r.job(spec.ID)
 	if j.shard != nil && j.shard != s {
 		j.shard.jobIDs = slices.DeleteFunc(j.shard.jobIDs, func(id string) bool { return id == j.id })
 	}
-	if j.shard != s { // a document lists a job once
+	if j.shard != s { // ignores a duplicate in the document
 		s.jobIDs = append(s.jobIDs, j.id)
 	}
 	j.shard = s
@@ -98,7 +98,7 @@
 	}
 }
 
-// acceptJob enters a job among the accepted ones.
+// acceptJob adds a job to the accepted jobs.
 func (r *replica) acceptJob(j *job, spec *schema.Job) {
 	j.spec, j.accepted, j.left = *spec, true, false
 	j.partition = r.env.partitionOf(spec.Team)
@@ -106,8 +106,8 @@
 	r.observer.jobAccepted(j)
 }
 
-// locateJobs looks at accepted jobs that no job shard lists at present: one whose owner is shown is over,
-// any other waits for its owner.
+// locateJobs handles accepted jobs that no job shard lists at present: a job is over if the shard that
+// owns its id has been shown, and waits for that shard if not.
 func (r *replica) locateJobs(ids []string) {
 	for _, id := range ids {
 		j := r.jobs[id]
@@ -115,7 +115,7 @@
 			continue
 		}
 		if owner, shown := r.jobDirectory.owner(id); shown {
-			r.jobDirectory.noteLeft(id, r.jobShards[owner].revision)
+			r.jobDirectory.noteRemoved(id, r.jobShards[owner].revision)
 			r.removeJob(j)
 		} else {
 			r.unlocatedJobs[id] = true
@@ -123,8 +123,8 @@
 	}
 }
 
-// removeJob takes a job out that has left the accepted ones. Whoever removed it from its shard had stored
-// its outcome, or did so in the same transaction.
+// removeJob removes a job that has left its shard from the accepted jobs. Its outcome was stored before
+// it was removed from the shard, or in the same transaction.
 func (r *replica) removeJob(j *job) {
 	j.accepted, j.left = false, true
 	delete(r.unlocatedJobs, j.id)
@@ -133,13 +133,13 @@
 	r.dropIfUnused(j)
 }
 
-// provenOver reports whether a job that is not among the accepted ones is known to be over, and not just
-// not shown yet. That an id is absent proves nothing by itself; it does if
+// provenOver reports whether a job that is not among the accepted jobs is known to be over, rather than
+// just not shown yet. The absence of its id proves nothing by itself. The job is over if
 //   - the shard that owns the id was shown to have dropped it, or
-//   - its outcome "done" is known: one that is cancelled may still have tasks, and leaves its shard only
-//     when their entries are gone; or
-//   - the replica is whole as of a revision at which a task of it was entered already. A task is entered only
-//     while its job is accepted, so the job has left since.
+//   - its outcome "done" is known (a cancelled job may still have tasks, and leaves its shard only when
+//     their entries are gone), or
+//   - the replica is complete as of enteredRevision, at which one of its tasks already had an entry. A
+//     task is entered only while its job is accepted, so the job has left since.
 func (r *replica) provenOver(id string, enteredRevision uint64) bool {
 	j := r.jobs[id]
 	if j != nil && (j.accepted || j.left) {
@@ -152,7 +152,7 @@
 	return shown && r.complete() && enteredRevision <= r.watchRevision
 }
 
-// knownCancelled reports whether a job, shown as accepted or not, is known to be cancelled.
+// knownCancelled reports whether a job is known to be cancelled, whether it is shown as accepted or not.
 func (r *replica) knownCancelled(id string) bool {
 	if j := r.jobs[id]; j != nil && j.cancelled() {
 		return true
@@ -161,7 +161,7 @@
 	return known && outcome.State == StageCancelled
 }
 
-// applyProgressSegment takes a progress segment's new contents; none when it was deleted.
+// applyProgressSegment applies a progress segment's new contents; value is empty if it was deleted.
 func (r *replica) applyProgressSegment(key string, value json.RawMessage) {
 	var doc schema.ProgressSegment
 	if len(value) > 0 && !r.env.decode(key, value, &doc) {
@@ -195,8 +195,8 @@
 	}
 }
 
-// addStoredProgress adds what a progress segment says of the job. A job that is being moved to
-// another segment stands in both for a while, and what either says is true.
+// addStoredProgress adds the progress that a segment stores for the job. While a job is being moved to
+// another segment, it is in both, and the progress in either is valid.
 func (j *job) addStoredProgress(progress schema.JobProgress) error {
 	if j.storedRanges == progress.DoneRanges {
 		return nil
--- a/internal/controller/replica_machines.go
+++ b/internal/controller/replica_machines.go
@@ -9,37 +9,37 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// applyMachineShard takes a machine shard's new contents.
+// applyMachineShard applies a machine shard's new contents.
 func (r *replica) applyMachineShard(s *machineShard, value json.RawMessage, revision uint64) {
 	var doc schema.MachineShard
 	if !r.env.decode(s.key, value, &doc) {
 		return
 	}
-	previousPartition, awaited := s.partition, s.machines
+	previousPartition, previousMachines := s.partition, s.machines
 	s.changedAt = r.env.now
 	if s.partition != doc.Partition {
 		s.movedAt = r.env.now
 	}
 	s.revision, s.size, s.partition, s.handovers, s.splitCount = revision, len(value), doc.Partition, doc.Handovers, doc.ShardCount
 	r.growMachineShards(doc.ShardCount)
-	r.machineDirectory.note(s.number, doc.ShardCount)
+	r.machineDirectory.noteCount(s.number, doc.ShardCount)
 	s.machines = make([]*machine, 0, len(doc.Machines))
 	for i := range doc.Machines {
 		entry := &doc.Machines[i]
-		if r.machineDirectory.isOld(entry.Name, s.number, revision) {
-			continue // what is shown of it already is later
+		if r.machineDirectory.isStale(entry.Name, s.number, revision) {
+			continue // the replica already shows a later state of the machine
 		}
 		m, partition := r.placeInShard(entry.Name, s, previousPartition)
 		r.applyMachine(m, entry, revision, partition != doc.Partition)
 	}
-	r.locateMachines(awaited)
+	r.locateMachines(previousMachines)
 	if len(r.unlocatedMachines) > 0 {
 		r.locateUnlocatedMachines()
 	}
 }
 
-// placeInShard puts a machine that a machine shard lists there, and returns the partition in which it
-// was before: its former shard's, if it was split off from another.
+// placeInShard attaches a machine to the machine shard that lists it, and returns the partition that the
+// machine was in before: that of its former shard if it was split off from one, else previousPartition.
 func (r *replica) placeInShard(name string, s *machineShard, previousPartition int) (*machine, int) {
 	m := r.machines[name]
 	if m == nil {
@@ -58,15 +58,15 @@
 	return m, previousPartition
 }
 
-// locateMachines looks at machines that a shard has listed: one that no shard lists any more is gone if
-// its owner is shown, and waits for its owner if not.
+// locateMachines handles machines that a shard has listed: a machine that no shard lists any more is
+// gone if the shard that owns its name has been shown, and waits for that shard if not.
 func (r *replica) locateMachines(machines []*machine) {
 	for _, m := range machines {
 		if r.machines[m.name] != m || slices.Contains(m.shard.machines, m) {
 			continue
 		}
 		if owner, shown := r.machineDirectory.owner(m.name); shown {
-			r.machineDirectory.noteLeft(m.name, r.machineShards[owner].revision)
+			r.machineDirectory.noteRemoved(m.name, r.machineShards[owner].revision)
 			r.removeMachine(m)
 		} else {
 			r.awaitOwner(m)
@@ -74,7 +74,7 @@
 	}
 }
 
-// locateUnlocatedMachines looks again at the machines that wait for their owners.
+// locateUnlocatedMachines retries the machines that wait for the shards that own their names.
 func (r *replica) locateUnlocatedMachines() {
 	var waiting []*machine
 	for _, name := range slices.Sorted(maps.Keys(r.unlocatedMachines)) {
@@ -83,9 +83,10 @@
 	r.locateMachines(waiting)
 }
 
-// awaitOwner keeps a machine, and what is known of it, that has gone with a part that was not shown yet.
-// Until then it is commanded as before, by what its former shard said last. That is kept in a shard of its
-// own, which no plan sees, so that nothing is written for the machine: its document is not known.
+// awaitOwner keeps a machine, and what is known of it, while the part of a split shard that owns its name
+// has not been shown. Until then the machine is commanded as before, by the last known state of its
+// former shard. It gets a private copy of that shard, which no plan sees, so that nothing is written for
+// the machine while its document is unknown.
 func (r *replica) awaitOwner(m *machine) {
 	if r.unlocatedMachines[m.name] {
 		return
@@ -96,7 +97,7 @@
 	m.shard = &former
 }
 
-// removeMachine takes a machine out whose shard has dropped it.
+// removeMachine removes a machine that its shard no longer lists.
 func (r *replica) removeMachine(m *machine) {
 	r.unbind(m)
 	delete(r.unlocatedMachines, m.name)
@@ -104,7 +105,7 @@
 	r.machinesByName = nil
 }
 
-// applyMachine takes a machine's entry as of a revision.
+// applyMachine applies a machine's entry as of a revision; moved says that it came from another partition.
 func (r *replica) applyMachine(m *machine, entry *schema.Machine, revision uint64, moved bool) {
 	previous := m.doc
 	changed := previous.Name == "" || !slices.Equal(previous.Tasks, entry.Tasks) ||
@@ -121,7 +122,7 @@
 	r.observer.machineChanged(m, machineChange{previousTasks: previous.Tasks, entryChanged: changed, moved: moved})
 }
 
-// bind enters with its job what a machine's entry says of a task.
+// bind records a task of a machine's entry with the task's job.
 func (r *replica) bind(m *machine, task schema.Task) {
 	j := r.job(task.Job)
 	j.addBinding(task.Index, binding{m, task.Attempt})
@@ -139,7 +140,7 @@
 	}
 }
 
-// unbind takes what a machine's entry lists off the jobs.
+// unbind removes the tasks of a machine's entry from their jobs.
 func (r *replica) unbind(m *machine) {
 	for _, task := range m.doc.Tasks {
 		j := r.job(task.Job)
@@ -150,7 +151,7 @@
 	}
 }
 
-// noteEntries keeps when each task of the machine's entry was first seen.
+// noteEntries records when each task of the machine's entry was first seen.
 func (m *machine) noteEntries(now entrySeen) {
 	before := m.entriesSeen
 	m.entriesSeen = make(map[taskKey]entrySeen, len(m.doc.Tasks))
--- a/internal/controller/replica_members.go
+++ b/internal/controller/replica_members.go
@@ -7,14 +7,14 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// partitionDoc is the document that names a partition's leader. Its revision is a condition of every
-// write of that leader.
+// partitionDoc is the document that names a partition's leader. Every write of that leader is
+// conditional on its revision.
 type partitionDoc struct {
 	revision uint64
 	doc      schema.Partition
 }
 
-// applyRegistration takes a controller's registration, or its deletion.
+// applyRegistration applies a controller's registration, or its deletion.
 func (r *replica) applyRegistration(key string, value json.RawMessage, deleted bool) {
 	if deleted {
 		delete(r.registeredSince, key)
@@ -30,7 +30,7 @@
 	}
 }
 
-// applyPartition takes a partition's new leader.
+// applyPartition applies a partition's document, which names its leader.
 func (r *replica) applyPartition(key string, value json.RawMessage, revision uint64, deleted bool) {
 	n, ok := numberAfterPrefix(key, schema.PartitionPrefix, math.MaxInt)
 	if !ok || deleted {
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -2,8 +2,8 @@
 
 import "frostdock.example/frostdock/internal/schema"
 
-// changeDispatcher observes the replica: it tells this process's own duties of a change that concerns
-// them. It keeps nothing itself.
+// changeDispatcher is the replica's observer: it forwards changes to the components of this process that
+// they affect. It keeps no state.
 type changeDispatcher struct {
 	*environment
 	store        *storeClient
@@ -31,11 +31,11 @@
 	d.dependencies.learnOutcome(id, outcome)
 }
 
-// machineChanged begins or ends to command a machine, or tells its agent what its entry says now.
+// machineChanged starts or stops commanding a machine, or has its agent notified of the changed entry.
 func (d *changeDispatcher) machineChanged(m *machine, change machineChange) {
 	leadership := d.partitions.led[m.shard.partition]
 	if change.entryChanged && !change.moved && leadership == nil {
-		d.noteUnaskedReleases(change.previousTasks)
+		d.noteUnrequestedReleases(change.previousTasks)
 	}
 	switch {
 	case leadership == nil || m.doc.Decommissioned:
@@ -48,7 +48,7 @@
 	}
 }
 
-// forgetUnlistedCompletions drops completions of tasks that the machine's entry lists no more.
+// forgetUnlistedCompletions drops completions of tasks that the machine's entry no longer lists.
 func (m *machine) forgetUnlistedCompletions() {
 	for key := range m.agent.completions {
 		if !m.lists(key) {
@@ -57,10 +57,10 @@
 	}
 }
 
-// noteUnaskedReleases notes tasks of this process's partitions that another leader took off its
-// machine though nobody had asked for it: they failed there. It guards against a job that fails
-// everywhere and is placed on others' machines without end.
-func (d *changeDispatcher) noteUnaskedReleases(previous schema.Tasks) {
+// noteUnrequestedReleases backs off jobs of this process's partitions whose tasks another leader released
+// from a machine that it commands though nobody requested their stop: they failed there. Otherwise a job
+// that fails everywhere would be placed on the machines of other partitions without end.
+func (d *changeDispatcher) noteUnrequestedReleases(previous schema.Tasks) {
 	for _, task := range previous {
 		j := d.replica.acceptedJob(task.Job)
 		if j == nil || j.cancelled() || task.StopMode > 0 || j.isDone(task.Index) || d.partitions.led[j.partition] == nil {
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -8,9 +8,9 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestLoadBesideChanges loads a replica in pages that are read far apart, as through a
-// cut that holds messages back: a document of the last page is newer than changes of
-// others that the watch shows after it. The task must stay where it is.
+// TestLoadBesideChanges loads a replica in pages that are read far apart, as when a network failure
+// delays messages: a document of the last page is newer than changes of other documents that the watch
+// shows after it. The task must stay bound where it is.
 func TestLoadBesideChanges(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 4
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestManyGaps has a job with more gaps among its done tasks than may be stored go on
-// by filling them: otherwise it would wait for ever.
+// TestManyGaps checks that a job with more gaps among its done tasks than may be stored goes on by
+// filling them: otherwise it would wait forever.
 func TestManyGaps(t *testing.T) {
 	j := &job{id: "j-1", accepted: true, bindings: map[int]binding{}, activeCount: -1}
 	j.spec.Tasks = 1000
@@ -52,7 +52,7 @@
 	started := 0
 	for n := j.nextUnbound(0); n >= 0; n = j.nextUnbound(n + 1) {
 		if n >= j.done.End() {
-			t.Fatalf("task %d would make what is stored longer", n)
+			t.Fatalf("task %d would lengthen the stored ranges", n)
 		}
 		j.addBinding(n, binding{m, 1})
 		started++
@@ -62,11 +62,11 @@
 	}
 }
 
-// TestCorruptShardCount shows a replica a shard that says it is one of more than there can be, and looks a
-// name up: it ended the process with "index out of range". Such a document is left out, and what
-// it held before stays.
+// TestCorruptShardCount shows a replica shards whose shard count is above the maximum, and looks up
+// names: the lookup panicked with "index out of range". Such a document is ignored, and the shard keeps
+// its previous contents.
 func TestCorruptShardCount(t *testing.T) {
-	c, jobs := splitCase(t)
+	c, jobs := newSplitTestController(t)
 	c.replica.apply(schema.JobShardKey(5), json.RawMessage(`{"of":9007199254740993}`), 20, false)
 	c.replica.apply(schema.MachineShardKey(3), json.RawMessage(`{"of":9007199254740993}`), 20, false)
 	c.replica.jobShardOf("j-2000000000")
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -11,23 +11,23 @@
 )
 
 // Documents that have become long, or too long for what the key-value store will allow, are split
-// online. One transaction writes all the parts, of which the first takes the place of the document, on
-// the condition of its mod revision: there is no moment at which an entry stands in two documents or in
-// none, and a crash, a change of leadership or a change of the limits finds either the one document or
-// all the parts.
+// online. One transaction writes all the parts, of which the first replaces the document, on the
+// condition of the document's mod revision: at no moment is an entry in two documents or in none, and a
+// crash, a change of leadership or a change of the limits leaves either the one document or all the
+// parts.
 
 const (
-	splitAbove  = 0.70 // part of the longest value above which a document is split
-	splitTarget = 0.45 // part of it that each of the parts may take
+	splitThreshold = 0.70 // share of the maximum value size above which a document is split
+	splitTarget    = 0.45 // share of the maximum value size that each part may take
 
-	machineShardSplitShare = 0.5  // part of this controller's changes that splits of machine shards use
-	jobShardSplitShare     = 0.25 // part of them that splits of job shards use
-	jobShardSplitPeriod    = 100 * units.Millisecond
-	oversizedLogPeriod     = 10 * units.Second
+	machineShardSplitShare = 0.5                     // share of this controller's change rate for splits of machine shards
+	jobShardSplitShare     = 0.25                    // share of this controller's change rate for splits of job shards
+	jobShardSplitPeriod    = 100 * units.Millisecond // minimum time between two checks for a job shard to split
+	oversizedLogPeriod     = 10 * units.Second       // minimum time between warnings about machine shards that cannot be split
 )
 
-// documentSplitter says when documents are to be split, and into how many parts. It keeps and writes
-// nothing.
+// documentSplitter decides when documents are split, and into how many parts. It keeps no state and
+// writes nothing.
 type documentSplitter struct {
 	*environment
 	store   *storeClient
@@ -35,40 +35,41 @@
 	writes  *writeBudget
 }
 
-// countFor is into how many documents one of that length is to be split; 1: it is not.
-func (d *documentSplitter) countFor(size int) int {
-	most := float64(d.store.limits.maxValueBytes())
-	if !d.replica.dependenciesEnabled() || float64(size) <= splitAbove*most {
+// partCount returns how many parts a document of size bytes is to be split into; 1: it is not split.
+func (d *documentSplitter) partCount(size int) int {
+	maxBytes := float64(d.store.limits.maxValueBytes())
+	if !d.replica.dependenciesEnabled() || float64(size) <= splitThreshold*maxBytes {
 		return 1
 	}
-	return max(2, int(float64(size)/(splitTarget*most)+0.999))
+	return max(2, int(float64(size)/(splitTarget*maxBytes)+0.999))
 }
 
-// splitDocument is one of the documents that a split gives.
+// splitDocument is one of the documents that result from a split.
 type splitDocument struct {
 	key   string
 	value json.RawMessage
 }
 
-// fit cuts a document into as few parts as are short enough, from least on and at most so many;
-// cut makes so many parts. If none are short enough for the limits to come, parts that the store may
-// still take at present are a first step. It gives nothing if that is not possible either.
-func (d *documentSplitter) fit(least, most int, cut func(parts int) []splitDocument) []splitDocument {
-	for parts := least; parts <= most; parts++ {
-		if documents := cut(parts); longestDocument(documents) <= d.store.limits.maxValueBytes() {
+// splitToFit splits a document into the fewest parts, from minParts to maxParts, that all fit the limits
+// that this controller keeps to; split returns the document in the given number of parts. If there
+// is no such number, it falls back to maxParts parts that the store still accepts under its present
+// limits, as a first step. It returns nil if that is not possible either.
+func (d *documentSplitter) splitToFit(minParts, maxParts int, split func(parts int) []splitDocument) []splitDocument {
+	for parts := minParts; parts <= maxParts; parts++ {
+		if documents := split(parts); longestDocument(documents) <= d.store.limits.maxValueBytes() {
 			return documents
 		}
 	}
-	if most < 2 || d.store.limits.lowered {
+	if maxParts < 2 || d.store.limits.lowered {
 		return nil
 	}
-	if documents := cut(most); longestDocument(documents) <= maxValueBytes(d.cfg.Settings.KVStore.ValueKB) {
+	if documents := split(maxParts); longestDocument(documents) <= maxValueBytes(d.cfg.Settings.KVStore.ValueKB) {
 		return documents
 	}
 	return nil
 }
 
-// longestDocument is the length of the longest.
+// longestDocument returns the length of the longest value, in bytes.
 func longestDocument(documents []splitDocument) int {
 	longest := 0
 	for _, document := range documents {
@@ -77,21 +78,22 @@
 	return longest
 }
 
-// creditPeriod is how long so many changes take when they may use that part of this controller's.
-func (d *documentSplitter) creditPeriod(changes int, part float64) units.Micros {
-	return units.FromSeconds(float64(changes) / (d.writes.rate() * part))
+// creditPeriod returns how long it takes to earn the credit for changes with the given share of this
+// controller's change rate.
+func (d *documentSplitter) creditPeriod(changes int, share float64) units.Micros {
+	return units.FromSeconds(float64(changes) / (d.writes.rate() * share))
 }
 
 // splitMachineShards splits machine shards of this partition that have become too long, the longest
-// first. That may take more changes than are saved up; what it takes is paid back before the next
-// split, and half of the changes are left to other work.
+// first. A split may take more changes than there is credit for; the credit is earned back before the
+// next split, at a rate that leaves half of the changes to other work.
 func (p *plan) splitMachineShards() {
 	if p.now < p.leadership.planning.splitNotBefore {
 		return
 	}
 	changes := 0
 	for _, shard := range p.shardsToSplit() {
-		documents := p.splits.fit(p.splits.countFor(shard.shard.size), p.store.limits.TxnOps, shard.split)
+		documents := p.splits.splitToFit(p.splits.partCount(shard.shard.size), p.store.limits.TxnOps, shard.split)
 		if len(documents) < 2 {
 			p.warnUnsplittable(shard)
 			continue
@@ -108,16 +110,16 @@
 	}
 }
 
-// shardsToSplit lists this partition's machine shards that have become too long, the longest first.
+// shardsToSplit returns this partition's machine shards that have become too long, the longest first.
 func (p *plan) shardsToSplit() []*stagedShard {
-	var long []*stagedShard
+	var oversized []*stagedShard
 	for _, shard := range p.shards {
-		if shard.ownShard && !shard.changed && p.splits.countFor(shard.shard.size) > 1 {
-			long = append(long, shard)
+		if shard.ownShard && !shard.changed && p.splits.partCount(shard.shard.size) > 1 {
+			oversized = append(oversized, shard)
 		}
 	}
-	slices.SortStableFunc(long, func(a, b *stagedShard) int { return cmp.Compare(b.shard.size, a.shard.size) })
-	return long
+	slices.SortStableFunc(oversized, func(a, b *stagedShard) int { return cmp.Compare(b.shard.size, a.shard.size) })
+	return oversized
 }
 
 func (p *plan) warnUnsplittable(shard *stagedShard) {
@@ -126,14 +128,14 @@
 	}
 }
 
-// splitShard has a machine shard written in so many documents.
+// splitShard stages a machine shard to be written as several documents.
 func (p *plan) splitShard(shard *stagedShard, documents int) {
 	shard.markSplit(documents)
 	p.budget.takeChanges(documents)
 	p.budget.takeBytes(documents*documentOverheadBytes + shard.shard.size)
 }
 
-// split gives the machine shard's document in so many parts.
+// split returns the machine shard's document in the given number of parts.
 func (s *stagedShard) split(parts int) []splitDocument {
 	whole := s.document()
 	splitCount := max(s.shard.splitCount, s.planner.replica.layout.MachineShards)
@@ -152,9 +154,9 @@
 	return documents
 }
 
-// jobShardSplitter splits job shards that have become too long, one at a time. It owns the pace of that.
-// It is done by one controller, the leader of partition 0, so that two seldom try the same; the
-// conditions on mod revisions keep it safe if two do.
+// jobShardSplitter splits job shards that have become too long, one at a time, and paces the splits. Only
+// the leader of partition 0 splits them, so that two controllers seldom try to split the same shard; if
+// two do, the conditions on mod revisions keep it safe.
 type jobShardSplitter struct {
 	*documentSplitter
 	authority *authority
@@ -164,24 +166,24 @@
 	notBefore units.Micros
 }
 
-// run begins a split if there is one to make and changes are left for it.
+// run starts a split if a job shard is too long and there is credit for it.
 func (d *jobShardSplitter) run() {
 	if !d.maySplit() {
 		return
 	}
 	d.notBefore = d.now + jobShardSplitPeriod
-	long := d.longest()
-	if long == nil {
+	shard := d.longest()
+	if shard == nil {
 		return
 	}
 	writeTag := d.commits.newWriteTag()
-	documents := d.fit(d.countFor(long.size), d.store.limits.TxnOps, func(parts int) []splitDocument {
-		return d.split(long, parts, writeTag)
+	documents := d.splitToFit(d.partCount(shard.size), d.store.limits.TxnOps, func(parts int) []splitDocument {
+		return d.split(shard, parts, writeTag)
 	})
 	if len(documents) < 2 {
 		return
 	}
-	d.log.Info("splitting job shard", "shard", long.key, "bytes", long.size, "pieces", len(documents), "longest", longestDocument(documents))
+	d.log.Info("splitting job shard", "shard", shard.key, "bytes", shard.size, "pieces", len(documents), "longest", longestDocument(documents))
 	d.commit(documents, writeTag)
 }
 
@@ -191,11 +193,11 @@
 		d.writes.credit >= minPlanCredit && d.now >= d.notBefore
 }
 
-// longest finds the longest of the job shards that are to be split, nil if there is none.
+// longest returns the longest of the job shards that are to be split, or nil if there is none.
 func (d *jobShardSplitter) longest() *jobShard {
 	var longest *jobShard
 	for _, shard := range d.replica.jobShards {
-		if d.countFor(shard.size) > 1 && !d.commits.isInFlight(shard.key) && (longest == nil || shard.size > longest.size) {
+		if d.partCount(shard.size) > 1 && !d.commits.isInFlight(shard.key) && (longest == nil || shard.size > longest.size) {
 			longest = shard
 		}
 	}
@@ -217,7 +219,7 @@
 	})
 }
 
-// split gives the job shard's document in so many parts.
+// split returns the job shard's document in the given number of parts.
 func (d *jobShardSplitter) split(shard *jobShard, parts int, writeTag string) []splitDocument {
 	splitCount := max(shard.splitCount, d.replica.layout.JobShards)
 	shards := make([]schema.JobShard, parts)
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -10,11 +10,11 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestMoved shows a split to a replica in every order in which its documents may come: the
-// machines, what is known of them and the jobs stay, in one document each.
+// TestMoved shows a split to a replica, with its documents in order and in reverse: the machines, what is
+// known of them and the jobs stay, in one document each.
 func TestMoved(t *testing.T) {
 	for _, parentFirst := range []bool{true, false} {
-		c, jobs := splitCase(t)
+		c, jobs := newSplitTestController(t)
 		known := maps.Clone(c.replica.machines)
 		shards := len(c.replica.machineShards)
 		docs := splitDocuments(c)
@@ -29,7 +29,7 @@
 		}
 		for name, m := range c.replica.machines {
 			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.splitCount != 3*shards {
-				t.Errorf("%s is in machine shard %d of %d, or made anew", name, m.shard.number, m.shard.splitCount)
+				t.Errorf("%s is in machine shard %d of %d, or was recreated", name, m.shard.number, m.shard.splitCount)
 			}
 		}
 		if total := machinesInShards(c); total != 6 {
@@ -57,9 +57,9 @@
 	return total
 }
 
-// splitCase is a controller whose replica has six machines in machine shard 3 and six jobs in job
-// shard 5, which it returns.
-func splitCase(t *testing.T) (*Controller, []schema.Job) {
+// newSplitTestController returns a controller whose replica has six machines in machine shard 3 and six
+// jobs in job shard 5, and these jobs.
+func newSplitTestController(t *testing.T) (*Controller, []schema.Job) {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
@@ -76,7 +76,7 @@
 	return c, jobs.Jobs
 }
 
-// splitDocuments are the documents of splitCase, split into three and two.
+// splitDocuments returns the documents of newSplitTestController's shards, split into three and two.
 func splitDocuments(c *Controller) []splitDocument {
 	shard := newStagedShard(c.planner, c.replica.machineShards[3], false, "")
 	for _, m := range c.replica.machineShards[3].machines {
@@ -85,36 +85,35 @@
 	return append(shard.split(3), c.jobShardSplits.split(c.replica.jobShards[5], 2, "mark")...)
 }
 
-// TestMovedTwice shows a replica two splits of one job shard at once, in every order in which an
-// answer of the key-value store may tell of their documents. A job that goes from the first
-// document to a part, and from there to a part of that, must not be taken for one that is over when
-// the last two come before the first: its absence is no proof of an outcome.
+// TestMovedTwice shows a replica two splits of one job shard at once, in every order in which an answer of
+// the key-value store may list their documents. A job that moves from the first document to a part, and
+// from there to a part of that, is not over, even if the last two documents come before the first: its
+// absence is no proof of an outcome.
 //
-// What happened: in the order [2 1 0] the job that moves twice was removed. Its tasks were to be stopped and
-// their entries released ("job is over"), and its user got 404, or was told "pending" after "cancelled".
-//
-// Why: a shard that lists a job no more was taken at its word unless the part to which the job had gone, by
-// that shard's own count, was not shown or listed it. That part was shown, was newer, and had been split
-// itself. TestSmallShardHistories shows every order of such histories; on the scenario moved_twice the
-// rules that broke were went_back and ran_cancelled, of jobs whose removal the log did not tell.
+// In the order [2 1 0] the job that moves twice was wrongly removed: its tasks were to be stopped and their
+// entries released ("job is over"), and its user got 404, or "pending" after "cancelled". A shard that no
+// longer listed a job was trusted unless the part that the job had moved to, by that shard's own count,
+// was not shown or listed the job. That part was shown, was newer, and had been split itself.
+// TestSmallShardHistories covers every order of such histories; in the scenario moved_twice the rules
+// went_back and ran_cancelled were violated, for jobs whose removal was not logged.
 func TestMovedTwice(t *testing.T) {
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			cfg := &config.Config{Member: "a"}
 			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 			c := quietController(cfg)
-			of := len(c.replica.jobShards)
+			shardCount := len(c.replica.jobShards)
 			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
-			stays, moves, movesTwice := job(5), job(5+of), job(5+3*of)
+			stays, moves, movesTwice := job(5), job(5+shardCount), job(5+3*shardCount)
 			c.replica.apply(schema.JobShardKey(5), encode(schema.JobShard{Jobs: []schema.Job{stays, moves, movesTwice}}), 10, false)
 			docs := []struct {
 				key      string
 				doc      schema.JobShard
 				revision uint64
 			}{
-				{schema.JobShardKey(5), schema.JobShard{ShardCount: 2 * of, Jobs: []schema.Job{stays}}, 20},
-				{schema.JobShardKey(5 + of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{moves}}, 30},
-				{schema.JobShardKey(5 + 3*of), schema.JobShard{ShardCount: 4 * of, Jobs: []schema.Job{movesTwice}}, 30},
+				{schema.JobShardKey(5), schema.JobShard{ShardCount: 2 * shardCount, Jobs: []schema.Job{stays}}, 20},
+				{schema.JobShardKey(5 + shardCount), schema.JobShard{ShardCount: 4 * shardCount, Jobs: []schema.Job{moves}}, 30},
+				{schema.JobShardKey(5 + 3*shardCount), schema.JobShard{ShardCount: 4 * shardCount, Jobs: []schema.Job{movesTwice}}, 30},
 			}
 			for _, i := range order {
 				c.replica.apply(docs[i].key, encode(docs[i].doc), docs[i].revision, false)
--- a/internal/controller/shard_histories_test.go
+++ b/internal/controller/shard_histories_test.go
@@ -13,52 +13,52 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// The tests of this file play small histories of job shards and machine shards on a store: jobs are
-// accepted, bound and removed, machines come and go, shards are split, and parts of them again. Each
-// history is shown to a replica in many orders: revisions of one key only rise, and some are left out,
-// as in an answer that has only the newest state of each key.
+// The tests in this file apply small histories of job shards and machine shards to a store: jobs are
+// accepted, bound and removed, machines are registered and deleted, shards are split, and their parts
+// again. Each history is shown to a replica in many orders: revisions of one key only rise, and some are
+// left out, as in an answer that has only the newest state of each key.
 //
-// What happened: a replica that was shown the documents of two splits, the later ones first, dropped
-// accepted jobs; their tasks were to be stopped and their entries released. In the same way it dropped
-// machines, or made them anew without what was known of their agents. Why: it asked one part only where a
-// name had gone, by the count of the document that had listed it, and took a part that was newer than
-// that document for the proof that the job was over. The tests name history, order and step.
+// They guard against a replica that lost accepted jobs when it was shown the documents of two splits, the
+// later ones first: their tasks were to be stopped and their entries released. It lost machines in the
+// same way, or recreated them without the state of their agents. It looked for a name in one part only,
+// by the count of the document that had listed the name, and took a part that was newer than that
+// document for proof that the job was over. Failures name the history, the order and the step.
 
-// historyEvent is a state of a document as of a revision.
+// historyEvent is the state of a document as of a revision.
 type historyEvent struct {
 	key      string
 	revision uint64
 	value    []byte
 }
 
-// historyStore is the store's truth: whole documents, and what has happened to each name.
+// historyStore models the store: whole documents, and what has happened to each name.
 type historyStore struct {
 	revision   uint64
 	events     []historyEvent
 	jobs       map[int]*schema.JobShard
 	machines   map[int]*schema.MachineShard
-	acceptedAt map[string]uint64 // jobs, by the revision that accepted them
-	removedAt  map[string]uint64 // jobs that are over, with an outcome
-	droppedAt  map[string]uint64 // machines that were deleted
-	base       int               // shards of each kind that were never split
-	script     []string          // what was done, for messages
+	acceptedAt map[string]uint64 // by job: the revision that accepted it
+	removedAt  map[string]uint64 // by job: the revision at which it was over, with an outcome
+	deletedAt  map[string]uint64 // by machine: the revision that deleted it
+	base       int               // number of shards of each kind before any split
+	script     []string          // operations, for failure messages
 }
 
-// baseShard is the shard of each kind that all names of a history begin in.
+// baseShard is the shard of each kind that owns all names of a history at first.
 const baseShard = 5
 
 func newHistoryStore(base int) *historyStore {
 	return &historyStore{
 		jobs: map[int]*schema.JobShard{baseShard: {}}, machines: map[int]*schema.MachineShard{baseShard: {}},
-		acceptedAt: map[string]uint64{}, removedAt: map[string]uint64{}, droppedAt: map[string]uint64{}, base: base,
+		acceptedAt: map[string]uint64{}, removedAt: map[string]uint64{}, deletedAt: map[string]uint64{}, base: base,
 	}
 }
 
-// jobName and machineName are names of the base shard.
+// jobName and machineName return names that the base shard owns.
 func (s *historyStore) jobName(n int) string     { return fmt.Sprintf("j-%06d", baseShard+n*s.base) }
 func (s *historyStore) machineName(n int) string { return fmt.Sprintf("n-%06d", baseShard+n*s.base) }
 
-// begin begins a transaction.
+// begin starts a transaction and adds it to the script.
 func (s *historyStore) begin(format string, args ...any) {
 	s.revision++
 	s.script = append(s.script, fmt.Sprintf("%d: ", s.revision)+fmt.Sprintf(format, args...))
@@ -72,18 +72,18 @@
 	s.events = append(s.events, historyEvent{schema.MachineShardKey(n), s.revision, encode(s.machines[n])})
 }
 
-// ownerOf finds the shard that owns a number, by what the documents themselves say.
+// ownerOf finds the shard that owns a number, by the shard counts that the documents state.
 func ownerOf[D any](documents map[int]D, number, base int, count func(D) int) int {
 	for n, document := range documents {
-		of := count(document)
-		if of == 0 {
-			of = base
+		shardCount := count(document)
+		if shardCount == 0 {
+			shardCount = base
 		}
-		if number%of == n {
+		if number%shardCount == n {
 			return n
 		}
 	}
-	panic(fmt.Sprintf("no shard owns %d", number)) // a fault of the test
+	panic(fmt.Sprintf("no shard owns %d", number)) // a bug in the test
 }
 
 func jobShardCount(d *schema.JobShard) int         { return d.ShardCount }
@@ -140,7 +140,7 @@
 
 func (s *historyStore) register(n int) {
 	name, owner := s.machineName(n), s.machineOwner(n)
-	if slices.ContainsFunc(s.machines[owner].Machines, func(m schema.Machine) bool { return m.Name == name }) || s.droppedAt[name] > 0 {
+	if slices.ContainsFunc(s.machines[owner].Machines, func(m schema.Machine) bool { return m.Name == name }) || s.deletedAt[name] > 0 {
 		return
 	}
 	s.begin("register %s", name)
@@ -148,19 +148,19 @@
 	s.emitMachineShard(owner)
 }
 
-func (s *historyStore) drop(n int) {
+func (s *historyStore) deleteMachine(n int) {
 	name, owner := s.machineName(n), s.machineOwner(n)
 	before := len(s.machines[owner].Machines)
 	s.machines[owner].Machines = slices.DeleteFunc(slices.Clone(s.machines[owner].Machines), func(m schema.Machine) bool { return m.Name == name })
 	if len(s.machines[owner].Machines) == before {
 		return
 	}
-	s.begin("drop %s", name)
-	s.droppedAt[name] = s.revision
+	s.begin("delete %s", name)
+	s.deletedAt[name] = s.revision
 	s.emitMachineShard(owner)
 }
 
-// bind enters a task of a job on a machine, if both are there.
+// bind enters a task of a job on a machine, if the job is accepted and the machine exists.
 func (s *historyStore) bind(job, machine, index int) {
 	id, name, owner := s.jobName(job), s.machineName(machine), s.machineOwner(machine)
 	if s.acceptedAt[id] == 0 || s.removedAt[id] > 0 {
@@ -195,17 +195,17 @@
 	}
 }
 
-// historyReplica is a replica that is shown a history, and what it has been shown of it.
+// historyReplica is a replica that is shown a history, with a record of what it was shown.
 type historyReplica struct {
-	t     *testing.T
-	name  string
-	store *historyStore
-	c     *Controller
-	shown map[string]uint64 // revision by key
-	seen  map[string]bool   // names that it has been shown
-	known map[string]*machine
-	agent map[string]*agentState // what is known of machines' agents
-	steps []string
+	t             *testing.T
+	name          string
+	store         *historyStore
+	c             *Controller
+	shown         map[string]uint64 // last shown revision by key
+	seenJobs      map[string]bool   // jobs that the replica has shown as accepted
+	knownMachines map[string]*machine
+	agents        map[string]*agentState // by machine: its agent state when it was first shown
+	steps         []string
 }
 
 func newHistoryReplica(t *testing.T, name string, store *historyStore) *historyReplica {
@@ -215,11 +215,11 @@
 	c.partitions.led[0] = &leadership{} // so that it commands the machines
 	return &historyReplica{
 		t: t, name: name, store: store, c: c,
-		shown: map[string]uint64{}, seen: map[string]bool{}, known: map[string]*machine{}, agent: map[string]*agentState{},
+		shown: map[string]uint64{}, seenJobs: map[string]bool{}, knownMachines: map[string]*machine{}, agents: map[string]*agentState{},
 	}
 }
 
-// show shows one state of a document, then all that is whole by then, and looks at every name.
+// show applies one state of a document, advances the replica as far as it is complete, and checks all names.
 func (r *historyReplica) show(event historyEvent) {
 	r.steps = append(r.steps, fmt.Sprintf("%s@%d", event.key, event.revision))
 	r.shown[event.key] = event.revision
@@ -227,27 +227,27 @@
 	if !r.c.replica.synced {
 		r.c.replica.beginSync(0)
 	}
-	r.c.replica.advance(r.wholeRevision())
+	r.c.replica.advance(r.completeRevision())
 	for name, m := range r.c.replica.machines {
-		if r.known[name] != nil && r.known[name] != m {
-			r.fail("%s was made anew", name)
+		if r.knownMachines[name] != nil && r.knownMachines[name] != m {
+			r.fail("%s was recreated", name)
 		}
-		if r.known[name] == nil {
-			r.known[name], r.agent[name] = m, m.agent
+		if r.knownMachines[name] == nil {
+			r.knownMachines[name], r.agents[name] = m, m.agent
 		}
 	}
 	r.check()
 }
 
-// wholeRevision is the last revision as of which the replica was shown all.
-func (r *historyReplica) wholeRevision() uint64 {
-	whole := r.store.revision
+// completeRevision returns the last revision up to which the replica was shown every change.
+func (r *historyReplica) completeRevision() uint64 {
+	revision := r.store.revision
 	for _, event := range r.store.events {
 		if r.shown[event.key] < event.revision {
-			whole = min(whole, event.revision-1)
+			revision = min(revision, event.revision-1)
 		}
 	}
-	return whole
+	return revision
 }
 
 func (r *historyReplica) fail(format string, args ...any) {
@@ -255,55 +255,55 @@
 	r.t.Fatalf("%s: %s\nhistory %q\nshown %q", r.name, fmt.Sprintf(format, args...), r.store.script, r.steps)
 }
 
-// check looks at what must hold at every step: a job that was shown as accepted stays until the replica
-// has been shown a document of a revision at which it was over; the same for machines, with what is
-// known of their agents; and nothing releases or stops a task of a job that is not over.
+// check verifies what must hold after every step: a job that was shown as accepted stays until the
+// replica has been shown a document of a revision at which it was over; the same holds for machines and
+// the state of their agents; and no task of a job that is not over is released or stopped.
 func (r *historyReplica) check() {
 	r.t.Helper()
 	latest := slices.Max(slices.Collect(maps.Values(r.shown)))
 	for id := range r.store.acceptedAt {
 		r.checkJob(id, latest)
 	}
-	for name, m := range r.known {
-		dropped := r.store.droppedAt[name] > 0 && r.store.droppedAt[name] <= latest
-		if !dropped && (r.c.replica.machines[name] != m || m.agent == nil || m.agent != r.agent[name]) {
+	for name, m := range r.knownMachines {
+		deleted := r.store.deletedAt[name] > 0 && r.store.deletedAt[name] <= latest
+		if !deleted && (r.c.replica.machines[name] != m || m.agent == nil || m.agent != r.agents[name]) {
 			r.fail("machine %s is lost", name)
 		}
 	}
 	for _, m := range r.c.replica.machines {
 		for _, task := range m.doc.Tasks {
-			if !r.over(task.Job, latest) {
+			if !r.finished(task.Job, latest) {
 				r.checkEntry(m, task)
 			}
 		}
 	}
 }
 
-// over reports whether a job is over as of a revision.
-func (r *historyReplica) over(id string, revision uint64) bool {
+// finished reports whether a job is over as of a revision.
+func (r *historyReplica) finished(id string, revision uint64) bool {
 	return r.store.removedAt[id] > 0 && r.store.removedAt[id] <= revision
 }
 
-// checkJob looks at one job when documents up to the latest revision were shown.
+// checkJob checks one job after documents up to the latest revision were shown.
 func (r *historyReplica) checkJob(id string, latest uint64) {
 	r.t.Helper()
-	accepted, over := r.c.replica.acceptedJob(id) != nil, r.over(id, latest)
-	if r.seen[id] && !accepted && !over {
+	accepted, finished := r.c.replica.acceptedJob(id) != nil, r.finished(id, latest)
+	if r.seenJobs[id] && !accepted && !finished {
 		r.fail("%s is lost", id)
 	}
-	r.seen[id] = r.seen[id] || accepted
-	if latest > r.wholeRevision() {
-		return // in the middle of an answer that leaves states out, it may wait for its shard
+	r.seenJobs[id] = r.seenJobs[id] || accepted
+	if latest > r.completeRevision() {
+		return // the replica is incomplete, as within an answer: the job may wait for its shard
 	}
-	if r.store.acceptedAt[id] <= latest && !accepted && !over {
+	if r.store.acceptedAt[id] <= latest && !accepted && !finished {
 		r.fail("%s is not shown", id)
 	}
-	if over && accepted {
+	if finished && accepted {
 		r.fail("%s is kept though it is over", id)
 	}
 }
 
-// checkEntry looks at what may be done with an entry whose job is not over.
+// checkEntry checks what may be done with an entry whose job is not over.
 func (r *historyReplica) checkEntry(m *machine, task schema.Task) {
 	r.t.Helper()
 	facts, name := r.c.facts.ofTask(m, task), keyOf(task).task()
@@ -319,7 +319,7 @@
 	}
 }
 
-// checkEqual compares the replica, which has been shown all, with the store.
+// checkEqual compares the replica, after the whole history was shown, with the store.
 func (r *historyReplica) checkEqual() {
 	r.t.Helper()
 	for n, document := range r.store.jobs {
@@ -338,7 +338,7 @@
 	if len(r.c.replica.machines) != machines {
 		r.fail("%d machines, want %d", len(r.c.replica.machines), machines)
 	}
-	for _, m := range r.c.replica.machines { // an entry of a job that is over can go
+	for _, m := range r.c.replica.machines { // the entries of a job that is over may be released
 		for _, task := range m.doc.Tasks {
 			if r.store.removedAt[task.Job] > 0 && r.c.facts.ofTask(m, task).MayRelease(guard.MachineFacts{}) != guard.ReleaseJobOver {
 				r.fail("%s on %s is never released", keyOf(task).task(), m.name)
@@ -378,7 +378,7 @@
 	}
 }
 
-// eventsByKey are a history's events, those of each key in the order of their revisions.
+// eventsByKey returns a history's events grouped by key, in the order of their revisions.
 func (s *historyStore) eventsByKey() [][]historyEvent {
 	var keys []string
 	byKey := map[string][]historyEvent{}
@@ -395,26 +395,26 @@
 	return all
 }
 
-// everyOrder calls show for every order of the events, those of one key in order, where any but the last
-// of a key may be left out. It returns how many orders there were.
+// everyOrder calls show with every order of the events that keeps the order within each key; any
+// event but the last of its key may be left out. It returns the number of orders.
 func everyOrder(rest [][]historyEvent, order []historyEvent, show func([]historyEvent)) int {
-	count, left := 0, false
+	count, remaining := 0, false
 	for i, events := range rest {
 		for skipped := range events {
-			left = true
+			remaining = true
 			next := slices.Clone(rest)
 			next[i] = events[skipped+1:]
 			count += everyOrder(next, append(slices.Clone(order), events[skipped]), show)
 		}
 	}
-	if !left {
+	if !remaining {
 		show(order)
 		return 1
 	}
 	return count
 }
 
-// smallHistories are histories whose every order is shown.
+// smallHistories are histories that are shown in every order.
 var smallHistories = []struct {
 	name string
 	play func(s *historyStore)
@@ -466,7 +466,7 @@
 	{"machines, dropped between the splits", func(s *historyStore) {
 		s.register(3)
 		s.splitMachines(0, 2)
-		s.drop(3)
+		s.deleteMachine(3)
 		s.splitMachines(1, 2)
 	}},
 	{"a task bound before and after a split of both", func(s *historyStore) {
@@ -487,8 +487,8 @@
 	}},
 }
 
-// historyBase is the number of shards of each kind that replicas of these tests begin with; it must be the
-// same for both kinds.
+// historyBase returns the number of shards of each kind that a history begins with: the number of job
+// shards of a new replica, which must be a multiple of its number of machine shards.
 func historyBase(t *testing.T) int {
 	t.Helper()
 	c := newHistoryReplica(t, "", nil).c
@@ -516,7 +516,7 @@
 	}
 }
 
-// TestRandomShardHistories shows random histories in random orders; a seed that fails names them.
+// TestRandomShardHistories shows random histories in random orders; a failure names the seed and order.
 func TestRandomShardHistories(t *testing.T) {
 	const histories, orders, operations = 120, 12, 14
 	base := historyBase(t)
@@ -529,7 +529,7 @@
 			n := random.IntN(12)
 			[]func(){
 				func() { store.accept(n) }, func() { store.accept(n) }, func() { store.finish(n) },
-				func() { store.register(n) }, func() { store.register(n) }, func() { store.drop(n) },
+				func() { store.register(n) }, func() { store.register(n) }, func() { store.deleteMachine(n) },
 				func() { store.bind(n, random.IntN(12), random.IntN(4)) }, func() { store.bind(0, 0, random.IntN(4)) },
 				func() { store.splitJobs(n, 2+random.IntN(2)) }, func() { store.splitMachines(n, 2+random.IntN(2)) },
 			}[random.IntN(10)]()
@@ -540,7 +540,7 @@
 	}
 }
 
-// showInRandomOrder shows a history, key by key at random, with some states left out.
+// showInRandomOrder shows a history's states in a random order across keys, with some left out.
 func showInRandomOrder(t *testing.T, name string, store *historyStore, random *rand.Rand) {
 	t.Helper()
 	replica := newHistoryReplica(t, name, store)
@@ -561,10 +561,10 @@
 }
 
 // TestAcceptWaitsForOwner submits a job whose job shard was split off from one that is shown already, as
-// between the pages of a reload. What happened: the job was written into the shard that was shown, which
-// does not own it, and the condition on that shard's revision held. Why: a name without a shown owner was
-// taken to be in the shard of the first layout. The transaction's key showed it. The submission waits for
-// the part; if its user gives up first, nothing was written.
+// between the pages of a reload. A name without a shown owner was assumed to be in the shard of the first
+// layout, so the job was written into the shown shard, which does not own it, and the condition on that
+// shard's revision held. The submission must wait for the part; if its user gives up first, nothing is
+// written.
 func TestAcceptWaitsForOwner(t *testing.T) {
 	c, writer := newTestAccepts()
 	base := len(c.replica.jobShards)
@@ -581,10 +581,10 @@
 	}
 }
 
-// TestProofWaitsForReload has a user wait for a proof while the replica is loaded anew. What happened: the
-// proof was taken from the first page, though later pages are of later revisions: what moved between two
-// documents meanwhile stood in neither, and its user was told 404. Why: a wait ended once the replica was
-// loaded, not once it was whole; the order of pages and revisions in the log shows which it was.
+// TestProofWaitsForReload has a user wait for a proof while the replica is reloaded. The wait ended once
+// the replica was loaded, not once it was complete, so the proof was taken from the first page though
+// later pages are of later revisions: an entry that moved between two documents meanwhile was in neither,
+// and the user got 404.
 func TestProofWaitsForReload(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
@@ -596,17 +596,17 @@
 	c.replica.beginSync(15)
 	c.freshness.releaseWaiters()
 	if proven {
-		t.Error("proven by a replica that is not whole")
+		t.Error("proven by a replica that is not complete")
 	}
 	c.replica.advance(25)
 	c.freshness.releaseWaiters()
 	if !proven {
-		t.Error("not proven by a whole replica")
+		t.Error("not proven by a complete replica")
 	}
 }
 
-// TestMisplacedJob shows a job in a shard that does not own it, as TestAcceptWaitsForOwner tells of and as an
-// earlier version may have written it. It stays accepted, also when shards are split, its own one included.
+// TestMisplacedJob shows a job in a shard that does not own it, as an earlier version may have written it
+// (see TestAcceptWaitsForOwner). It stays accepted, also when shards are split, including its own.
 func TestMisplacedJob(t *testing.T) {
 	c, _ := newTestAccepts()
 	base := len(c.replica.jobShards)
@@ -625,8 +625,8 @@
 	checkAccepted(t, c, []schema.Job{job})
 }
 
-// TestProvenOver asks whether a job is over that is not among the accepted ones, of a replica that is loaded
-// up to revision 10, with a task of it entered at some revision.
+// TestProvenOver asks whether a job that is not among the accepted jobs is over. The replica is loaded up
+// to revision 10, and a task of the job was entered at the given revision.
 func TestProvenOver(t *testing.T) {
 	const id = "j-000005"
 	for _, tc := range []struct {
@@ -666,7 +666,8 @@
 	}
 }
 
-// TestDeletedJobShard has a job shard deleted, as by hand: its jobs are gone, and nothing waits for them.
+// TestDeletedJobShard deletes a job shard, as an operator may by hand: its jobs are gone, and none waits
+// for its owner.
 func TestDeletedJobShard(t *testing.T) {
 	c, _ := newTestAccepts()
 	base := len(c.replica.jobShards)
--- a/internal/controller/shard_transfers.go
+++ b/internal/controller/shard_transfers.go
@@ -3,33 +3,33 @@
 import "frostdock.example/frostdock/internal/units"
 
 const (
-	// shardTransferPeriod is how long a machine shard stays where it was transferred to. Two leaders
-	// may each think that the other lacks machines, since only the leader knows which jobs back off;
-	// they must not hand the same machine shards to and fro without end.
-	shardTransferPeriod = 30 * units.Second
+	// shardTransferCooldown is how long a machine shard stays in the partition that it was transferred
+	// to. Two leaders may each conclude that the other lacks machines, since only the leader knows which
+	// of its jobs back off; they must not transfer the same machine shards back and forth without end.
+	shardTransferCooldown = 30 * units.Second
 
-	// maxShardsTransferred is how many machine shards are transferred together: their machines take no
-	// new work until the new leader has heard their agents.
-	maxShardsTransferred = 2
+	// maxShardsPerTransfer bounds how many machine shards are transferred together: their machines take
+	// no new work until the new leader has received heartbeats of their agents.
+	maxShardsPerTransfer = 2
 )
 
-// transferUnusedShards hands machine shards that are of no use here to the partition that lacks
-// machines most.
+// transferUnusedShards transfers machine shards that this partition's jobs do not use to the partition
+// whose jobs lack the most CPUs.
 func (p *plan) transferUnusedShards() {
 	if !periodOf(p.transferPeriods, p.leadership.partition).due(p.now, rebalancePeriod) {
 		return
 	}
-	lackingCPUs := p.lackingCPUs()
-	if lackingCPUs[p.leadership.partition] > 0 {
+	unmetCPUs := p.unmetCPUs()
+	if unmetCPUs[p.leadership.partition] > 0 {
 		return
 	}
-	to := p.partitionThatLacksMost(lackingCPUs)
+	to := p.partitionWithMostUnmetCPUs(unmetCPUs)
 	if to < 0 {
 		return
 	}
-	lacking, transferred := lackingCPUs[to], 0
+	remainingCPUs, transferred := unmetCPUs[to], 0
 	for _, shard := range p.shards {
-		if lacking <= 0 || transferred >= maxShardsTransferred {
+		if remainingCPUs <= 0 || transferred >= maxShardsPerTransfer {
 			return
 		}
 		if p.transferable(shard) {
@@ -37,36 +37,37 @@
 			p.transferShard(shard, to)
 			for _, m := range shard.machines {
 				if machineType := p.catalog.machineType(m.machine.doc.Type); machineType != nil {
-					lacking -= machineType.CPUs
+					remainingCPUs -= machineType.CPUs
 				}
 			}
 		}
 	}
 }
 
-// lackingCPUs is what the jobs of each partition want and its machines cannot give.
-func (p *plan) lackingCPUs() map[int]float64 {
-	lacking := map[int]float64{}
+// unmetCPUs returns for each partition the CPUs that its jobs want and its machines cannot provide.
+func (p *plan) unmetCPUs() map[int]float64 {
+	unmetCPUs := map[int]float64{}
 	for _, unmet := range p.demand.unmetDemands(false) {
-		lacking[unmet.job.partition] += float64(unmet.tasks) * unmet.job.spec.CPUs
+		unmetCPUs[unmet.job.partition] += float64(unmet.tasks) * unmet.job.spec.CPUs
 	}
-	return lacking
+	return unmetCPUs
 }
 
-// partitionThatLacksMost is -1 if none lacks anything.
-func (p *plan) partitionThatLacksMost(lackingCPUs map[int]float64) int {
+// partitionWithMostUnmetCPUs returns the partition whose jobs lack the most CPUs, or -1 if none
+// lack any.
+func (p *plan) partitionWithMostUnmetCPUs(unmetCPUs map[int]float64) int {
 	most := -1
 	for _, partition := range p.partitions.withTeams {
-		if lackingCPUs[partition] > 0 && (most < 0 || lackingCPUs[partition] > lackingCPUs[most]) {
+		if unmetCPUs[partition] > 0 && (most < 0 || unmetCPUs[partition] > unmetCPUs[most]) {
 			most = partition
 		}
 	}
 	return most
 }
 
-// transferable reports whether a machine shard may be handed over by this plan.
+// transferable reports whether this plan may transfer a machine shard.
 func (p *plan) transferable(shard *stagedShard) bool {
-	return shard.ownShard && !shard.changed && p.now-shard.shard.movedAt >= shardTransferPeriod && p.fitsShard(shard) && p.shardUnused(shard)
+	return shard.ownShard && !shard.changed && p.now-shard.shard.movedAt >= shardTransferCooldown && p.fitsShard(shard) && p.shardUnused(shard)
 }
 
 func (p *plan) transferShard(shard *stagedShard, to int) {
@@ -75,8 +76,9 @@
 	p.log.Info("transferring machine shard", "shard", shard.shard.number, "machines", len(shard.machines), "from", p.leadership.partition, "to", to)
 }
 
-// shardUnused reports whether a machine shard has machines, and none of this partition's jobs has a
-// task there. Others' tasks may: who leads a machine's partition need not place its tasks.
+// shardUnused reports whether a machine shard has machines, and none of this partition's jobs has a task
+// on them. Tasks of other partitions' jobs may be there: tasks are also placed on machines that another
+// partition's leader commands.
 func (p *plan) shardUnused(shard *stagedShard) bool {
 	for _, m := range shard.machines {
 		if !m.usable || len(m.added) > 0 {
