--- a/internal/controller/fakestore_test.go
+++ b/internal/controller/fakestore_test.go
@@ -15,7 +15,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeStore answers a controller's requests, at once and without errors, and counts them.
+// fakeStore answers a controller's requests at once and without errors, and counts them.
 type fakeStore struct {
 	keys       map[string]kv.KeyValue
 	rev        uint64
@@ -24,15 +24,15 @@
 	asked      map[kv.RequestKind]int
 	agentCalls int
 
-	guarded bool // conditions of transactions are checked
+	guarded bool // the conditions of transactions are checked
 
-	most, mostOps int      // longest value and most changes of a transaction; 0: any
-	refused       []string // what was larger
+	most, mostOps int      // longest value in bytes and most operations of a transaction; 0: no limit
+	refused       []string // what was over these limits
 	changes       int
 }
 
-// tooLarge notes a transaction that the key-value store would not take.
-func (o *fakeStore) tooLarge(txn *kv.Txn) {
+// noteOversized records a transaction that the key-value store would refuse as too large.
+func (o *fakeStore) noteOversized(txn *kv.Txn) {
 	if o.mostOps == 0 {
 		return
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// failedConditions lists the conditions of a transaction that do not hold.
+// failedConditions returns the keys of a transaction's conditions that do not hold.
 func (o *fakeStore) failedConditions(txn *kv.Txn) []string {
 	var failed []string
 	for _, condition := range txn.Conditions {
@@ -57,13 +57,13 @@
 	return failed
 }
 
-// quietController is a controller with the default policy that logs nothing.
+// quietController returns a controller with the default policy and a log that is discarded.
 func quietController(cfg *config.Config) *Controller {
 	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
 }
 
-// stepper drives a controller whose effects are answered from outside: each call is one
-// step, 25 ms after the one before.
+// stepper returns a function that drives a controller: each call is one step, 25 ms after the one before,
+// with the answers to the effects of that one as its messages.
 func (o *fakeStore) stepper(c *Controller) func() {
 	now := units.Second
 	var msgs []Message
@@ -77,7 +77,7 @@
 	}
 }
 
-// pageBytes is how much one answer of the key-value store may hold.
+// pageBytes is the maximum size of one page of a list.
 const pageBytes = 512 << 10
 
 func (o *fakeStore) put(key string, doc any) {
@@ -85,11 +85,11 @@
 	o.keys[key] = kv.KeyValue{Key: key, Value: encode(doc), ModRevision: o.rev}
 }
 
-func (o *fakeStore) list(q kv.Request) kv.Response {
+func (o *fakeStore) list(request kv.Request) kv.Response {
 	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
 	var names []string
 	for k := range o.keys {
-		if strings.HasPrefix(k, q.Key) && k > q.After {
+		if strings.HasPrefix(k, request.Key) && k > request.After {
 			names = append(names, k)
 		}
 	}
@@ -106,7 +106,7 @@
 	return r
 }
 
-// answer gives the messages that an effect brings back.
+// answer returns the messages that an effect results in.
 func (o *fakeStore) answer(e Effect) []Message {
 	switch e := e.(type) {
 	case StoreCall:
@@ -115,19 +115,19 @@
 		return []Message{answerCloud(e)}
 	case AgentCall:
 		return []Message{o.answerAgent(e)}
-	case Reply, BroadcastHeartbeat: // bring nothing back
+	case Reply, BroadcastHeartbeat: // get no answer
 	}
 	return nil
 }
 
-// answerStore answers a request to the store; an open watch is answered when something changes.
+// answerStore answers a request to the store; an open watch is answered when a transaction is applied.
 func (o *fakeStore) answerStore(call StoreCall) []Message {
 	o.asked[call.Request.Kind]++
 	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
 	switch call.Request.Kind {
 	case kv.Get:
-		it, ok := o.keys[call.Request.Key]
-		r.Key, r.Value, r.ModRevision = it.Key, it.Value, it.ModRevision
+		item, ok := o.keys[call.Request.Key]
+		r.Key, r.Value, r.ModRevision = item.Key, item.Value, item.ModRevision
 		if !ok {
 			r.Status = kv.StatusNotFound
 		}
@@ -135,7 +135,7 @@
 		r = o.list(call.Request)
 	case kv.GrantLease:
 		r.LeaseID = 1
-	case kv.RenewLease: // has nothing to tell
+	case kv.RenewLease: // the status is the whole answer
 	case kv.Watch:
 		if call.Request.Revision >= o.rev {
 			o.waits = append(o.waits, call)
@@ -147,10 +147,10 @@
 	return []Message{StoreResult{CallID: call.CallID, Response: r}}
 }
 
-// transact carries out a transaction and answers it, and then the open watches.
+// transact applies a transaction and answers it, and then the open watches.
 func (o *fakeStore) transact(call StoreCall) []Message {
 	txn := call.Request.Txn
-	o.tooLarge(txn)
+	o.noteOversized(txn)
 	if failed := o.failedConditions(txn); len(failed) > 0 {
 		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.rev, FailedKeys: failed}}}
 	}
@@ -172,17 +172,17 @@
 	return out
 }
 
-// answerCloud has a catalog of one type and refuses all else.
+// answerCloud offers a catalog of one machine type and refuses all other operations.
 func answerCloud(call CloudCall) CloudResult {
-	d := CloudResult{CallID: call.CallID, Status: cloud.StatusRefused}
+	result := CloudResult{CallID: call.CallID, Status: cloud.StatusRefused}
 	if call.Op == CloudCatalog {
-		d.Status = cloud.StatusOK
-		d.Catalog.Types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, FetchGBPerSecond: 1, HourlyPrice: 1, BootSeconds: 30, Zones: []string{"a"}}}
+		result.Status = cloud.StatusOK
+		result.Catalog.Types = []cloud.MachineType{{Name: "big", CPUs: 32, MemGB: 256, FetchGBPerSecond: 1, HourlyPrice: 1, BootSeconds: 30, Zones: []string{"a"}}}
 	}
-	return d
+	return result
 }
 
-// answerAgent has an agent without tasks answer, and obey commands.
+// answerAgent answers as an agent without tasks that accepts all commands.
 func (o *fakeStore) answerAgent(call AgentCall) AgentResult {
 	o.agentCalls++
 	o.seq++
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -8,25 +8,25 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// occupancy is what a machine's entry and its agent's heartbeats say about what is taken there. It is
-// kept until something that it depends on may have changed: to look at every task of every machine for
-// each plan would be half of all the work of a large fleet.
+// occupancy is the capacity in use on a machine, computed from the machine's entry and its agent's
+// heartbeats. It is cached until something that it depends on may have changed: looking at every task of
+// every machine for each plan would be half of all the work in a large fleet.
 type occupancy struct {
-	validUntil units.Micros  // it may have changed by then; 0: nothing is kept
+	validUntil units.Micros  // when it must be computed again; 0: nothing is cached
 	kept       []schema.Task // entries that must stay
-	active     int           // tasks that may be active
-	used       resources
-	endingSoon resources // taken by array tasks that are about to end
+	active     int           // number of tasks that may be active
+	used       resources     // by the active tasks
+	endingSoon resources     // part of used, by array tasks that are about to end
 }
 
-// occupancyMaxAge bounds how long an occupancy is kept, whatever may have been overlooked.
+// occupancyMaxAge bounds how long an occupancy is cached, in case a change was missed.
 const occupancyMaxAge = 5 * units.Second
 
-// forgetOccupancy drops what is kept of a machine: its entry, its heartbeats or one of its jobs has
+// forgetOccupancy drops a machine's cached occupancies: its entry, its heartbeats or one of its jobs has
 // changed.
 func (m *machine) forgetOccupancy() { m.occupancies = [2]occupancy{} }
 
-// occupancyOf works out what is taken on a machine, as the controller that commands it or as another.
+// occupancyOf computes a machine's occupancy, as the controller that commands it (own) or as another.
 func (p *planner) occupancyOf(m *machine, own bool) occupancy {
 	if own {
 		return p.ownOccupancy(m)
@@ -34,14 +34,14 @@
 	return p.foreignOccupancy(m)
 }
 
-// foreignOccupancy goes by the entries alone. All of them stay: only the controller that commands the
+// foreignOccupancy uses the entries alone. All of them stay: only the controller that commands the
 // machine may release them.
 func (p *planner) foreignOccupancy(m *machine) occupancy {
 	o := occupancy{validUntil: p.now + occupancyMaxAge}
 	for _, task := range m.doc.Tasks {
 		o.kept = append(o.kept, task)
 		j := p.replica.unstoredJobOf(task)
-		// The capacity is free when the controller that commands the machine has seen the completion.
+		// A task's capacity is free once the controller that commands the machine has recorded its completion.
 		if j != nil && task.DoneTenths == 0 && !j.isDone(task.Index) {
 			o.addActive(&j.spec)
 		}
@@ -49,8 +49,8 @@
 	return o
 }
 
-// ownOccupancy goes by the entries and by what the machine's agent has reported: an entry stays unless
-// it may be released, and takes capacity also after that while its task is reported to run.
+// ownOccupancy uses the entries and the heartbeats of the machine's agent: an entry stays unless it may
+// be released, and takes capacity even then while its task is reported as running.
 func (p *planner) ownOccupancy(m *machine) occupancy {
 	o := occupancy{validUntil: p.now + occupancyMaxAge}
 	o.expireAfter(p.now, m.agent.leaseEnd)
@@ -68,14 +68,14 @@
 		}
 		if j != nil && (running || !j.isDone(task.Index)) {
 			o.addActive(&j.spec)
-			o.noteEnd(p.now, m.expectedEnd(j, task), &j.spec)
+			o.noteEnd(p.now, m.endingSoonFrom(j, task), &j.spec)
 		}
 	}
 	p.addUnlisted(&o, m)
 	return o
 }
 
-// addUnlisted counts the reported tasks that no entry lists: they take capacity until they are gone.
+// addUnlisted counts the reported tasks that have no entry: they take capacity until they are gone.
 func (p *planner) addUnlisted(o *occupancy, m *machine) {
 	for key, status := range m.agent.tasks {
 		if status.State == agent.Ended || m.lists(key) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// expireAfter has the occupancy worked out anew once a moment that is still to come has passed.
+// expireAfter has the occupancy computed again after the given moment, unless that has passed.
 func (o *occupancy) expireAfter(now, moment units.Micros) {
 	if now <= moment {
 		o.validUntil = min(o.validUntil, moment+1)
@@ -101,7 +101,8 @@
 	o.used.reserve(spec, -1)
 }
 
-// noteEnd counts an active task as ending soon from a moment on.
+// noteEnd counts an active task as ending soon if soonFrom has come, else has the occupancy computed again
+// then.
 func (o *occupancy) noteEnd(now, soonFrom units.Micros, spec *schema.Job) {
 	if soonFrom <= now {
 		o.endingSoon.reserve(spec, -1)
@@ -110,21 +111,21 @@
 	}
 }
 
-// queueAheadPeriod is how long before its expected completion a task's capacity may be given to the next one.
+// queueAheadPeriod is how long before a task's expected completion its capacity may be given to the next.
 const queueAheadPeriod = 6 * units.Second
 
-// expectedEnd is when an array task that runs on the machine comes so close to completion, by what has
-// been observed of its job, that its capacity may be given to the next one.
-func (m *machine) expectedEnd(j *job, task schema.Task) units.Micros {
-	run, runs := m.agent.runningSince[keyOf(task)]
+// endingSoonFrom returns when an array task that runs on the machine is so close to completion, by the
+// average run time of its job, that its capacity may be given to the next task; math.MaxInt64 if unknown.
+func (m *machine) endingSoonFrom(j *job, task schema.Task) units.Micros {
+	start, running := m.agent.runningSince[keyOf(task)]
 	average, _ := j.average()
-	if !runs || j.spec.Service || average == 0 {
+	if !running || j.spec.Service || average == 0 {
 		return math.MaxInt64
 	}
-	return run.at + average - queueAheadPeriod
+	return start.at + average - queueAheadPeriod
 }
 
-// lists reports whether the machine's entry has the task, with this attempt.
+// lists reports whether the machine's entry lists the task with this attempt.
 func (m *machine) lists(key taskKey) bool {
 	for _, task := range m.doc.Tasks {
 		if keyOf(task) == key {
--- a/internal/controller/outcomereads.go
+++ b/internal/controller/outcomereads.go
@@ -8,10 +8,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// outcomeReads reads outcomes of jobs from the store: the replica holds those that it was shown since it
-// was loaded, and not all of these. It owns the reads for jobs that wait for others, bounds how many of
-// them are under way, and promises that whatever is read is learned: it stays known, and passes on
-// to the dependents. It never writes.
+// outcomeReads reads outcomes of jobs from the store: the replica holds at most those that it was shown
+// since it was loaded, and not all of these. It owns the reads of outcomes that other jobs depend on, and
+// bounds how many of them are in flight. Every outcome that is read is cached in the replica and passed
+// on to the dependents. It never writes.
 type outcomeReads struct {
 	*environment
 	store        *storeClient
@@ -27,12 +27,12 @@
 }
 
 const (
-	// maxOutcomeReads is how many outcomes are read at once for the dependents of their jobs.
+	// maxOutcomeReads bounds the outcomes that are read at once for the dependents of their jobs.
 	maxOutcomeReads = 4
-	// outcomeReadPart is the part of the permitted requests that such reads may take.
-	outcomeReadPart = 0.2
-	// outcomeReadRetry is when an outcome that was not found is read again.
-	outcomeReadRetry = units.Second
+	// outcomeReadShare is the share of the permitted requests that such reads may take.
+	outcomeReadShare = 0.2
+	// outcomeReadRetryDelay is the delay before an outcome that a read did not find is read again.
+	outcomeReadRetryDelay = units.Second
 )
 
 // readMissing reads outcomes that jobs wait for and that the replica lacks.
@@ -41,7 +41,7 @@
 		return
 	}
 	for _, id := range o.replica.dependencies.Unresolved(2 * maxOutcomeReads) {
-		if !o.inFlight[id] && o.period.due(o.now, o.store.requestInterval(outcomeReadPart)) {
+		if !o.inFlight[id] && o.period.due(o.now, o.store.requestInterval(outcomeReadShare)) {
 			o.readForDependents(id)
 		}
 	}
@@ -50,20 +50,20 @@
 // readForDependents reads the outcome of a job that others wait for.
 func (o *outcomeReads) readForDependents(id string) {
 	o.inFlight[id] = true
-	forget := func() { delete(o.inFlight, id) }
+	clearInFlight := func() { delete(o.inFlight, id) }
 	o.fetch(id, func(result outcomeResult) {
 		if result.lookup == lookupFound {
-			forget()
+			clearInFlight()
 			return
 		}
-		// Not over after all, and soon shown among the accepted ones; or no answer.
-		o.after(outcomeReadRetry, forget)
+		// The job is not over after all, and will soon be shown as accepted; or the store did not answer.
+		o.after(outcomeReadRetryDelay, clearInFlight)
 	})
 }
 
 // learnConflicting reads the outcomes among the documents that failed a transaction, unless they are
-// known. That the replica does not show an outcome is no proof that there is none: a plan that relies
-// on it would be refused again and again, and its partition would store nothing more.
+// known. An outcome that the replica does not show may still exist: a plan that relies on its absence
+// would be refused again and again, and its partition could store nothing more.
 func (o *outcomeReads) learnConflicting(failedKeys []string) {
 	for _, key := range failedKeys {
 		id, isOutcome := strings.CutPrefix(key, schema.OutcomePrefix)
@@ -73,7 +73,7 @@
 	}
 }
 
-// outcomeResult is what a read of a job's outcome has shown.
+// outcomeResult is the result of reading a job's outcome.
 type outcomeResult struct {
 	lookup  lookup
 	outcome schema.Outcome // if found
@@ -85,7 +85,7 @@
 	o.store.call(kv.Request{Kind: kv.Get, Key: read.key()}, read.finish)
 }
 
-// outcomeRead is a read of an outcome that is not answered yet.
+// outcomeRead is a read of an outcome that has not been answered yet.
 type outcomeRead struct {
 	reads *outcomeReads
 	jobID string
@@ -94,7 +94,7 @@
 
 func (r *outcomeRead) key() string { return schema.OutcomePrefix + r.jobID }
 
-// finish takes the store's answer.
+// finish handles the store's response.
 func (r *outcomeRead) finish(response kv.Response) {
 	var outcome schema.Outcome
 	switch {
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -2,12 +2,12 @@
 
 import "frostdock.example/frostdock/internal/schema"
 
-// outcomeCache keeps the latest outcomes of jobs, so many at most. An outcome never changes, so what is
-// kept is true for ever; what is not kept must be read from the store.
+// outcomeCache keeps the latest outcomes of jobs, up to its capacity. An outcome never changes, so a
+// cached one is always valid; one that is not cached must be read from the store.
 type outcomeCache struct {
 	capacity int
 	byJob    map[string]schema.Outcome
-	order    []string // ids in a ring, the oldest at oldest
+	order    []string // job ids in a ring buffer; the oldest is at index oldest
 	oldest   int
 }
 
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -8,37 +8,38 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// maxProgressGaps is how many gaps the stored progress of a job may have, unless values are short.
+// maxProgressGaps is how many gaps the stored progress of a job may have, unless the maximum value size
+// permits fewer (progressGapsFor).
 const maxProgressGaps = 200
 
-// jobProgressBytes is an upper estimate of a job's progress without its id and its ranges.
+// jobProgressBytes is an upper estimate of the stored size of a job's progress without its id and ranges.
 const jobProgressBytes = 60
 
 // progressWriter stages the progress segments that a plan writes. Only the partition's leader writes
-// them, so a job may stand in any of them; what it stages is written whole with the joint changes, and
-// takes its part of the plan's budget at once.
+// them, so a job may be in any of them. A staged segment is written whole with the joint changes, and
+// taken from the plan's budget at once.
 type progressWriter struct {
 	plan     *plan
 	segments map[string]*stagedSegment // by key
-	movedTo  map[string]string         // jobs that this plan has put into another segment, and its key
+	movedTo  map[string]string         // by job: key of the segment that this plan has moved its progress to
 }
 
-// stagedSegment is a progress segment as it is to be written.
+// stagedSegment is a progress segment as the plan will write it.
 type stagedSegment struct {
 	jobs map[string]schema.JobProgress
-	size int // an upper estimate
+	size int // upper estimate of the stored value, in bytes
 }
 
 func newProgressWriter(p *plan) *progressWriter {
 	return &progressWriter{plan: p, segments: map[string]*stagedSegment{}, movedTo: map[string]string{}}
 }
 
-// written reports whether the segment of the job's progress is written anyway.
+// written reports whether the plan writes the segment with the job's progress anyway.
 func (w *progressWriter) written(j *job) bool {
 	return j.progressSegment != nil && w.segments[j.progressSegment.key] != nil
 }
 
-// segment gives a segment to be changed, without the jobs that are over.
+// segment returns a segment staged for changes, without the jobs that are over.
 func (w *progressWriter) segment(key string) *stagedSegment {
 	if staged := w.segments[key]; staged != nil {
 		return staged
@@ -60,25 +61,25 @@
 	return staged
 }
 
-// enter enters a job's progress into a segment, which makes it longer by so much.
-func (w *progressWriter) enter(staged *stagedSegment, id string, progress schema.JobProgress, growth int) {
+// setProgress sets a job's progress in a staged segment, whose size grows by growth bytes.
+func (w *progressWriter) setProgress(staged *stagedSegment, id string, progress schema.JobProgress, growth int) {
 	staged.jobs[id] = progress
 	staged.size += growth
 	w.plan.budget.takeBytes(growth)
 }
 
-// remove takes a job's progress out of its segment.
+// remove removes a job's progress from its segment.
 func (w *progressWriter) remove(j *job) { delete(w.segment(j.progressSegment.key).jobs, j.id) }
 
-// put enters a job's progress, into another segment than before if that one is full. It reports whether
-// the plan had space for it.
+// put stages a job's progress, in another segment than before if that one is full. It reports whether the
+// plan had space for it.
 func (w *progressWriter) put(j *job, progress schema.JobProgress) bool {
 	if key, moved := w.movedTo[j.id]; moved {
 		return w.putAgain(w.segments[key], j, progress)
 	}
 	cost := len(progress.DoneRanges) + len(j.id) + jobProgressBytes
 	segment := j.progressSegment
-	if segment == nil || w.plan.oversized(segment) { // which must not be written any more
+	if segment == nil || w.plan.oversized(segment) { // an oversized segment must not be written any more
 		return w.putElsewhere(j, progress, cost, nil)
 	}
 	if !w.mayWrite(segment, cost) {
@@ -93,17 +94,17 @@
 	return w.putElsewhere(j, progress, cost, segment)
 }
 
-// putAgain enters newer progress of a job that this plan has moved into a segment already.
+// putAgain replaces the progress of a job that this plan has already moved to another segment.
 func (w *progressWriter) putAgain(staged *stagedSegment, j *job, progress schema.JobProgress) bool {
 	growth := len(progress.DoneRanges) - len(staged.jobs[j.id].DoneRanges)
 	if staged.size+growth >= w.plan.store.limits.maxValueBytes() {
 		return false
 	}
-	w.enter(staged, j.id, progress, growth)
+	w.setProgress(staged, j.id, progress, growth)
 	return true
 }
 
-// mayWrite reports whether a stored segment can be written by this plan, with so much more in it.
+// mayWrite reports whether this plan can write a stored segment with cost more bytes in it.
 func (w *progressWriter) mayWrite(segment *progressSegment, cost int) bool {
 	if w.plan.commits.isInFlight(segment.key) {
 		return false
@@ -112,8 +113,7 @@
 	return w.segments[segment.key] != nil || budget.jointLeft() >= 1 && budget.bytes >= segment.size+documentOverheadBytes+cost
 }
 
-// putInPlace enters a job's progress into the segment in which it stands, if that does not become too
-// long.
+// putInPlace stages a job's progress in its present segment, unless that would become too long.
 func (w *progressWriter) putInPlace(j *job, progress schema.JobProgress, cost int) bool {
 	segment := j.progressSegment
 	growth := cost - len(segment.jobs[j.id].DoneRanges)
@@ -124,12 +124,12 @@
 	if size+growth >= w.plan.store.limits.maxValueBytes() {
 		return false
 	}
-	w.enter(w.segment(segment.key), j.id, progress, growth)
+	w.setProgress(w.segment(segment.key), j.id, progress, growth)
 	return true
 }
 
-// putElsewhere enters a job's progress into a segment with space for it, and takes it out of the
-// segment in which it stood; nil: that one stays as it is.
+// putElsewhere stages a job's progress in a segment with space for it, and removes it from segment from;
+// if from is nil, the segment that it was in stays as it is.
 func (w *progressWriter) putElsewhere(j *job, progress schema.JobProgress, cost int, from *progressSegment) bool {
 	budget := &w.plan.budget
 	key := w.segmentWithSpace(cost)
@@ -139,17 +139,17 @@
 	if from != nil {
 		w.remove(j)
 	}
-	w.enter(w.segment(key), j.id, progress, cost)
+	w.setProgress(w.segment(key), j.id, progress, cost)
 	w.movedTo[j.id] = key
 	return true
 }
 
-// segmentWithSpace finds a segment with space for so many bytes: one that is written anyway, or else
-// the first with space, or else a new one. It is empty if no value is long enough.
+// segmentWithSpace returns the key of a segment with space for cost bytes: one that is written anyway, or
+// else the first with space, or else a new one. It is empty if no value may be that long.
 func (w *progressWriter) segmentWithSpace(cost int) string {
-	most := w.plan.store.limits.maxValueBytes()
+	maxBytes := w.plan.store.limits.maxValueBytes()
 	for _, key := range w.changedKeys() {
-		if w.segments[key].size+cost < most {
+		if w.segments[key].size+cost < maxBytes {
 			return key
 		}
 	}
@@ -160,28 +160,28 @@
 		}
 		stored := w.plan.replica.progressSegments[key]
 		if stored == nil {
-			if cost+documentOverheadBytes > most {
+			if cost+documentOverheadBytes > maxBytes {
 				return ""
 			}
 			return key
 		}
-		if stored.size+cost < most*2/3 { // those that stand there already grow as well
+		if stored.size+cost < maxBytes*2/3 { // leaves space for the growth of the progress in it
 			return key
 		}
 	}
 }
 
-// changedKeys are the keys of the segments to be written, in order.
+// changedKeys returns the keys of the segments to be written, in order.
 func (w *progressWriter) changedKeys() []string { return slices.Sorted(maps.Keys(w.segments)) }
 
-// document is a segment as it is to be stored.
+// document returns a segment's document as it is to be stored.
 func (w *progressWriter) document(key string) *schema.ProgressSegment {
 	return &schema.ProgressSegment{Jobs: w.segments[key].jobs, WriteTag: w.plan.writeTag}
 }
 
 // emptyOversizedSegments moves progress out of segments that are too long to be written any more, and
-// then deletes those, which is possible at any length. A job may stand in two segments meanwhile: what
-// either says is true.
+// then deletes these segments, which is possible at any length. A job may be in two segments meanwhile;
+// the progress in either is valid.
 func (p *plan) emptyOversizedSegments() {
 	if !p.replica.dependenciesEnabled() {
 		return
@@ -199,8 +199,8 @@
 	}
 }
 
-// moveProgressOutOf puts the progress of a segment's jobs elsewhere. It reports whether the plan had
-// space for all of it.
+// moveProgressOutOf moves the progress of a segment's jobs to other segments. It reports whether the plan
+// had space for all of it.
 func (p *plan) moveProgressOutOf(segment *progressSegment) bool {
 	for _, id := range slices.Sorted(maps.Keys(segment.jobs)) {
 		j := p.replica.acceptedJob(id)
@@ -211,7 +211,7 @@
 	return true
 }
 
-// oversized reports whether a progress segment is longer than what may be written.
+// oversized reports whether a progress segment is longer than a stored value may be.
 func (p *planner) oversized(segment *progressSegment) bool {
 	return segment != nil && segment.size > p.store.limits.maxValueBytes()
 }
