--- a/internal/schema/benchmark_test.go
+++ b/internal/schema/benchmark_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchmarkMachineShard is a machine shard of twelve machines with eight tasks each.
+// benchmarkMachineShard returns a machine shard of twelve machines with eight tasks each.
 func benchmarkMachineShard() MachineShard {
 	shard := MachineShard{Partition: 3, WriteTag: "inc-7"}
 	for n := range 12 {
--- a/internal/schema/compression.go
+++ b/internal/schema/compression.go
@@ -10,11 +10,12 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Machine shards and job shards repeat the same few words in every entry, and values are limited in
-// size. The deflated form of a document is a JSON string: its plain JSON, deflated and in base 64.
-// A shard is stored in that form where it is shorter than the plain one; both are always read.
+// Machine shards and job shards repeat the same strings in every entry, and the store limits the size
+// of a value. A shard is therefore stored in its deflated form where that is shorter than its plain
+// JSON. The deflated form is a JSON string: the plain JSON, deflated and encoded in base 64. Decoding
+// accepts both forms.
 
-// compress encodes a document in the shorter of the two forms.
+// compress encodes a document as plain JSON or in the deflated form, whichever is shorter.
 func compress(doc any) ([]byte, error) {
 	plain, err := json.Marshal(doc)
 	if err != nil {
@@ -34,15 +35,15 @@
 	return out, nil
 }
 
-// MaxStoredSize bounds by how much a shard grows in the store when so many bytes of plain JSON
-// are added to it: in the deflated form, what does not shrink is a third longer.
-func MaxStoredSize(plain int) int { return plain*4/3 + 8 }
+// MaxStoredSize returns the most bytes by which a stored shard can grow when addedBytes of plain JSON
+// are added to it: in the deflated form, base 64 makes data that does not compress a third longer.
+func MaxStoredSize(addedBytes int) int { return addedBytes*4/3 + 8 }
 
-// maxDecompressedBytes bounds what is read of a deflated value, so that a corrupt one cannot
-// exhaust the memory. No document of ours is as long.
+// maxDecompressedBytes limits how much of a deflated value is decompressed, so that a corrupt one
+// cannot exhaust the memory. No valid document is that long.
 const maxDecompressedBytes = 4 << 20
 
-// decompress returns the plain JSON of a document in either form.
+// decompress returns the plain JSON of a document that is stored in either form.
 func decompress(raw []byte) ([]byte, error) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return raw, nil
@@ -52,7 +53,7 @@
 		return nil, fmt.Errorf("decompress: %w", err)
 	}
 	reader := flate.NewReader(bytes.NewReader(deflated))
-	defer func() { _ = reader.Close() }() // reports no error that reading did not
+	defer func() { _ = reader.Close() }() // reports no error that reading has not already returned
 	plain, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("decompress: %w", err)
--- a/internal/schema/compression_test.go
+++ b/internal/schema/compression_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestCompression shows that documents come back whole from either form, and that the
+// TestCompression checks that a job shard decodes to the same value from either form, and that its
 // write tag is found in both.
 func TestCompression(t *testing.T) {
 	for _, jobs := range []int{0, 1, 40} {
@@ -29,7 +29,7 @@
 	}
 }
 
-// checkForm decodes a form of a job shard, and finds its write tag as the controllers do.
+// checkForm decodes one form of a job shard, and looks for its write tag as the controllers do.
 func checkForm(t *testing.T, form []byte, want JobShard) {
 	t.Helper()
 	var got JobShard
@@ -41,11 +41,11 @@
 	}
 }
 
-// TestMalformedCompression reads no document from a damaged text.
+// TestMalformedCompression checks that a damaged deflated form is rejected.
 func TestMalformedCompression(t *testing.T) {
 	for _, bad := range []string{`"x`, `"!!!!"`, `"AAAA"`} {
 		if err := json.Unmarshal([]byte(bad), &JobShard{}); err == nil {
-			t.Errorf("%s was read", bad)
+			t.Errorf("%s was decoded without an error", bad)
 		}
 	}
 }
--- a/internal/schema/corrupt_test.go
+++ b/internal/schema/corrupt_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestCorruptNumbers reads documents whose numbers no controller writes. Such a number was used as an
-// index or a length: the reading process ended with "index out of range" or for want of memory. Now
-// the document is unreadable, and the largest numbers that can be are read.
+// TestCorruptNumbers guards against stored numbers that no controller writes. Used as an index or a
+// length, such a number ended the reading process with "index out of range" or out of memory. The
+// document must be rejected, while the largest valid numbers are still accepted.
 func TestCorruptNumbers(t *testing.T) {
 	for _, tc := range []struct {
 		text string
@@ -36,7 +36,7 @@
 	}
 	for _, text := range []string{"100000", "0-9007199254740993", "-4", "7-3"} {
 		if _, err := ParseTaskSet(text); err == nil {
-			t.Errorf("task set %q was read", text)
+			t.Errorf("task set %q was parsed without an error", text)
 		}
 	}
 }
--- a/internal/schema/job_shard.go
+++ b/internal/schema/job_shard.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// jobPrefix is what all job ids begin with. Text forms leave it out.
+// jobPrefix begins every job id. The text forms omit it.
 const jobPrefix = "j-"
 
-// JobShard is some accepted jobs, in order of their ids.
+// JobShard is one shard of the accepted jobs, ordered by id.
 type JobShard struct {
 	Jobs       []Job  `json:"j,omitempty"`
-	ShardCount int    `json:"of,omitempty"` // of how many shards it is one, if it was split; see FindShard
-	WriteTag   string `json:"w,omitempty"`  // of the transaction that wrote it
+	ShardCount int    `json:"of,omitempty"` // modulus of the names in the shard, see FindShard; 0: never split
+	WriteTag   string `json:"w,omitempty"`  // tag of the transaction that wrote it
 }
 
 // plainJobShard is a JobShard without its methods, so that encoding/json does not call them.
@@ -37,12 +37,12 @@
 // Job is an accepted job as it was submitted. It never changes.
 type Job struct {
 	ID                        string   `json:"i"`
-	Class                     string   `json:"c"` // jobs of one class take alike; it is what estimates are learnt by
+	Class                     string   `json:"c"` // jobs of one class have similar run times; run times are estimated per class
 	Team                      string   `json:"tm"`
-	Service                   bool     `json:"s,omitempty"` // all tasks run side by side until it is cancelled; else a job array
+	Service                   bool     `json:"s,omitempty"` // all tasks run at once until the job is cancelled; false: a job array
 	Priority                  int      `json:"g"`           // higher preempts lower
-	Tasks                     int      `json:"n"`           // numbered from 0
-	CPUs                      float64  `json:"cp"`          // CPUs, GPUs and memory are of one task
+	Tasks                     int      `json:"n"`           // number of tasks; they are numbered from 0
+	CPUs                      float64  `json:"cp"`          // CPUs, GPUs and memory are per task
 	GPUs                      float64  `json:"gp,omitempty"`
 	MemGB                     float64  `json:"me"`
 	Types                     []string `json:"ty,omitempty"` // allowed machine types; empty: all
@@ -52,15 +52,15 @@
 	Spot                      bool     `json:"sp,omitempty"` // spot instances are allowed
 	Image                     string   `json:"im"`
 	ImageGB                   float64  `json:"ig"`
-	EstimatedSeconds          float64  `json:"es"`           // of a task, as the user says
+	EstimatedSeconds          float64  `json:"es"`           // run time of a task, as the user estimates it
 	CheckpointIntervalSeconds float64  `json:"ck,omitempty"` // 0: tasks cannot save checkpoints
-	CheckpointSeconds         float64  `json:"sv,omitempty"` // that saving a checkpoint takes
+	CheckpointSeconds         float64  `json:"sv,omitempty"` // how long saving a checkpoint takes
 	DeadlineSeconds           float64  `json:"du,omitempty"` // after acceptance; 0: none
-	AcceptedAt                int64    `json:"at"`           // time of day, microseconds
+	AcceptedAt                int64    `json:"at"`           // Unix time, microseconds
 	Needs                     JobIDs   `json:"nd,omitempty"` // jobs that must be done before this one starts
 }
 
-// JobIDs is a list of job ids, stored as one text without the prefix that all have in common.
+// JobIDs is a list of job ids, stored as one comma-separated string of the ids without jobPrefix.
 type JobIDs []string
 
 // MarshalJSON writes the text form.
--- a/internal/schema/job_shard_test.go
+++ b/internal/schema/job_shard_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestNewFields shows that what is new is stored and read back.
+// TestNewFields checks that the fields added with FormatDependencies are stored and read back.
 func TestNewFields(t *testing.T) {
 	in := JobShard{ShardCount: 120, Jobs: []Job{{ID: "j-000412", Needs: JobIDs{"j-000398", "j-7"}}}}
 	raw, err := json.Marshal(in)
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// Keys and prefixes of keys; the package comment says what stands under each.
+// Keys and key prefixes; the package comment describes what is stored under each.
 const (
 	RootPrefix         = "k/"
-	ActivePrefix       = "k/a/"  // all that a controller keeps a replica of
+	ActivePrefix       = "k/a/"  // everything that the controllers replicate
 	LayoutKey          = "k/a/0" // sorts before all other keys under ActivePrefix, so that it is read first
 	RegistrationPrefix = "k/a/n/"
 	PartitionPrefix    = "k/a/p/"
@@ -24,7 +24,7 @@
 	OutcomePrefix      = "k/f/"
 )
 
-// RegistrationKey is the key of a process: its member and its incarnation.
+// RegistrationKey is the key of a process, identified by its member and its incarnation.
 func RegistrationKey(member, incarnation string) string {
 	return RegistrationPrefix + member + "/" + incarnation
 }
@@ -43,38 +43,38 @@
 	return ProgressPrefix + strconv.Itoa(partition) + "/" + strconv.Itoa(segment)
 }
 
-// Formats of the documents in a store. A process announces the latest that it knows in its
+// Formats of the documents in a store. Each process announces the latest format that it knows in its
 // Registration.
 const (
 	FormatInitial      = 0 // jobs without dependencies, shards that are never split
 	FormatDependencies = 1 // jobs may depend on other jobs, shards may be split
 )
 
-// Layout says over how many documents machines and jobs are sharded. The first controller
-// of a new store writes it, and the counts stay: the settings that they follow from may change
-// while the documents are there, and two controllers that count differently would not find each
-// other's machines.
+// Layout is the initial number of machine shards and job shards, and the format of the stored
+// documents. The first controller of a new store writes it, and the counts never change: the settings
+// from which they are computed may change later, and two controllers with different counts would not
+// find each other's machines.
 type Layout struct {
 	MachineShards int
 	JobShards     int
-	Format        int // of the documents in the store; raised once all members know a later one
+	Format        int // format of the stored documents; raised once all members know a later one
 }
 
-// NewLayout is the layout of a new store whose values hold valueKB, and whose teams together may
-// use maxCPUs at once; 0: any number.
+// NewLayout returns the layout of a new store whose values hold up to valueKB, and whose teams together
+// may use maxCPUs at once; 0: unlimited.
 func NewLayout(valueKB, maxCPUs float64) Layout {
 	return Layout{MachineShards: machineShardCount(valueKB, maxCPUs), JobShards: jobShardCount(valueKB)}
 }
 
-// InitialLayout is the layout of a store that has documents but no layout: the first version
-// stored none, and counted like this.
+// InitialLayout returns the layout of a store that has documents but no layout. The first version
+// stored no layout and computed the counts like this.
 func InitialLayout(valueKB float64) Layout {
 	return Layout{MachineShards: maxShardCount(valueKB), JobShards: jobShardCount(valueKB)}
 }
 
-// layoutDocument is a Layout as stored. From FormatDependencies on the counts stand under other
-// names: a process of an earlier version that starts after the upgrade finds no counts, never
-// finishes loading, and so cannot overwrite what it does not know.
+// layoutDocument is the stored form of a Layout. From FormatDependencies on, the counts have other
+// JSON names: a process of an earlier version that starts after the upgrade finds no counts, never
+// finishes loading, and so cannot overwrite fields that it does not know.
 type layoutDocument struct {
 	InitialMachineShards int `json:"g"`
 	InitialJobShards     int `json:"j"`
@@ -83,7 +83,7 @@
 	JobShards            int `json:"shelves,omitempty"`
 }
 
-// MarshalJSON writes the form that belongs to the format.
+// MarshalJSON writes the counts under the JSON names of the layout's format.
 func (l Layout) MarshalJSON() ([]byte, error) {
 	if l.Format == FormatInitial {
 		return json.Marshal(layoutDocument{InitialMachineShards: l.MachineShards, InitialJobShards: l.JobShards})
@@ -91,7 +91,7 @@
 	return json.Marshal(layoutDocument{Format: l.Format, MachineShards: l.MachineShards, JobShards: l.JobShards})
 }
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON reads the counts under either set of JSON names.
 func (l *Layout) UnmarshalJSON(raw []byte) error {
 	var doc layoutDocument
 	if err := json.Unmarshal(raw, &doc); err != nil {
@@ -104,38 +104,39 @@
 	return errors.Join(checkShardCount(l.MachineShards), checkShardCount(l.JobShards))
 }
 
-// MaxShardCount is above any number of machine shards or job shards that a store can come to have.
+// MaxShardCount is larger than any number of machine shards or job shards that a store can reach.
 const MaxShardCount = 1 << 16
 
-// checkShardCount refuses a count that only a corrupt document has.
+// checkShardCount rejects a count that only a corrupt document can contain.
 func checkShardCount(count int) error {
 	if count < 0 || count > MaxShardCount {
-		return fmt.Errorf("count of shards %d is not from 0 to %d", count, MaxShardCount)
+		return fmt.Errorf("shard count %d is not between 0 and %d", count, MaxShardCount)
 	}
 	return nil
 }
 
-// Bounds of the numbers of shards in a new store.
+// Bounds of the shard counts of a new store.
 const (
-	// minMachineShards keeps controllers from contending for the same documents where the quotas
-	// bound what runs.
+	// minMachineShards is the least count to which the CPU quotas may reduce the machine shards. With
+	// fewer, controllers would contend for the same documents.
 	minMachineShards = 12
-	// minJobShards keeps controllers from contending for the same documents when jobs arrive at once.
+	// minJobShards keeps controllers from contending for the same documents when many jobs are
+	// submitted at once.
 	minJobShards = 24
-	// minShards and maxShards bound what follows from the size of a value alone.
+	// minShards and maxShards bound the count that is computed from the size of a value alone.
 	minShards = 8
 	maxShards = 256
-	// valueKBOfAllShards is the size of all shards together: a thousand machines with eight tasks
+	// totalShardsKB is the capacity of all shards together: a thousand machines with eight tasks
 	// each fill a third of it.
-	valueKBOfAllShards = 384
-	// bytesPerCPU is what a CPU in use costs in a machine shard that is not deflated: tasks of two
-	// CPUs take 16 bytes each, machines of 16 CPUs 48 bytes.
+	totalShardsKB = 384
+	// bytesPerCPU is the space that a CPU in use takes in a machine shard that is not deflated: tasks of
+	// two CPUs take 16 bytes each and machines of 16 CPUs 48 bytes, so 16/2 + 48/16 per CPU.
 	bytesPerCPU = 11
 )
 
-// machineShardCount is over how many documents machines are sharded: as many as a large fleet
-// takes, but not more than the quotas of all teams can fill. Where fewer documents hold all that
-// can run, each transaction tells of more machines, and freed CPUs are used sooner.
+// machineShardCount returns the number of machine shards of a new store: as many as a large fleet
+// needs, but not more than the quotas of all teams can fill. With fewer shards, each transaction
+// covers more machines, and freed CPUs are used sooner.
 func machineShardCount(valueKB, maxCPUs float64) int {
 	count := maxShardCount(valueKB)
 	if maxCPUs <= 0 {
@@ -148,52 +149,54 @@
 	return count
 }
 
-// jobShardCount is over how many documents jobs are sharded: few, so that one transaction
+// jobShardCount returns the number of job shards of a new store: few, so that one transaction
 // accepts many of the jobs that are submitted at once.
 func jobShardCount(valueKB float64) int { return max(minJobShards, maxShardCount(valueKB)/2) }
 
-// maxShardCount is how many documents hold a large fleet.
+// maxShardCount returns the number of shards that hold a large fleet.
 func maxShardCount(valueKB float64) int {
-	return max(minShards, min(maxShards, int(valueKBOfAllShards/valueKB)))
+	return max(minShards, min(maxShards, int(totalShardsKB/valueKB)))
 }
 
-// MachineShardIndex is the number of the shard that a machine is in, of shards that were never
-// split. Names are numbered in order of creation, so machines that are rented together are in
-// different shards.
+// MachineShardIndex returns the number of the shard that a machine belongs to if there are that many
+// shards and none was split. Names are numbered in order of creation, so machines that are rented
+// together are in different shards.
 func MachineShardIndex(machine string, shards int) int { return nameNumber(machine) % shards }
 
-// JobShardIndex is the number of the shard that a job is in, of shards that were never split.
+// JobShardIndex returns the number of the shard that a job belongs to if there are that many shards and
+// none was split.
 func JobShardIndex(job string, shards int) int { return nameNumber(job) % shards }
 
-// FindShard is the number of the shard that a name is in, where shards may have been split.
+// FindShard returns the number of the shard that a name belongs to, where shards may have been split.
 //
-// A shard n of m holds the names whose numbers leave the remainder n by m. It is split into k by
-// writing it and k-1 new ones, each as one of m*k: n becomes n, n+m, n+2m and so on. Siblings may
-// be split differently, so every shard says of how many it is one, and holds a name only if the
-// remainder by that number is its own.
+// A shard n with modulus m holds the names whose number modulo m is n. To split it into k parts, it is
+// rewritten and k-1 new shards are written, each with modulus m*k: n becomes n, n+m, n+2m and so on.
+// The parts may later be split differently, so every shard stores its own modulus (ShardCount), and
+// holds a name only if the name's number modulo that is the number of the shard.
 //
-// initialCount is the number of shards in the layout. splitCounts are the other numbers of which
-// some shard says that it is one, the largest first. shardCount gives that number for a shard, 0
-// if the shard was never split or is not there.
-func FindShard(name string, initialCount int, splitCounts []int, shardCount func(n int) int) int {
-	n, _ := OwnerShard(name, initialCount, splitCounts, shardCount)
+// initialCount is the number of shards in the layout, the modulus of all shards that were never split.
+// splitCounts are the other moduli that shards have stored, the largest first. splitCountOf returns the
+// modulus that a shard has stored, 0 if the shard was never split or does not exist.
+func FindShard(name string, initialCount int, splitCounts []int, splitCountOf func(n int) int) int {
+	n, _ := OwnerShard(name, initialCount, splitCounts, splitCountOf)
 	return n
 }
 
-// OwnerShard is FindShard that also tells whether the shard says that it holds the name. None may say
-// so where not all shards are known: of a split that one part is known of, say.
-func OwnerShard(name string, initialCount int, splitCounts []int, shardCount func(n int) int) (shard int, known bool) {
+// OwnerShard is like FindShard, and also reports whether the modulus of the shard confirms that it holds
+// the name. Possibly no shard does while some shards are unknown, for example the other parts of a split
+// of which one part is known.
+func OwnerShard(name string, initialCount int, splitCounts []int, splitCountOf func(n int) int) (shard int, known bool) {
 	number := nameNumber(name)
 	for _, count := range splitCounts {
-		if n := number % count; shardCount(n) == count {
+		if n := number % count; splitCountOf(n) == count {
 			return n, true
 		}
 	}
 	n := number % initialCount
-	return n, shardCount(n) == 0
+	return n, splitCountOf(n) == 0
 }
 
-// nameNumber is the number that a name ends in, or a hash of a name without one.
+// nameNumber returns the number at the end of a name, or a hash of a name that does not end in one.
 func nameNumber(name string) int {
 	digits := name[strings.LastIndexByte(name, '-')+1:]
 	if number, err := strconv.ParseUint(digits, 10, 31); err == nil {
--- a/internal/schema/machine_shard.go
+++ b/internal/schema/machine_shard.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// MachineShard is some machines of one partition with all tasks that may be on them. A task is
-// stored here before its start is commanded, so that a new leader knows of every task that
-// may run without asking.
+// MachineShard is one shard of the machines, all of one partition, with the tasks that may be on them. A
+// task is stored here before its start is commanded, so that a new leader knows every task that may be
+// running without asking the agents.
 type MachineShard struct {
 	Partition  int           `json:"p"`
-	Handovers  uint64        `json:"h,omitempty"`  // how often the shard changed partitions
-	ShardCount int           `json:"of,omitempty"` // of how many shards it is one, if it was split; see FindShard
-	Kinds      []MachineKind `json:"k,omitempty"`  // that the machines refer to; exists only in the stored form
+	Handovers  uint64        `json:"h,omitempty"`  // number of times that the shard moved to another partition
+	ShardCount int           `json:"of,omitempty"` // modulus of the names in the shard, see FindShard; 0: never split
+	Kinds      []MachineKind `json:"k,omitempty"`  // kinds that the machines refer to by KindIndex; used only in the stored form
 	Machines   []Machine     `json:"m,omitempty"`
-	WriteTag   string        `json:"w,omitempty"` // of the transaction that wrote it
+	WriteTag   string        `json:"w,omitempty"` // tag of the transaction that wrote it
 }
 
 // Machine is a machine and all tasks that may be on it.
@@ -23,30 +23,30 @@
 	Name            string `json:"n"`
 	Addr            string `json:"a"`
 	MachineKind     `json:"-"`
-	KindIndex       int    `json:"k"`           // among the shard's Kinds; means something only in the stored form
-	TokenIncrements uint64 `json:"h,omitempty"` // how often the fencing token was raised for this machine alone
+	KindIndex       int    `json:"k"`           // index into the shard's Kinds; used only in the stored form
+	TokenIncrements uint64 `json:"h,omitempty"` // raises of the fencing token for this machine alone, besides the shard's Handovers
 	Decommissioned  bool   `json:"r,omitempty"` // to be deleted in the cloud: no task is placed on it
 	Tasks           Tasks  `json:"t,omitempty"`
 }
 
-// MachineKind is what many machines have in common. A shard stores each kind once.
+// MachineKind holds properties that many machines have in common. A shard stores each kind once.
 type MachineKind struct {
 	Type string `json:"y"`
 	Zone string `json:"z"`
 	Spot bool   `json:"s,omitempty"`
 }
 
-// FirstMachine names the first machine that frostdock rented. Names are in order of creation, so
-// all earlier machines are the operator's own, which are never deleted.
+// FirstMachine names the first machine that frostdock rented. Names are numbered in order of creation,
+// so all earlier machines are the operator's own, which are never deleted.
 type FirstMachine struct {
 	Name     string `json:"n"`
-	WriteTag string `json:"w,omitempty"` // of the transaction that wrote it
+	WriteTag string `json:"w,omitempty"` // tag of the transaction that wrote it
 }
 
 // plainMachineShard is a MachineShard without its methods, so that encoding/json does not call them.
 type plainMachineShard MachineShard
 
-// MarshalJSON lists the kinds of the machines and writes the shorter of the plain and the
+// MarshalJSON collects the kinds of the machines and writes the shorter of the plain and the
 // deflated form.
 func (s MachineShard) MarshalJSON() ([]byte, error) {
 	out := plainMachineShard(s)
@@ -61,7 +61,7 @@
 	return compress(out)
 }
 
-// UnmarshalJSON reads either form and gives the machines their kinds.
+// UnmarshalJSON reads either form and sets the MachineKind of each machine.
 func (s *MachineShard) UnmarshalJSON(raw []byte) error {
 	var decoded plainMachineShard
 	raw, err := decompress(raw)
--- a/internal/schema/progress.go
+++ b/internal/schema/progress.go
@@ -1,16 +1,16 @@
 package schema
 
-// ProgressSegment is the progress of some jobs of one partition, by job id.
+// ProgressSegment holds the progress of some of a partition's jobs, by job id.
 type ProgressSegment struct {
 	Jobs     map[string]JobProgress `json:"j"`
-	WriteTag string                 `json:"w,omitempty"` // of the transaction that wrote it
+	WriteTag string                 `json:"w,omitempty"` // tag of the transaction that wrote it
 }
 
-// JobProgress is what is known of a job's tasks that are done.
+// JobProgress is the stored progress of a job: its tasks that are done and their run time.
 type JobProgress struct {
-	DoneRanges string `json:"r"` // a TaskSet in its text form
+	DoneRanges string `json:"r"` // numbers of the done tasks: a TaskSet in its text form
 	// AverageSeconds is the average run time of Samples tasks. It is stored so that a new leader
-	// goes on with the estimates of the one before.
+	// continues with the estimates of the previous one.
 	AverageSeconds float64 `json:"a,omitempty"`
 	Samples        int     `json:"c,omitempty"`
 }
--- a/internal/schema/task_set.go
+++ b/internal/schema/task_set.go
@@ -14,16 +14,18 @@
 // memory with the old ones. Its text form lists the ranges: "0-7,9".
 type TaskSet struct{ ranges []taskRange } // sorted, disjoint and not adjacent
 
-// MaxTasks is how many tasks a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// errNoTaskRange is returned for numbers that no job has, or that are out of order.
-var errNoTaskRange = errors.New("no range of task numbers")
+// errInvalidTaskRange is returned for task numbers that no job can have, and for a range whose last
+// number is below its first.
+var errInvalidTaskRange = errors.New("invalid range of task numbers")
 
-// taskRange is the task numbers from first to last, both included.
+// taskRange is the range of task numbers from first to last, both included.
 type taskRange struct{ first, last int }
 
-// ParseTaskSet reads the text form. It relies on the order that String writes.
+// ParseTaskSet reads the text form. It expects the ranges in the order that String writes, and does not
+// check it.
 func ParseTaskSet(text string) (TaskSet, error) {
 	var set TaskSet
 	if text == "" {
@@ -54,12 +56,12 @@
 		return taskRange{}, err
 	}
 	if first < 0 || last < first || last >= MaxTasks {
-		return taskRange{}, errNoTaskRange
+		return taskRange{}, errInvalidTaskRange
 	}
 	return taskRange{first, last}, nil
 }
 
-// appendTo appends the form that parseTaskRange reads.
+// appendTo appends the text form of the range, which parseTaskRange reads.
 func (r taskRange) appendTo(text []byte) []byte {
 	text = strconv.AppendInt(text, int64(r.first), 10)
 	if r.last > r.first {
@@ -92,7 +94,7 @@
 	return i < len(s.ranges) && s.ranges[i].first <= n
 }
 
-// Len counts the numbers in the set.
+// Len returns the number of task numbers in the set.
 func (s TaskSet) Len() int {
 	count := 0
 	for _, numbers := range s.ranges {
@@ -101,10 +103,10 @@
 	return count
 }
 
-// RangeCount counts the ranges, which is what the set costs in the store.
+// RangeCount returns the number of ranges, on which the stored size of the set depends.
 func (s TaskSet) RangeCount() int { return len(s.ranges) }
 
-// FirstMissing is the least number, from 0, that is not in the set.
+// FirstMissing returns the smallest number, from 0 on, that is not in the set.
 func (s TaskSet) FirstMissing() int {
 	if len(s.ranges) > 0 && s.ranges[0].first == 0 {
 		return s.ranges[0].last + 1
@@ -112,7 +114,7 @@
 	return 0
 }
 
-// End is one more than the largest number in the set; 0 for the empty set.
+// End returns one more than the largest number in the set; 0 for the empty set.
 func (s TaskSet) End() int {
 	if len(s.ranges) == 0 {
 		return 0
@@ -125,7 +127,7 @@
 	if s.Contains(n) {
 		return s
 	}
-	i := s.search(n) // where n belongs: after all ranges that end before it
+	i := s.search(n) // insertion point of n: after all ranges that end before it
 	extended := make([]taskRange, 0, len(s.ranges)+1)
 	extended = append(extended, s.ranges[:i]...)
 	extended = append(extended, taskRange{n, n})
--- a/internal/schema/task_set_test.go
+++ b/internal/schema/task_set_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestTaskSet compares a growing set with a map, and reads its text form back.
+// TestTaskSet compares a growing set with a map, and parses its text form back.
 func TestTaskSet(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var s TaskSet
@@ -34,11 +34,12 @@
 		}
 	}
 	if _, err := ParseTaskSet("1-x"); err == nil {
-		t.Fatal("a range that is none was read")
+		t.Fatal("a malformed range was parsed without an error")
 	}
 }
 
-// TestUnion joins sets of tasks: for a while a job's progress is in two documents.
+// TestUnion checks the union of task sets, which is needed while a job's progress moves between
+// segments and is in two documents.
 func TestUnion(t *testing.T) {
 	for _, tc := range [][3]string{{"0-3,9", "2-5,7", "0-5,7,9"}, {"", "4", "4"}, {"0-3", "4-6", "0-6"}, {"1,3,5", "2,4", "1-5"}} {
 		a, errA := ParseTaskSet(tc[0])
--- a/internal/schema/tasks.go
+++ b/internal/schema/tasks.go
@@ -9,27 +9,27 @@
 	"strings"
 )
 
-// Task is one attempt of a task, bound to a machine.
+// Task is one attempt of a task, assigned to a machine.
 type Task struct {
 	Job        string
 	Index      int
 	Attempt    uint64
 	StopMode   StopMode
-	DoneTenths int // 0: it is not known to be done; else 1 plus the tenths of a second that it ran
+	DoneTenths int // 0: not known to be done; else 1 plus its run time in tenths of a second
 }
 
-// StopMode says whether and how a task is to be stopped. Of two modes the larger one counts.
+// StopMode says whether and how a task is to be stopped. Of two modes the larger one takes precedence.
 type StopMode int
 
 // The modes of stopping a task.
 const (
 	KeepRunning     StopMode = iota
-	StopGracefully           // given the time to save a checkpoint, if it can
+	StopGracefully           // the task gets time to save a checkpoint, if it can
 	StopImmediately          // its capacity is needed at once
 )
 
-// Tasks is the tasks on a machine, stored as text: for each job the numbers of its tasks with
-// their attempts, in base 36. Neighbours that are alike in all else are one range:
+// Tasks is the list of tasks on a machine. It is stored as text: for each job the numbers of its tasks,
+// each with its attempt in base 36. Consecutive tasks that differ only in their number are one range:
 //
 //	000412:3-7~1z141z4,9~1z141z5K;000413:0~1z141z4
 //
@@ -46,11 +46,11 @@
 	doneFlag          = '!' // before the DoneTenths
 	gracefulStopFlag  = 'S'
 	immediateStopFlag = 'K'
-	attemptBase       = 36 // digits are in lower case, so a flag is not taken for one
+	attemptBase       = 36 // its digits are lower case, so the flags S and K are not mistaken for digits
 )
 
-// errNoAttempt is returned for a range of tasks without an attempt.
-var errNoAttempt = errors.New("no attempt")
+// errMissingAttempt is returned for a range of tasks without an attempt.
+var errMissingAttempt = errors.New("missing attempt")
 
 // MarshalJSON writes the text form.
 func (ts Tasks) MarshalJSON() ([]byte, error) { return json.Marshal(ts.encode()) }
@@ -99,13 +99,13 @@
 	return a.Index - b.Index
 }
 
-// continues reports whether t is the task that many numbers after first, and like it in all else.
+// continues reports whether the number of t is first's plus distance, and t equals first otherwise.
 func (t *Task) continues(first *Task, distance int) bool {
 	return t.Job == first.Job && t.Index == first.Index+distance && t.Attempt == first.Attempt &&
 		t.StopMode == first.StopMode && t.DoneTenths == first.DoneTenths
 }
 
-// appendJob appends the id of a job whose ranges follow.
+// appendJob appends the id of a job and the separator before its ranges.
 func appendJob(text []byte, job string) []byte {
 	text = append(text, strings.TrimPrefix(job, jobPrefix)...)
 	return append(text, jobEnd)
@@ -138,7 +138,7 @@
 	for _, jobText := range strings.Split(text, string(jobSeparator)) {
 		job, ranges, found := strings.Cut(jobText, string(jobEnd))
 		if !found {
-			return nil, fmt.Errorf("parse tasks: no job in %q", jobText)
+			return nil, fmt.Errorf("parse tasks: no job id in %q", jobText)
 		}
 		for _, rangeText := range strings.Split(ranges, string(rangeSeparator)) {
 			var err error
@@ -150,11 +150,11 @@
 	return tasks, nil
 }
 
-// appendParsed appends the tasks of one range of a job.
+// appendParsed parses one range of a job's tasks and appends the tasks.
 func appendParsed(tasks Tasks, job, rangeText string) (Tasks, error) {
 	indexText, attemptText, found := strings.Cut(rangeText, string(attemptSeparator))
 	if !found {
-		return nil, errNoAttempt
+		return nil, errMissingAttempt
 	}
 	task := Task{Job: job}
 	if err := task.parseAttempt(attemptText); err != nil {
@@ -170,7 +170,7 @@
 	return tasks, nil
 }
 
-// parseAttempt reads what appendAttempt writes after the separator.
+// parseAttempt reads the attempt and the flags that appendAttempt writes after the separator.
 func (t *Task) parseAttempt(text string) error {
 	var err error
 	text, tenthsText, isDone := strings.Cut(text, string(doneFlag))
--- a/internal/schema/tasks_test.go
+++ b/internal/schema/tasks_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestTasksText reads tasks back from the text form, and nothing from malformed texts.
+// TestTasksText checks that tasks are read back from their text form, and that malformed texts are
+// rejected.
 func TestTasksText(t *testing.T) {
 	in := Tasks{
 		{Job: "j-000412", Index: 3, Attempt: 1<<28 | 7}, {Job: "j-000412", Index: 4, Attempt: 1<<28 | 7},
@@ -23,7 +24,7 @@
 	}
 	for _, bad := range []string{"x", "1:2", "1:2~", "1:a~1", "1:2-b~1", "1:2~1!x"} {
 		if _, err := parseTasks(bad); err == nil {
-			t.Errorf("%q was read", bad)
+			t.Errorf("%q was parsed without an error", bad)
 		}
 	}
 }
