--- a/internal/kv/protocol.go
+++ b/internal/kv/protocol.go
@@ -1,33 +1,33 @@
-// Package kv is the protocol of the key-value store that all controllers share: the requests, the
-// answers, and what they promise. It holds no client and no policy: package server carries the
-// calls over HTTP, package controller decides what to do with the answers.
+// Package kv defines the protocol of the key-value store that all controllers share: the requests, the
+// responses, and their guarantees. It has no client and makes no decisions: package server sends the
+// requests over HTTP, package controller decides what to do with the responses.
 //
 // Revisions. The store counts its changes; the count is its revision. Every successful transaction
 // that has operations raises it by one. The mod revision of a key is the revision at which the key
 // was last written; a key that does not exist has mod revision 0.
 //
-// Transactions. All operations of a transaction are applied at once, and only if all of its
-// conditions are true then. A condition compares the mod revision of one key, so a
+// Transactions. All operations of a transaction are applied atomically, and only if all of its
+// conditions hold at that moment. A condition compares the mod revision of one key, so a
 // transaction with a condition on a key that it writes is a compare-and-swap. A
 // transaction without operations only checks its conditions.
 //
 // Leases. A key may be attached to a lease; it is deleted when the lease expires. A lease expires
 // when its time to live has passed since it was granted or last renewed.
 //
-// Watches. A watch answers with all changes under a prefix after a given revision, in order,
-// or with none when it has waited for as long as it was asked to. The store forgets old changes:
-// a watch from before them is refused, and the watcher must list the keys again.
+// Watches. A watch returns all changes under a prefix after a given revision, in order, or none when
+// the requested wait time has passed. The store discards old changes: a watch that needs discarded
+// changes is refused, and the client must list the keys again.
 //
-// Absent answers. A connection may fail after the store has read a request. StatusUnknown therefore
-// means that the request may have been carried out, may be carried out later, or never. Whoever
-// needs to know which must read it from the store.
+// Missing responses. A connection may fail after the store has read a request. StatusUnknown therefore
+// means that the request may have been carried out, may be carried out later, or never. A client that
+// needs to know which must read the result from the store.
 //
 // The names in the JSON tags are the store's own and are not used elsewhere.
 package kv
 
 import "encoding/json"
 
-// Condition demands that a key has a mod revision; 0: that it does not exist.
+// Condition requires that Key has the given ModRevision; 0: that the key does not exist.
 type Condition struct {
 	Key         string `json:"key"`
 	ModRevision uint64 `json:"stamp"`
@@ -47,14 +47,14 @@
 	Operations []Operation `json:"apply,omitempty"`
 }
 
-// KeyValue is a key as it is in the store.
+// KeyValue is a stored key with its value and mod revision.
 type KeyValue struct {
 	Key         string          `json:"key"`
 	Value       json.RawMessage `json:"v"`
 	ModRevision uint64          `json:"stamp"`
 }
 
-// Event is a change that a watch tells of: the key Set was set to Value, or the key Delete deleted.
+// Event is a change that a watch returns: the key Set was set to Value, or the key Delete was deleted.
 type Event struct {
 	Set         string          `json:"set,omitempty"`
 	Delete      string          `json:"delete,omitempty"`
@@ -62,16 +62,16 @@
 	ModRevision uint64          `json:"stamp"` // the revision of the change
 }
 
-// RequestKind says which call a Request makes.
+// RequestKind identifies the call that a Request makes.
 type RequestKind int
 
-// The calls of the store.
+// The calls that the store offers.
 const (
 	Get        RequestKind = iota // reads Key
 	List                          // reads one page of the keys under the prefix Key, in order, after the key After
-	Transact                      // carries out Txn
-	GrantLease                    // makes a lease that lives for TTLMillis
-	RenewLease                    // gives the lease LeaseID its full time to live again
+	Transact                      // executes Txn
+	GrantLease                    // creates a lease with a time to live of TTLMillis
+	RenewLease                    // resets the lease LeaseID to its full time to live
 	Watch                         // waits up to WaitMillis for changes under the prefix Key after Revision
 )
 
@@ -87,12 +87,12 @@
 	LeaseID    uint64 // RenewLease
 }
 
-// Response is the answer to a Request.
+// Response is the store's response to a Request.
 type Response struct {
 	Status Status `json:"-"`
 
-	Revision   uint64     `json:"ledgerRev"` // of the store when it answered; of Transact, also the mod revision of all keys it set
-	FailedKeys []string   `json:"failed"`    // Transact: the keys of the conditions that were false
+	Revision   uint64     `json:"ledgerRev"` // store revision at the time of the response; Transact: also the mod revision of all keys it set
+	FailedKeys []string   `json:"failed"`    // Transact: the keys of the conditions that failed
 	LeaseID    uint64     `json:"permit"`    // GrantLease
 	Items      []KeyValue `json:"items"`     // List: one page
 	Truncated  bool       `json:"truncated"` // List: more keys follow the last item
--- a/internal/kv/status.go
+++ b/internal/kv/status.go
@@ -2,24 +2,24 @@
 
 import "net/http"
 
-// Status is what became of a request. It is decoded once, where an answer arrives, so that nothing
-// beyond it deals with numbers of HTTP.
+// Status is the result of a request. It is decoded once, where the response arrives, so that no other
+// code deals with HTTP status codes.
 type Status int
 
-// What can become of a request.
+// The results of a request.
 const (
-	StatusUnknown     Status = iota // no answer: it may have been carried out, or may yet be
+	StatusUnknown     Status = iota // no response: the request may have been carried out, or may still be
 	StatusOK                        // carried out
-	StatusMalformed                 // never carried out: beyond a limit, or with a lease that has expired
-	StatusNotFound                  // there is no such key or lease
+	StatusMalformed                 // never carried out: exceeds a limit, or names a lease that has expired
+	StatusNotFound                  // the key or lease does not exist
 	StatusConflict                  // a condition failed
-	StatusCompacted                 // the revision to watch from is no longer kept
-	StatusThrottled                 // not carried out: more than the permitted rate
+	StatusCompacted                 // the store no longer has the changes after the revision to watch from
+	StatusThrottled                 // not carried out: the permitted rate is exceeded
 	StatusUnavailable               // not carried out
-	StatusUnexpected                // any other answer
+	StatusUnexpected                // any other response
 )
 
-// StatusOf decodes the status of an HTTP answer, or 0 where there was none.
+// StatusOf converts the status code of an HTTP response; 0 means that there was no response.
 func StatusOf(httpStatus int) Status {
 	switch httpStatus {
 	case 0:
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestReadsBefore reads heartbeats as the version in production sent them.
+// TestReadsBefore checks that heartbeats sent by the version in production can be decoded.
 func TestReadsBefore(t *testing.T) {
 	raw, err := os.ReadFile("testdata/before.gob")
 	if err != nil {
@@ -25,8 +25,8 @@
 	}
 }
 
-// beatBefore is the shape of the version before, frozen.
-type beatBefore struct {
+// previousHeartbeat is the Heartbeat of the previous version. It must not change.
+type previousHeartbeat struct {
 	Member  string
 	Inc     string
 	StateOK bool
@@ -34,8 +34,8 @@
 	Open    map[string][]string
 }
 
-// TestReadBefore shows that the version before reads a present heartbeat and passes over what
-// it does not know.
+// TestReadBefore checks that the previous version decodes a current heartbeat and ignores the fields
+// that it does not know.
 func TestReadBefore(t *testing.T) {
 	var stream bytes.Buffer
 	enc := gob.NewEncoder(&stream)
@@ -47,7 +47,7 @@
 	}
 	dec := gob.NewDecoder(&stream)
 	for range 2 {
-		var b beatBefore
+		var b previousHeartbeat
 		if err := dec.Decode(&b); err != nil || b.Member != "bay-2" || b.Heard["n-1"] != 7 {
 			t.Fatalf("%+v, %v", b, err)
 		}
--- a/internal/peer/listen.go
+++ b/internal/peer/listen.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxStreams is how many streams are received at once. More are closed as they are opened.
+	// maxStreams is the most streams that are received at once. Further ones are closed as they are opened.
 	maxStreams = 64
 	// acceptRetryDelay keeps the accept loop from spinning while the process is out of sockets.
 	acceptRetryDelay = 50 * time.Millisecond
-	// maxSilence is how long a stream is kept on which nothing arrives.
-	maxSilence = 10 * time.Second
+	// readTimeout is how long nothing may arrive on a stream before it is closed.
+	readTimeout = 10 * time.Second
 )
 
-// Listen hands each heartbeat that arrives at addr to handle until ctx ends. handle is called by
-// one goroutine for each stream, at the same time.
+// Listen passes each heartbeat that arrives at addr to handle until ctx ends. Each stream has its own
+// goroutine that calls handle, so the calls may be concurrent.
 //
-// Listen returns once all streams are closed, which takes up to about maxStreamAge: a sender that
-// goes on sending is heard until it opens its stream anew, which it can't any more.
+// Listen returns once all streams are closed, which takes up to about maxStreamAge after the end of ctx:
+// an open stream is read until its sender tries to reopen it, which fails without the listener.
 func Listen(ctx context.Context, addr string, handle func(Heartbeat)) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp4", addr)
@@ -65,18 +65,18 @@
 			return nil
 		})
 		if !started {
-			_ = conn.Close() // nothing was sent that an error could tell of
+			_ = conn.Close() // nothing was written that an error could concern
 		}
 	}
 }
 
-// receive handles the heartbeats of one stream until it breaks, the sender closes it, or nothing
-// arrives for maxSilence.
+// receive handles the heartbeats of one stream until the stream fails, the sender closes it, or
+// nothing arrives for readTimeout.
 func receive(conn net.Conn, handle func(Heartbeat)) {
-	defer func() { _ = conn.Close() }() // only ever read from: an error tells nothing
+	defer func() { _ = conn.Close() }() // only read from, so an error does not matter
 	decoder := gob.NewDecoder(conn)
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(maxSilence)) // fails only on a closed connection, and so does reading
+		_ = conn.SetReadDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection, where reading fails too
 		var heartbeat Heartbeat
 		if decoder.Decode(&heartbeat) != nil {
 			return
--- a/internal/peer/send.go
+++ b/internal/peer/send.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxStreamAge is how long a stream is used before it is opened anew. After a network
-	// partition a connection may be dead without an error, and take what is written for minutes;
-	// until it is opened anew, the other side counts this controller as unheard.
+	// maxStreamAge is how long a stream is used before it is reopened. After a network partition a
+	// dead connection may accept writes for minutes without an error; until it is reopened, the
+	// other side does not hear from this controller.
 	maxStreamAge = 10 * time.Second
 
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
 )
 
-// Send sends whatever comes from heartbeats to addr until ctx ends. A heartbeat that cannot be sent
-// is dropped: the next one tells all anew.
+// Send sends all heartbeats from the channel to addr until ctx ends. A heartbeat that cannot be sent is
+// dropped: the next one repeats everything.
 func Send(ctx context.Context, addr string, heartbeats <-chan Heartbeat) {
 	out := stream{addr: addr}
 	defer out.close()
@@ -48,7 +48,7 @@
 	if s.conn == nil && s.open(ctx) != nil {
 		return
 	}
-	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, and so does writing
+	_ = s.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection, where writing fails too
 	if s.encoder.Encode(heartbeat) != nil {
 		s.close()
 	}
@@ -66,7 +66,7 @@
 
 func (s *stream) close() {
 	if s.conn != nil {
-		_ = s.conn.Close() // whatever was not delivered is out of date
+		_ = s.conn.Close() // undelivered heartbeats are out of date, so an error does not matter
 	}
 	s.conn = nil
 }
--- a/internal/peer/stream_test.go
+++ b/internal/peer/stream_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestStream sends heartbeats over a real connection, and ends both sides by their contexts.
+// TestStream sends heartbeats over a real connection, and ends both sides by cancelling their context.
 func TestStream(t *testing.T) {
 	var config net.ListenConfig
 	listener, err := config.Listen(t.Context(), "tcp4", "127.0.0.1:0")
@@ -37,14 +37,14 @@
 	}
 }
 
-// await is the next value of a channel, or the zero value of one that is closed.
+// await returns the next value of a channel, or the zero value if the channel is closed.
 func await[T any](t *testing.T, values <-chan T) T {
 	t.Helper()
 	select {
 	case value := <-values:
 		return value
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing came in 20 s")
+		t.Fatal("received nothing within 20 s")
 		panic("unreachable")
 	}
 }
