--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the settings file that the platform hands
-// over. Unknown fields are ignored; a missing or impossible one is an error
+// Package config reads and checks the settings file that the platform
+// provides. Unknown fields are ignored; a missing or invalid field is an error
 // that names the field and the reason.
 package config
 
@@ -20,7 +20,7 @@
 	Address string `toml:"address"`
 }
 
-// Team is a team's guarantee and limit; zero means none.
+// Team holds a team's guaranteed resources and its quotas; zero means none.
 type Team struct {
 	Name           string  `toml:"name"`
 	GuaranteedCPUs float64 `toml:"cpus"`
@@ -29,7 +29,7 @@
 	QuotaGPUs      float64 `toml:"gpus_max"`
 }
 
-// Objective restates one of the operator's aims.
+// Objective is one of the operator's service-level objectives.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -37,7 +37,7 @@
 	Share   float64 `toml:"share"`
 }
 
-// Config is the whole file.
+// Config is the content of the settings file.
 type Config struct {
 	Member     string `toml:"member"`
 	Site       string `toml:"site"`
@@ -59,7 +59,7 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// KVLimitsOverride holds limits that will hold later; what is missing stays as it is.
+// KVLimitsOverride holds announced limits that will replace the present ones; nil: the limit stays.
 type KVLimitsOverride struct {
 	RPS      *float64 `toml:"rps"`
 	WriteRPS *float64 `toml:"write_rps"`
@@ -67,7 +67,7 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// ApplyTo returns the limits that will hold in place of the present ones.
+// ApplyTo returns current with the announced limits replaced; a nil override changes nothing.
 func (o *KVLimitsOverride) ApplyTo(current KVLimits) KVLimits {
 	limits := current
 	if o == nil {
@@ -88,7 +88,7 @@
 	return limits
 }
 
-// Min returns the smaller of each limit.
+// Min returns the smaller value of each limit.
 func (l KVLimits) Min(other KVLimits) KVLimits {
 	return KVLimits{
 		RPS:      min(l.RPS, other.RPS),
@@ -100,12 +100,12 @@
 
 // The smallest settings with which a controller can work.
 const (
-	minTxnOps  = 3   // a job's outcome, its entry in a job shard and its progress change together
+	minTxnOps  = 3   // one transaction changes a job's outcome, its entry in a job shard and its progress
 	minValueKB = 1.0 // one job, and one machine with its tasks, must fit
 	minSockets = 50
 )
 
-// validate refuses limits with which the service can't work.
+// validate rejects limits with which the service cannot work.
 func (l KVLimits) validate(path string, v *validator) {
 	v.requirePositive(path+".rps", l.RPS)
 	v.requirePositive(path+".write_rps", l.WriteRPS)
@@ -114,7 +114,7 @@
 	v.require(l.TxnOps >= minTxnOps, path+".txn_ops", fmt.Sprintf("must be at least %d, got %d", minTxnOps, l.TxnOps))
 }
 
-// Settings are the deployment's figures.
+// Settings holds the settings of the deployment.
 type Settings struct {
 	Size       int         `toml:"size"`
 	Zones      []string    `toml:"zones"`
@@ -128,7 +128,7 @@
 	} `toml:"workers"`
 	KVStore struct {
 		KVLimits
-		Next *KVLimitsOverride `toml:"next"` // from some moment on; nil: they stay
+		Next *KVLimitsOverride `toml:"next"` // announced limits that apply from some later moment on; nil: none
 	} `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
@@ -150,7 +150,7 @@
 	return Parse(raw)
 }
 
-// Parse checks the text of a settings file.
+// Parse reads and checks the text of a settings file.
 func Parse(raw []byte) (*Config, error) {
 	var cfg Config
 	if err := toml.Unmarshal(raw, &cfg); err != nil {
@@ -162,7 +162,7 @@
 	return &cfg, nil
 }
 
-// validate reports the first field that is wrong: one clear line is worth more than a list.
+// validate returns an error for the first invalid field: one clear line is worth more than a list.
 func (c *Config) validate() error {
 	var v validator
 	c.validateAddresses(&v)
@@ -170,7 +170,7 @@
 	return v.err
 }
 
-// validateAddresses checks the controller's own names and addresses and those it talks to.
+// validateAddresses checks the names and addresses of the controller, its peers and its endpoints.
 func (c *Config) validateAddresses(v *validator) {
 	v.require(c.Member != "", "member", "missing")
 	v.requireAddr("public_addr", c.PublicAddr)
@@ -221,10 +221,11 @@
 		fmt.Sprintf("must exceed lease_s by more than %.1f s, else a controller could never answer workers safely", minMargin))
 }
 
-// ErrUnknownTeam says that a team is not in the settings.
+// ErrUnknownTeam is the error for a team that is not in the settings.
 var ErrUnknownTeam = errors.New("unknown team")
 
-// TotalCPUQuota is how many CPUs all teams together may use at once; 0: that is not limited.
+// TotalCPUQuota returns how many CPUs all teams together may use at once; 0: unlimited, since
+// some team has no quota.
 func (s *Settings) TotalCPUQuota() float64 {
 	total := 0.0
 	for _, team := range s.Teams {
@@ -236,19 +237,19 @@
 	return total
 }
 
-// NextKVLimits are the limits that the key-value store will have from some moment on.
+// NextKVLimits returns the limits that the key-value store will have once the announced ones apply.
 func (s *Settings) NextKVLimits() KVLimits { return s.KVStore.Next.ApplyTo(s.KVStore.KVLimits) }
 
-// Lease is for how long a worker agent's lease lasts after a heartbeat was answered.
+// Lease returns how long a worker agent's lease lasts after a heartbeat was answered.
 func (s *Settings) Lease() units.Micros { return units.FromSeconds(s.Workers.LeaseS) }
 
-// HeartbeatPeriod is the time between two heartbeats of a worker agent.
+// HeartbeatPeriod returns the time between two heartbeats of a worker agent.
 func (s *Settings) HeartbeatPeriod() units.Micros { return units.FromSeconds(s.Workers.HeartbeatS) }
 
-// StalenessBound is how long a controller may go on answering workers after the last
-// moment at which its replica is proven to be complete. It and one lease together
+// StalenessBound returns how long a controller may continue to answer workers after the last
+// moment at which its replica was proven to be complete. The bound and one lease together
 // stay well under cancel_s, so a controller that is cut off from the key-value store cannot
-// keep a cancelled task alive for longer than the rules allow.
+// keep a cancelled task running for longer than cancel_s allows.
 func (s *Settings) StalenessBound() units.Micros {
 	return units.FromSeconds((s.Workers.CancelS - s.Workers.LeaseS) * 0.5)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -52,11 +52,11 @@
 		{`state = "127.0.0.1:2"`, `state = "store:2"`, "outside.state"},
 		{`size = 2`, `size = 0`, "settings.size"},
 		{`lease_s = 22.0`, `lease_s = 46.0`, "settings.workers.cancel_s"},
-		{"lease_s = 22.0\ncancel_s = 47.0", "lease_s = 900.0\ncancel_s = 906.0", "settings.workers.cancel_s"}, // the clocks' drift alone takes 1.8 s
+		{"lease_s = 22.0\ncancel_s = 47.0", "lease_s = 900.0\ncancel_s = 906.0", "settings.workers.cancel_s"}, // clock drift alone, 1/500 of the lease, takes 1.8 s
 		{`write_rps = 25.0`, `write_rps = -1.0`, "settings.state.write_rps"},
 		{`name = "red"`, `name = "red"` + "\ncpus = -1.0", "settings.teams[0]"},
 		{`report_s = 3.0`, `report_s = "x"`, "report_s"},
-		{`value_kb = 4.0`, `value_kb = 0.5`, "settings.state.value_kb"}, // no job fits
+		{`value_kb = 4.0`, `value_kb = 0.5`, "settings.state.value_kb"}, // too small for a job
 		{`txn_ops = 12`, "txn_ops = 12\n[settings.state.next]\ntxn_ops = 2", "settings.state.next.txn_ops"},
 		{`txn_ops = 12`, "txn_ops = 12\n[settings.state.next]\nvalue_kb = 0.0", "settings.state.next.value_kb"},
 		{`txn_ops = 12`, "txn_ops = 12\n[settings.state.next]\nwrite_rps = -3.0", "settings.state.next.write_rps"},
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestNextKVLimits shows that announced limits take the place of the present ones, and that those
-// that are not announced stay.
+// TestNextKVLimits checks that announced limits replace the present ones, and that limits without an
+// announcement stay as they are.
 func TestNextKVLimits(t *testing.T) {
 	cfg, err := Parse([]byte(validConfig))
 	if err != nil || cfg.Settings.NextKVLimits() != cfg.Settings.KVStore.KVLimits {
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -5,10 +5,10 @@
 	"net/netip"
 )
 
-// maxNumber is above every setting that makes sense; it refuses infinity, too.
+// maxNumber is above every reasonable setting; the bound also rejects infinity.
 const maxNumber = 1e9
 
-// validator keeps the error of the first field that is wrong.
+// validator keeps the error of the first invalid field.
 type validator struct {
 	err error
 }
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,5 +1,5 @@
-// Package units holds the one type in which frostdock keeps time: whole
-// microseconds. Seconds and milliseconds exist only at the edges.
+// Package units defines the one type in which frostdock keeps time: whole
+// microseconds. Seconds and milliseconds are used only in input and output.
 package units
 
 import (
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Micros is a point on the steady clock, or a length of time, in microseconds.
+// Micros is a point on the monotonic clock, a Unix time, or a duration, in microseconds.
 type Micros int64
 
-// Common lengths.
+// Common durations.
 const (
 	Millisecond Micros = 1000
 	Second             = 1000 * Millisecond
@@ -19,10 +19,10 @@
 // FromSeconds converts a wire value in seconds, rounding to the nearest microsecond.
 func FromSeconds(seconds float64) Micros { return Micros(math.Round(seconds * 1e6)) }
 
-// Seconds converts to the wire's form.
+// Seconds converts to a wire value in seconds.
 func (m Micros) Seconds() float64 { return float64(m) / 1e6 }
 
-// Milliseconds converts to whole milliseconds, rounding down.
+// Milliseconds converts to whole milliseconds, rounding toward zero.
 func (m Micros) Milliseconds() int64 { return int64(m) / 1000 }
 
 // Duration converts to the standard library's type.
