--- a/cmd/frostdock/main.go
+++ b/cmd/frostdock/main.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// options are the command line's flags.
+// options holds the values of the command-line flags.
 type options struct {
 	configPath  string
 	policyPath  string
@@ -40,7 +40,7 @@
 	showVersion bool
 }
 
-// parseFlags returns pflag.ErrHelp once it has printed the usage for --help.
+// parseFlags parses the command line. For --help it prints the usage and returns pflag.ErrHelp.
 func parseFlags(args []string, stderr io.Writer) (options, error) {
 	var opts options
 	flags := pflag.NewFlagSet("frostdock", pflag.ContinueOnError)
@@ -93,14 +93,14 @@
 		return nil
 	}
 	logger := newLogger(stderr)
-	// One core is all there is, and the memory is counted from outside.
+	// Only one core is available, and the memory of the process is measured from outside.
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.Settings.ProcessLimits.MemoryMB * 0.7 * (1 << 20)))
 	debug.SetGCPercent(200)
 
 	var random [8]byte
 	if _, err := crand.Read(random[:]); err != nil {
-		return fmt.Errorf("draw an incarnation: %w", err)
+		return fmt.Errorf("generate incarnation: %w", err)
 	}
 	incarnation := hex.EncodeToString(random[:])
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -19,22 +19,23 @@
 )
 
 const (
-	// requestTimeout is when a request is given up on: sooner than any caller does.
+	// requestTimeout is how long a request waits for the controller's reply. It is shorter than the
+	// timeout of any caller.
 	requestTimeout = 3500 * time.Millisecond
-	// retryAfterSeconds is when the caller of a refused request may come back.
+	// retryAfterSeconds is the value of Retry-After in the response to a refused request.
 	retryAfterSeconds = 1
 
 	inboundReadTimeout  = 70 * time.Second
 	inboundWriteTimeout = 5 * time.Second
 	inboundIdleTimeout  = 90 * time.Second
-	// maxInboundBody is beyond what a submission may have, so that api.Parse can say what is wrong.
+	// maxInboundBody exceeds the size limit of a submission, so that api.Parse can report an oversized one.
 	maxInboundBody = 4 * api.MaxBodyBytes
-	// minInboundConns is how many connections are accepted however few sockets the process may have.
+	// minInboundConns is how many connections are accepted at least, however few sockets the process may have.
 	minInboundConns = 16
 )
 
 // httpServer serves users, agents and health probes. It turns their requests into messages and waits
-// for the controller's replies, in goroutines of fasthttp's.
+// for the controller's replies, in goroutines of fasthttp.
 type httpServer struct {
 	post postFunc
 	now  func() units.Micros
@@ -65,7 +66,7 @@
 		ReadTimeout:        inboundReadTimeout,
 		WriteTimeout:       inboundWriteTimeout,
 		IdleTimeout:        inboundIdleTimeout,
-		// What is left is for the connections that this process opens itself: without
+		// The remaining sockets are for the connections that this process opens itself: without
 		// one to the key-value store it could do nothing at all.
 		Concurrency:           max(minInboundConns, sockets*7/10),
 		NoDefaultServerHeader: true,
@@ -77,13 +78,13 @@
 	}
 }
 
-// discardLogger drops fasthttp's own lines about clients that went away.
+// discardLogger drops fasthttp's own log lines about clients that disconnected.
 type discardLogger struct{}
 
 func (discardLogger) Printf(string, ...any) {}
 
-// serve accepts connections until ctx ends or the listener fails. At the end of ctx it does not wait for
-// requests in progress: the loop stops as well, so none of them would be replied to.
+// serve accepts connections until ctx ends or the listener fails. When ctx ends, serve does not wait for
+// requests in progress: the loop stops as well, so none of them would get a reply.
 func (h *httpServer) serve(ctx context.Context, addr string) error {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp4", addr)
@@ -92,8 +93,9 @@
 	}
 	go func() {
 		<-ctx.Done()
-		// Shutdown closes the listener, which lets Serve return, and then waits for the connections;
-		// the process may end before. Its error would be the listener's, which is of no use any more.
+		// Shutdown closes the listener, which makes Serve return, and then waits for the open connections;
+		// the process may exit before that. The only error would be from closing the listener, which no
+		// longer matters.
 		_ = h.http.Shutdown()
 	}()
 	if err := h.http.Serve(listener); err != nil {
@@ -102,14 +104,15 @@
 	return nil
 }
 
-// nearConnLimit reports whether so many connections are open that those of agents must not be kept:
-// each machine has one, and a fleet may have more machines than a controller has sockets.
+// nearConnLimit reports whether more than 3/4 of the allowed connections are open. Connections of agents
+// are then closed after the response: each machine has one, and a fleet may have more machines than a
+// controller has sockets.
 func (h *httpServer) nearConnLimit() bool {
 	return int(h.http.GetOpenConnectionsCount()) > h.http.Concurrency*3/4
 }
 
-// await posts a message to the controller and answers the request with its reply, or with a refusal
-// when there is none within requestTimeout of the queue's taking the message.
+// await posts a message to the controller and answers the request with the controller's reply. It
+// refuses the request if there is no reply within requestTimeout after the message was queued.
 func (h *httpServer) await(ctx *fasthttp.RequestCtx, newMessage func(requestID uint64) controller.Message) {
 	requestID, replies := h.pending.add()
 	h.post(newMessage(requestID))
@@ -124,7 +127,7 @@
 	}
 }
 
-// writeReply answers a request as the controller decided.
+// writeReply writes the controller's reply as the HTTP response.
 func writeReply(ctx *fasthttp.RequestCtx, reply controller.Reply) {
 	ctx.SetStatusCode(reply.Status)
 	if reply.RetryAfterSeconds > 0 {
@@ -142,7 +145,7 @@
 	ctx.SetBody(encoded)
 }
 
-// refuse answers a request that the controller has not seen, or not replied to in time.
+// refuse answers a request that the controller has not received, or has not replied to in time.
 func refuse(ctx *fasthttp.RequestCtx) {
 	ctx.SetStatusCode(http.StatusServiceUnavailable)
 	setRetryAfter(ctx, retryAfterSeconds)
@@ -152,7 +155,7 @@
 	ctx.Response.Header.Set("Retry-After", strconv.Itoa(seconds))
 }
 
-// pendingReplies has the requests that wait for the controller's reply. It is safe for concurrent use.
+// pendingReplies holds the requests that wait for the controller's reply. It is safe for concurrent use.
 type pendingReplies struct {
 	mu     sync.Mutex
 	lastID uint64
@@ -163,7 +166,7 @@
 	return &pendingReplies{byID: map[uint64]chan controller.Reply{}}
 }
 
-// add returns the id of a new request, and the channel that its reply comes through.
+// add registers a new request, and returns its id and the channel on which its reply is delivered.
 func (p *pendingReplies) add() (uint64, <-chan controller.Reply) {
 	replies := make(chan controller.Reply, 1) // so that deliver never blocks
 	p.mu.Lock()
@@ -173,14 +176,14 @@
 	return p.lastID, replies
 }
 
-// remove gives up on a request: a reply that still comes is dropped.
+// remove removes a request: a reply that arrives later is dropped.
 func (p *pendingReplies) remove(requestID uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.byID, requestID)
 }
 
-// deliver hands a reply to its request, if that still waits.
+// deliver sends a reply to its request, if the request is still waiting.
 func (p *pendingReplies) deliver(reply controller.Reply) {
 	p.mu.Lock()
 	replies := p.byID[reply.RequestID]
--- a/internal/server/latency.go
+++ b/internal/server/latency.go
@@ -11,7 +11,7 @@
 	"frostdock.example/frostdock/internal/admission"
 )
 
-// operation is what a request asks for, as the log names it.
+// operation is the kind of a request, under the name that the log uses.
 type operation string
 
 const (
@@ -25,17 +25,17 @@
 var operations = []operation{submitOperation, queryOperation, cancelOperation, heartbeatOperation}
 
 const (
-	// latencyLogInterval is how often the latencies measured since the last time are logged.
+	// latencyLogInterval is how often the latencies measured since the previous log are logged.
 	latencyLogInterval = 30 * time.Second
-	// maxLatency is the longest latency that the histograms distinguish.
+	// maxLatency is the longest latency that the histograms can record.
 	maxLatency = 10 * time.Minute
-	// latencyDigits is how many decimal digits of a latency the histograms keep.
+	// latencyDigits is how many significant decimal digits of a latency the histograms keep.
 	latencyDigits = 2
-	// microsPerMillisecond converts the histograms' microseconds.
+	// microsPerMillisecond converts the histograms' microseconds to milliseconds.
 	microsPerMillisecond = 1000
 )
 
-// latencyRecorder gathers how long requests took, by operation. It is safe for concurrent use.
+// latencyRecorder collects the latencies of requests, by operation. It is safe for concurrent use.
 type latencyRecorder struct {
 	mu         sync.Mutex
 	histograms map[operation]*hdrhistogram.Histogram // in microseconds
@@ -45,21 +45,21 @@
 	return &latencyRecorder{histograms: map[operation]*hdrhistogram.Histogram{}}
 }
 
-// record adds one request.
-func (r *latencyRecorder) record(requested operation, latency time.Duration) {
+// record adds the latency of one request.
+func (r *latencyRecorder) record(op operation, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	histogram := r.histograms[requested]
+	histogram := r.histograms[op]
 	if histogram == nil {
 		histogram = hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
-		r.histograms[requested] = histogram
+		r.histograms[op] = histogram
 	}
-	// The only error is a latency beyond the range, and requestTimeout is far below maxLatency: such a one
-	// tells of a host that stood still, and is left out.
+	// RecordValue fails only for a latency above maxLatency. Since requestTimeout is far below that, such a
+	// latency means that the host was suspended, and it is not recorded.
 	_ = histogram.RecordValue(max(1, latency.Microseconds()))
 }
 
-// logPeriodically logs the latencies of each period, at info, until ctx ends.
+// logPeriodically logs the latencies of each latencyLogInterval, at level info, until ctx ends.
 func (r *latencyRecorder) logPeriodically(ctx context.Context, log *slog.Logger, limiter *admission.Limiter) {
 	ticker := time.NewTicker(latencyLogInterval)
 	defer ticker.Stop()
@@ -73,17 +73,18 @@
 	}
 }
 
-// logAndReset logs a line for each operation that was requested, and begins a new period.
+// logAndReset logs a line for each operation that had requests since the previous log, and resets the
+// histograms.
 func (r *latencyRecorder) logAndReset(log *slog.Logger, limiter *admission.Limiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, requested := range operations {
-		histogram := r.histograms[requested]
+	for _, op := range operations {
+		histogram := r.histograms[op]
 		if histogram == nil || histogram.TotalCount() == 0 {
 			continue
 		}
 		log.Info("request latencies",
-			"of", string(requested),
+			"of", string(op),
 			"count", histogram.TotalCount(),
 			"p50_ms", milliseconds(histogram.ValueAtQuantile(50)),
 			"p99_ms", milliseconds(histogram.ValueAtQuantile(99)),
--- a/internal/server/outbound.go
+++ b/internal/server/outbound.go
@@ -13,15 +13,15 @@
 
 const (
 	dialTimeout     = time.Second
-	connWaitTimeout = time.Second // for a connection, while all of a client's are in use
+	connWaitTimeout = time.Second // to wait for a connection while all of a client's are in use
 	idleConnTimeout = 10 * time.Second
 
 	jsonContentType = "application/json"
 )
 
-// noAnswer stands for the HTTP status of a call without a complete answer: it may have been carried
-// out, or may yet be.
-const noAnswer = 0
+// noResponse stands for the HTTP status of a call without a complete response: the call may have been
+// carried out, or may still be carried out.
+const noResponse = 0
 
 // newHostClient returns a client that sends each request at most once: whether a request may be
 // sent again is the controller's decision.
@@ -40,7 +40,7 @@
 	}
 }
 
-// dial connects within dialTimeout. fasthttp gives a dialer no context to end sooner by.
+// dial connects within dialTimeout. fasthttp passes no context to a dialer that could cancel it sooner.
 func dial(addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return dialer.DialContext(context.Background(), "tcp4", addr)
@@ -50,16 +50,16 @@
 type jsonRequest struct {
 	method, path string
 	body         any // encoded as JSON; nil: no body
-	// timeout covers all of the call, with the wait for a connection. After it the connection is
-	// closed and never used again, and the outcome counts as unknown.
-	timeout    time.Duration
-	closeAfter bool        // the connection is not kept for another request
-	timely     *timelyBody // carries the body if it may leave up to some moment only; nil: at any time
+	// timeout covers the whole call, including the wait for a connection. When it expires, the
+	// connection is closed and never reused, and the outcome counts as unknown.
+	timeout      time.Duration
+	closeAfter   bool          // the connection is not kept for another request
+	deadlineBody *deadlineBody // sends the body only before a deadline; nil: no deadline
 }
 
-// exchange sends a request and decodes the answer into result, unless that is nil. It returns the
-// answer's HTTP status, or noAnswer. Errors are not told apart: whichever it was, all that a controller may
-// conclude is that the outcome is unknown.
+// exchange sends a request and decodes the response into result, unless result is nil. It returns the
+// HTTP status of the response, or noResponse. It does not distinguish errors: after any of them, all
+// that a controller may conclude is that the outcome is unknown.
 func exchange(client *fasthttp.HostClient, request jsonRequest, result any) int {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -72,23 +72,23 @@
 	if request.body != nil {
 		encoded, err := json.Marshal(request.body)
 		if err != nil {
-			return noAnswer
+			return noResponse
 		}
 		req.Header.SetContentType(jsonContentType)
-		if request.timely != nil {
-			request.timely.rest = bytes.NewReader(encoded)
-			req.SetBodyStream(request.timely, len(encoded))
+		if request.deadlineBody != nil {
+			request.deadlineBody.reader = bytes.NewReader(encoded)
+			req.SetBodyStream(request.deadlineBody, len(encoded))
 		} else {
 			req.SetBody(encoded)
 		}
 	}
 	if err := client.DoTimeout(req, resp, request.timeout); err != nil {
-		return noAnswer
+		return noResponse
 	}
 	if result != nil && len(resp.Body()) > 0 {
-		// The body of another status may be a text for people: the status counts all the same.
+		// With any other status the body may be plain text; the status is returned all the same.
 		if err := json.Unmarshal(resp.Body(), result); err != nil && resp.StatusCode() == http.StatusOK {
-			return noAnswer
+			return noResponse
 		}
 	}
 	return resp.StatusCode()
--- a/internal/server/outbound_agent.go
+++ b/internal/server/outbound_agent.go
@@ -18,48 +18,52 @@
 	agentTimeout         = 1500 * time.Millisecond
 	agentIdleConnTimeout = 4 * time.Second
 	agentMaxConns        = 3 // to one agent
-	minAgentSlots        = 8 // of each kind, however few sockets the process may have
-	// Agents that did not answer the last call may have at most so many of four slots: those that answer
-	// must not wait for them.
+	minAgentSlots        = 8 // for each kind of call, however few sockets the process may have
+	// silentSlotQuarters is the share of the slots, in quarters, that calls to agents that did not answer
+	// their last call may hold: at most 3 of four slots, so that the agents that answer need not wait.
 	silentSlotQuarters = 3
 
-	// maxCommandWait is how long after it was decided a command may leave. What a task may be started on is a
-	// proof of freshness that is at most three seconds old (maxStartProofAge of package controller), and
-	// one is taken each second: a command that waits for one more second still leaves within the three.
+	// maxCommandWait is how long a command may wait between its decision and its sending. A task may be
+	// started only on a proof of freshness that is at most three seconds old (maxStartProofAge of package
+	// controller), and a new proof is taken each second: a command that waits for one more second is
+	// still sent within the three.
 	maxCommandWait = units.Second
-	// maxInspectWait is the same of an inspection. It changes nothing on the machine, so a late one is as good;
-	// but whoever asked must learn in time that it was not sent, for the next question to be worth asking.
+	// maxInspectWait is the same limit for an inspection. An inspection changes nothing on the machine, so a
+	// late one does no harm; but the controller must learn soon that it was not sent, while asking again is
+	// still of use.
 	maxInspectWait = 5 * units.Second
 
-	// Clients are evicted when there are many, not too often, and only those long unused.
+	// From agentClientsBeforeEviction clients on, those unused for agentClientMaxIdle are evicted, at most
+	// once in agentClientEvictionInterval.
 	agentClientsBeforeEviction  = 512
 	agentClientEvictionInterval = 10 * time.Second
 	agentClientMaxIdle          = time.Minute
 )
 
-// agentClients calls the agents: commands that are pushed, and inspections.
+// agentClients calls the agents: it pushes commands to them and inspects them.
 //
-// After a failover a thousand machines are inspected at once, while as many send heartbeats and users
-// ask: together they must stay below the socket limit, so a call waits for a slot before it connects.
-// Commands have slots of their own, since the inspections of a zone that is cut off all take as long
-// as they may.
+// After a failover, a thousand machines are inspected at once, while as many send heartbeats and users
+// send requests. All these connections together must stay below the socket limit, so a call waits for a
+// slot before it connects. Commands have slots of their own, since during a partition every inspection of
+// the zone that is cut off lasts until its timeout.
 //
-// A call that cannot leave in time is not sent at all, and says so: by then its task may be cancelled and
-// the right to command may have lapsed. That is looked at when the call has its slot, and for commands once
-// more when their body is written to the connection. A process that stands still between that look and
-// the write sends a late command all the same; the fencing token and the agent's epoch that it bears are
-// what is left to refuse it.
+// A call that cannot be sent before its deadline is not sent at all, and its result says so: by then its
+// task may be cancelled, and the authority to command may have lapsed. The deadline is checked when the
+// call has its slot, and for commands once more when the body is written to the connection. If the process
+// is suspended between that check and the write, it still sends a late command; only the command's
+// fencing token and agent epoch can then make the agent refuse it.
 type agentClients struct {
 	post         postFunc
 	now          func() units.Micros
-	inspectSlots chan struct{} // has an element for each inspection under way
-	commandSlots chan struct{} // and for each command
-	// The same of agents that did not answer the last call; those have a slot of each of two channels.
+	inspectSlots chan struct{} // has an element for each inspection in progress
+	commandSlots chan struct{} // has an element for each command in progress
+	// A call to an agent that did not answer its last call takes a slot of two channels: one of these, and
+	// the channel above for the same kind of call.
 	silentInspectSlots chan struct{}
 	silentCommandSlots chan struct{}
-	// maxKeptConns is how many connections may be open before none is kept after its call. The leader
-	// of the whole fleet has an inbound connection from each agent as well: with kept outbound ones to
-	// each of them there would be more than there are sockets.
+	// maxKeptConns is the number of open connections above which a connection is closed after its call. The
+	// leader of the whole fleet also has an inbound connection from each agent: with an outbound one kept
+	// to each of them as well, it would run out of sockets.
 	maxKeptConns int64
 	openConns    atomic.Int64
 
@@ -71,7 +75,7 @@
 // agentClient calls one agent.
 type agentClient struct {
 	*fasthttp.HostClient
-	silent atomic.Bool // it did not answer the last call
+	silent atomic.Bool // the agent did not answer its last call
 }
 
 func newAgentClients(sockets int, post postFunc, now func() units.Micros) *agentClients {
@@ -89,8 +93,8 @@
 	}
 }
 
-// leaveBefore is until when a call that is to be carried out now may leave.
-func (c *agentClients) leaveBefore(call controller.AgentCall) units.Micros {
+// sendDeadline returns the time before which a call that is started now must be sent.
+func (c *agentClients) sendDeadline(call controller.AgentCall) units.Micros {
 	wait := maxInspectWait
 	if call.Commands != nil {
 		wait = maxCommandWait
@@ -102,50 +106,51 @@
 	return latest
 }
 
-// call makes one call, unless it cannot leave in time, and posts its result.
-func (c *agentClients) call(call controller.AgentCall, leaveBefore units.Micros) {
+// call makes one call, unless it cannot be sent before its deadline, and posts its result.
+func (c *agentClients) call(call controller.AgentCall, sendDeadline units.Micros) {
 	client := c.client(call.Address)
 	slots, silentSlots := c.inspectSlots, c.silentInspectSlots
 	if call.Commands != nil {
 		slots, silentSlots = c.commandSlots, c.silentCommandSlots
 	}
-	queued := slotQueue{now: c.now, leaveBefore: leaveBefore}
-	acquired := []chan struct{}{slots}
+	waiter := slotWaiter{now: c.now, sendDeadline: sendDeadline}
+	required := []chan struct{}{slots}
 	if client.silent.Load() {
-		acquired = []chan struct{}{silentSlots, slots}
+		required = []chan struct{}{silentSlots, slots}
 	}
 	result := controller.AgentResult{CallID: call.CallID, NotSent: true}
-	if queued.acquire(acquired) {
-		result = c.send(client, call, leaveBefore)
-		release(acquired)
+	if waiter.acquire(required) {
+		result = c.send(client, call, sendDeadline)
+		release(required)
 	}
-	result.Waited = queued.waited
+	result.Waited = waiter.waited
 	c.post(result)
 }
 
-// send makes a call that has its slot, and returns its result.
-func (c *agentClients) send(client *agentClient, call controller.AgentCall, leaveBefore units.Micros) controller.AgentResult {
+// send makes a call that holds its slots, and returns its result.
+func (c *agentClients) send(client *agentClient, call controller.AgentCall, sendDeadline units.Micros) controller.AgentResult {
 	request := jsonRequest{method: http.MethodGet, path: "/inspect", timeout: agentTimeout}
-	var inTime *timelyBody
+	var commandBody *deadlineBody
 	if call.Commands != nil {
-		inTime = &timelyBody{now: c.now, leaveBefore: leaveBefore}
-		request = jsonRequest{method: http.MethodPost, path: "/commands", body: call.Commands, timeout: agentTimeout, timely: inTime}
+		commandBody = &deadlineBody{now: c.now, sendDeadline: sendDeadline}
+		request = jsonRequest{method: http.MethodPost, path: "/commands", body: call.Commands, timeout: agentTimeout, deadlineBody: commandBody}
 	}
 	request.closeAfter = c.openConns.Load() > c.maxKeptConns
 	result := controller.AgentResult{CallID: call.CallID}
 	var heartbeat agent.Heartbeat
-	// With a conflict the agent refuses commands of a stale fencing token or epoch; its heartbeat has its own.
+	// With status conflict the agent refuses commands with a stale fencing token or epoch; the body is its
+	// heartbeat, which has the agent's own.
 	if status := exchange(client.HostClient, request, &heartbeat); status == http.StatusOK || status == http.StatusConflict {
 		result.Heartbeat = &heartbeat
 	}
-	result.NotSent = inTime != nil && inTime.refused
+	result.NotSent = commandBody != nil && commandBody.expired
 	if !result.NotSent {
 		client.silent.Store(result.Heartbeat == nil)
 	}
 	return result
 }
 
-// client returns the one client for the agent at an address.
+// client returns the client for the agent at addr; there is one for each address.
 func (c *agentClients) client(addr string) *agentClient {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +167,7 @@
 	return client
 }
 
-// evictIdle drops the clients of machines long gone. The caller holds the mutex.
+// evictIdle drops the clients that were not used for agentClientMaxIdle. The caller holds the mutex.
 func (c *agentClients) evictIdle() {
 	c.lastEviction = time.Now()
 	for addr, client := range c.clients {
@@ -173,7 +178,7 @@
 	}
 }
 
-// dial connects to an agent, and counts the connection until it is closed.
+// dial connects to an agent. The connection counts in openConns until it is closed.
 func (c *agentClients) dial(addr string) (net.Conn, error) {
 	conn, err := dial(addr)
 	if err != nil {
@@ -183,14 +188,14 @@
 	return &countedConn{Conn: conn, open: &c.openConns}, nil
 }
 
-// countedConn is a connection that is taken off a count when it is closed, however often that is.
+// countedConn is a connection that decrements a counter when it is closed, only once if it is closed again.
 type countedConn struct {
 	net.Conn
 	closeOnce sync.Once
 	open      *atomic.Int64
 }
 
-// Close closes the connection.
+// Close closes the connection and decrements the counter.
 func (c *countedConn) Close() error {
 	c.closeOnce.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/server/outbound_agent_test.go
+++ b/internal/server/outbound_agent_test.go
@@ -25,25 +25,25 @@
 // TestAgentCalls checks what calls of agents send, and what their answers become.
 func TestAgentCalls(t *testing.T) {
 	const commandBody = `{"baton":1,"shift":1,"orders":[{"order":"launch","piece":"j-000001/0","pass":1}]}`
-	const answer = `{"bench":"n-1"}`
+	const responseBody = `{"bench":"n-1"}`
 	heartbeat := &agent.Heartbeat{Machine: "n-1"}
 	inspect := controller.AgentCall{CallID: testCallID}
 	command := controller.AgentCall{CallID: testCallID, Commands: startCommand()}
 	runOutboundCases(t, []outboundCase{
 		{
-			"inspect", inspect, getRequest("/inspect"), http.StatusOK, answer,
+			"inspect", inspect, getRequest("/inspect"), http.StatusOK, responseBody,
 			controller.AgentResult{CallID: testCallID, Heartbeat: heartbeat},
 		},
 		{
-			"command", command, postRequest("/commands", commandBody), http.StatusOK, answer,
+			"command", command, postRequest("/commands", commandBody), http.StatusOK, responseBody,
 			controller.AgentResult{CallID: testCallID, Heartbeat: heartbeat},
 		},
 		{
-			"command that is out of date", command, postRequest("/commands", commandBody), http.StatusConflict, answer,
+			"command that is out of date", command, postRequest("/commands", commandBody), http.StatusConflict, responseBody,
 			controller.AgentResult{CallID: testCallID, Heartbeat: heartbeat},
 		},
 		{
-			"command that is malformed", command, postRequest("/commands", commandBody), http.StatusBadRequest, answer,
+			"command that is malformed", command, postRequest("/commands", commandBody), http.StatusBadRequest, responseBody,
 			controller.AgentResult{CallID: testCallID},
 		},
 	})
@@ -116,8 +116,8 @@
 	return address, received
 }
 
-// takeResults waits for the results of so many calls, each of which must come once.
-func takeResults(t *testing.T, s *Server, count int) map[uint64]controller.AgentResult {
+// awaitResults waits for the results of so many calls, each of which must come once.
+func awaitResults(t *testing.T, s *Server, count int) map[uint64]controller.AgentResult {
 	t.Helper()
 	results := map[uint64]controller.AgentResult{}
 	for range count {
@@ -148,7 +148,7 @@
 	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
 	late := controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand()}
 	s.execute(late)
-	results := takeResults(t, s, 4*slots+1)
+	results := awaitResults(t, s, 4*slots+1)
 	if !results[1].NotSent || results[1].Heartbeat != nil || results[1].Waited == 0 || received.Load() != 0 {
 		t.Errorf("%+v, received %d times", results[1], received.Load())
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("%d calls were sent, %d may be under way", sent, slots)
 	}
 	s.execute(late)
-	if result := takeResults(t, s, 1)[1]; result.NotSent || result.Heartbeat == nil || result.Waited != 0 || received.Load() != 1 {
+	if result := awaitResults(t, s, 1)[1]; result.NotSent || result.Heartbeat == nil || result.Waited != 0 || received.Load() != 1 {
 		t.Errorf("%+v, received %d times", result, received.Load())
 	}
 	if len(s.agents.commandSlots) != 0 {
@@ -179,11 +179,11 @@
 	s := newServer(newConfig(64))
 	answering, received := startAnsweringAgent(t)
 	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand(), LeaveBefore: s.now() - 1})
-	if result := takeResults(t, s, 1)[1]; !result.NotSent || received.Load() != 0 {
+	if result := awaitResults(t, s, 1)[1]; !result.NotSent || received.Load() != 0 {
 		t.Errorf("%+v, received %d times", result, received.Load())
 	}
 	s.execute(controller.AgentCall{CallID: 2, Address: answering, Commands: startCommand(), LeaveBefore: s.now() + units.Second})
-	if result := takeResults(t, s, 1)[2]; result.NotSent || received.Load() != 1 {
+	if result := awaitResults(t, s, 1)[2]; result.NotSent || received.Load() != 1 {
 		t.Errorf("%+v, received %d times", result, received.Load())
 	}
 }
@@ -203,15 +203,15 @@
 			s.execute(controller.AgentCall{CallID: uint64(100*round + i), Address: address})
 		}
 		if round == 0 {
-			takeResults(t, s, slots)
+			awaitResults(t, s, slots)
 		}
 	}
 	time.Sleep(50 * time.Millisecond)
 	s.execute(controller.AgentCall{CallID: 1000, Address: answering})
-	if result := takeResults(t, s, 1)[1000]; result.Heartbeat == nil || received.Load() != 1 {
+	if result := awaitResults(t, s, 1)[1000]; result.Heartbeat == nil || received.Load() != 1 {
 		t.Errorf("%+v, received %d times", result, received.Load())
 	}
-	takeResults(t, s, slots)
+	awaitResults(t, s, slots)
 }
 
 // TestCommandTooLateAtWrite has more than half of the time for a command pass between each two looks at the
@@ -225,7 +225,7 @@
 		return clock
 	}
 	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand()})
-	if result := takeResults(t, s, 1)[1]; !result.NotSent || result.Heartbeat != nil || received.Load() != 0 {
+	if result := awaitResults(t, s, 1)[1]; !result.NotSent || result.Heartbeat != nil || received.Load() != 0 {
 		t.Errorf("%+v, received %d times", result, received.Load())
 	}
 }
@@ -236,12 +236,12 @@
 // the writer reads once more after the last byte. The two reads of this test showed it.
 func TestBegunCommandIsNotCalledUnsent(t *testing.T) {
 	now := units.Second
-	body := &timelyBody{now: func() units.Micros { return now }, leaveBefore: now + 1, rest: bytes.NewReader([]byte("{}"))}
+	body := &deadlineBody{now: func() units.Micros { return now }, sendDeadline: now + 1, reader: bytes.NewReader([]byte("{}"))}
 	if n, err := body.Read(make([]byte, 8)); n != 2 || err != nil {
 		t.Fatalf("%d bytes, %v", n, err)
 	}
 	now += units.Second
-	if n, err := body.Read(make([]byte, 8)); n != 0 || !errors.Is(err, io.EOF) || body.refused {
-		t.Errorf("%d bytes, %v, refused %v", n, err, body.refused)
+	if n, err := body.Read(make([]byte, 8)); n != 0 || !errors.Is(err, io.EOF) || body.expired {
+		t.Errorf("%d bytes, %v, refused %v", n, err, body.expired)
 	}
 }
--- a/internal/server/outbound_cloud.go
+++ b/internal/server/outbound_cloud.go
@@ -17,7 +17,7 @@
 	cloudPageSize = "500"
 )
 
-// cloudClient calls the cloud.
+// cloudClient calls the API of the cloud.
 type cloudClient struct {
 	post   postFunc
 	client *fasthttp.HostClient
@@ -48,7 +48,8 @@
 	return cloud.StatusOf(exchange(c.client, request, result))
 }
 
-// machinesPath is the path of the page of machines that follows one's name.
+// machinesPath returns the path of the page of machines that come after the given name; if it is empty,
+// of the first page.
 func machinesPath(after string) string {
 	path := "/machines?most=" + cloudPageSize
 	if after != "" {
--- a/internal/server/outbound_deadline.go
+++ b/internal/server/outbound_deadline.go
@@ -8,75 +8,76 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// errTooLate ends the writing of a request that may not leave any more.
-var errTooLate = errors.New("too late to be sent")
+// errSendDeadlineExceeded aborts the writing of a request whose deadline has passed.
+var errSendDeadlineExceeded = errors.New("send deadline exceeded")
 
-// slotQueue waits for the turn of one call, until it may not leave any more.
-type slotQueue struct {
-	now         func() units.Micros
-	leaveBefore units.Micros
-	waited      units.Micros // 0: there was no need to
+// slotWaiter waits for the slots of one call until the call's deadline.
+type slotWaiter struct {
+	now          func() units.Micros
+	sendDeadline units.Micros
+	waited       units.Micros // 0: all slots were free at once
 }
 
-// acquire takes a slot of each channel, in their order, and reports whether it could in time. If not, it
-// takes none.
-func (q *slotQueue) acquire(channels []chan struct{}) bool {
-	for i, slots := range channels {
-		if !q.acquireOne(slots) {
-			release(channels[:i])
+// acquire takes a slot of each semaphore, in order, and reports whether it had them all before the deadline.
+// If not, it holds none.
+func (w *slotWaiter) acquire(semaphores []chan struct{}) bool {
+	for i, semaphore := range semaphores {
+		if !w.acquireOne(semaphore) {
+			release(semaphores[:i])
 			return false
 		}
 	}
-	if q.now() >= q.leaveBefore {
-		release(channels)
+	if w.now() >= w.sendDeadline {
+		release(semaphores)
 		return false
 	}
 	return true
 }
 
-func (q *slotQueue) acquireOne(slots chan struct{}) bool {
+func (w *slotWaiter) acquireOne(semaphore chan struct{}) bool {
 	select {
-	case slots <- struct{}{}:
+	case semaphore <- struct{}{}:
 		return true
 	default:
 	}
-	began := q.now()
-	defer func() { q.waited += max(1, q.now()-began) }()
-	timer := time.NewTimer((q.leaveBefore - began).Duration())
+	startedAt := w.now()
+	defer func() { w.waited += max(1, w.now()-startedAt) }()
+	timer := time.NewTimer((w.sendDeadline - startedAt).Duration())
 	defer timer.Stop()
 	select {
-	case slots <- struct{}{}:
+	case semaphore <- struct{}{}:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// release gives slots back.
-func release(channels []chan struct{}) {
-	for _, slots := range channels {
-		<-slots
+// release returns one slot to each semaphore.
+func release(semaphores []chan struct{}) {
+	for _, semaphore := range semaphores {
+		<-semaphore
 	}
 }
 
-// timelyBody is the body of a request that may leave up to some moment only. It is read when the request is
-// written to its connection, after the wait for that and for the dial; if it is too late then, nothing of it
-// is, and a request without its body is not carried out. Only the first read looks at the clock: of a body
-// that has begun to leave nobody may say that it was not sent.
-type timelyBody struct {
-	now         func() units.Micros
-	leaveBefore units.Micros
-	rest        *bytes.Reader
-	begun       bool
-	refused     bool
+// deadlineBody is the body of a request that may be sent only before a deadline. It is read when the request
+// is written to its connection, after the wait for a connection and the dial. If the deadline has passed by
+// then, nothing of the body is written, and the callee does not carry out a request without its body. Only
+// the first read checks the deadline: once a part of the body may have been sent, the request must not be
+// reported as not sent.
+type deadlineBody struct {
+	now          func() units.Micros
+	sendDeadline units.Micros
+	reader       *bytes.Reader
+	started      bool
+	expired      bool
 }
 
-// Read gives the body, or errTooLate.
-func (b *timelyBody) Read(into []byte) (int, error) {
-	if !b.begun && b.now() >= b.leaveBefore {
-		b.refused = true
-		return 0, errTooLate
+// Read reads from the body, or returns errSendDeadlineExceeded if the first read is too late.
+func (b *deadlineBody) Read(into []byte) (int, error) {
+	if !b.started && b.now() >= b.sendDeadline {
+		b.expired = true
+		return 0, errSendDeadlineExceeded
 	}
-	b.begun = true
-	return b.rest.Read(into)
+	b.started = true
+	return b.reader.Read(into)
 }
--- a/internal/server/outbound_kv.go
+++ b/internal/server/outbound_kv.go
@@ -15,7 +15,7 @@
 const (
 	kvTimeout     = 1500 * time.Millisecond
 	kvListTimeout = 2 * kvTimeout
-	// watchGracePeriod is how much longer than the wait that it asks for a watch may take.
+	// watchGracePeriod is how much longer a watch may take than the wait that it requests.
 	watchGracePeriod = 3 * time.Second
 
 	kvMaxConns      = 24
@@ -24,7 +24,8 @@
 	kvPageSize = "1000"
 )
 
-// kvClient calls the key-value store. Watches have connections of their own, since they occupy them for long.
+// kvClient calls the key-value store. Watches have connections of their own, since each occupies its
+// connection for a long time.
 type kvClient struct {
 	post        postFunc
 	client      *fasthttp.HostClient
@@ -46,7 +47,7 @@
 	c.post(controller.StoreResult{CallID: call.CallID, Response: response})
 }
 
-// send makes the request that a call stands for, and returns its HTTP status or noAnswer.
+// send makes the HTTP request for a call, and returns the HTTP status or noResponse.
 func (c *kvClient) send(call kv.Request, response *kv.Response) int {
 	client, request := c.client, jsonRequest{timeout: kvTimeout}
 	switch call.Kind {
@@ -68,7 +69,7 @@
 		request.method, request.path = http.MethodGet, watchPath(call)
 		request.timeout = time.Duration(call.WaitMillis)*time.Millisecond + watchGracePeriod
 	default:
-		return noAnswer // nothing is sent for a kind that the protocol does not have
+		return noResponse // the protocol has no request of this kind, so nothing is sent
 	}
 	return exchange(client, request, response)
 }
@@ -78,7 +79,7 @@
 	TTLMillis int64 `json:"ttlMs"`
 }
 
-// listPath is the path of the page of keys that follows a call's After.
+// listPath returns the path of the page of keys that come after call.After.
 func listPath(call kv.Request) string {
 	path := "/kv?under=" + url.QueryEscape(call.Key) + "&most=" + kvPageSize
 	if call.After != "" {
@@ -87,7 +88,8 @@
 	return path
 }
 
-// watchPath is the path that answers with the events after a revision, or with none after the wait.
+// watchPath returns the path that responds with the events after call.Revision, or with none once
+// call.WaitMillis have passed.
 func watchPath(call kv.Request) string {
 	return "/changes?under=" + url.QueryEscape(call.Key) +
 		"&since=" + strconv.FormatUint(call.Revision, 10) +
--- a/internal/server/outbound_test.go
+++ b/internal/server/outbound_test.go
@@ -30,12 +30,12 @@
 
 // outboundCase is a call that a callee answers.
 type outboundCase struct {
-	name    string
-	call    controller.Effect
-	request wireRequest // what has to be sent
-	status  int         // the answer
-	answer  string
-	result  controller.Message // what has to be posted
+	name         string
+	call         controller.Effect
+	request      wireRequest // what has to be sent
+	status       int         // the answer
+	responseBody string
+	result       controller.Message // what has to be posted
 }
 
 // runOutboundCases has each call carried out against a callee on loopback.
@@ -43,7 +43,7 @@
 	t.Helper()
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			address, requests := startCallee(t, tc.status, tc.answer)
+			address, requests := startStubServer(t, tc.status, tc.responseBody)
 			cfg := newConfig(64)
 			cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = address, address
 			s := newServer(cfg)
@@ -62,8 +62,8 @@
 	}
 }
 
-// startCallee answers every request in the same way. It returns its address, and the requests.
-func startCallee(t *testing.T, status int, answer string) (string, <-chan wireRequest) {
+// startStubServer answers every request in the same way. It returns its address, and the requests.
+func startStubServer(t *testing.T, status int, responseBody string) (string, <-chan wireRequest) {
 	t.Helper()
 	requests := make(chan wireRequest, 1)
 	address := serveOnLoopback(t, func(ctx *fasthttp.RequestCtx) {
@@ -74,7 +74,7 @@
 			body:        string(ctx.PostBody()),
 		}
 		ctx.SetStatusCode(status)
-		_, _ = io.WriteString(ctx, answer)
+		_, _ = io.WriteString(ctx, responseBody)
 	})
 	return address, requests
 }
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -14,30 +14,31 @@
 	"frostdock.example/frostdock/internal/controller"
 )
 
-// route is what is served at a path: one method, and the handler for it.
+// route is the one method that is served at a path, and its handler.
 type route struct {
 	method string
-	// handle answers a request; jobID is as in the path, unchecked, or empty where that names no job.
+	// handle answers a request; jobID is taken from the path without validation, and empty if the path names
+	// no job.
 	handle func(h *httpServer, ctx *fasthttp.RequestCtx, jobID string)
 }
 
-// routes are the paths that name no job.
+// routes holds the routes of the paths that name no job.
 var routes = map[string]route{
 	"/ready":       {http.MethodGet, (*httpServer).handleReady},
 	"/v1/report":   {http.MethodPost, (*httpServer).handleHeartbeat},
 	"/submissions": {http.MethodPost, (*httpServer).handleSubmit},
 }
 
-// jobPathPrefix begins the paths that name a job: /submissions/{id} and /submissions/{id}/{action}.
+// jobPathPrefix is the prefix of the paths that name a job: /submissions/{id} and /submissions/{id}/{action}.
 const jobPathPrefix = "/submissions/"
 
-// jobRoutes are the paths that name a job, by their action; the job itself has none.
+// jobRoutes holds the routes of the paths that name a job, by action; the path of the job itself has none.
 var jobRoutes = map[string]route{
 	"":      {http.MethodGet, (*httpServer).handleQuery},
 	"abort": {http.MethodPost, (*httpServer).handleCancel},
 }
 
-// findRoute returns what is served at a path, and the job that the path names.
+// findRoute returns the route of a path, and the job id in the path.
 func findRoute(path string) (found route, jobID string, ok bool) {
 	if found, ok = routes[path]; ok {
 		return found, "", true
@@ -92,19 +93,19 @@
 	h.latencies.record(heartbeatOperation, time.Since(started))
 }
 
-// handleSubmit answers a submission. A malformed one goes to the controller as well, since it may
-// repeat a known job.
+// handleSubmit answers a submission. A malformed one is passed to the controller as well, since it may
+// repeat the submission of a known job.
 func (h *httpServer) handleSubmit(ctx *fasthttp.RequestCtx, _ string) {
 	job, jobID, err := api.Parse(ctx.PostBody())
 	h.handleUserRequest(ctx, controller.UserRequest{Kind: controller.SubmitJob, JobID: jobID, Job: job, Malformed: err})
 }
 
-// handleQuery answers the question for a job's state.
+// handleQuery answers a query for a job's state.
 func (h *httpServer) handleQuery(ctx *fasthttp.RequestCtx, jobID string) {
 	h.handleJobRequest(ctx, controller.QueryJob, jobID)
 }
 
-// handleCancel answers the cancellation of a job.
+// handleCancel answers a request to cancel a job.
 func (h *httpServer) handleCancel(ctx *fasthttp.RequestCtx, jobID string) {
 	h.handleJobRequest(ctx, controller.CancelJob, jobID)
 }
@@ -117,7 +118,8 @@
 	h.handleUserRequest(ctx, controller.UserRequest{Kind: kind, JobID: jobID})
 }
 
-// userOperations says what each kind of user request counts as, for the limiter and the latencies.
+// userOperations maps each kind of user request to its kind in the limiter and its operation in the
+// latency log.
 var userOperations = map[controller.UserRequestKind]struct {
 	admission admission.Kind
 	latency   operation
@@ -127,8 +129,8 @@
 	controller.CancelJob: {admission.Abort, cancelOperation},
 }
 
-// handleUserRequest passes a user's request on unless the limiter has too many in progress;
-// otherwise it is refused at once, with the time to come back.
+// handleUserRequest passes a user's request to the controller, unless the limiter reports too many requests
+// in progress: then it refuses the request at once, with a Retry-After.
 func (h *httpServer) handleUserRequest(ctx *fasthttp.RequestCtx, request controller.UserRequest) {
 	kind := userOperations[request.Kind]
 	if !h.limiter.TryAcquire(kind.admission) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -2,30 +2,31 @@
 //
 // It owns the clock, the queue of messages and every socket: the listener for users, agents and
 // health probes, the heartbeat streams from and to the other controllers, and the connections to the
-// key-value store, the cloud and the agents. Whatever arrives becomes a message in the queue. One
-// goroutine, the loop, takes the queued messages in batches, has controller.Controller.Step
-// decide on them, and carries out the effects that Step returns, in their order.
+// key-value store, the cloud and the agents. Everything received becomes a message in the queue. One
+// goroutine, the loop, takes the queued messages in batches, passes them to
+// controller.Controller.Step, and carries out the effects that Step returns, in order.
 //
 // The package promises that
 //   - only the loop calls the controller, so that the controller's state needs no lock;
-//   - the loop waits for nothing but messages and its ticker: replies and heartbeats are handed over
-//     without blocking, and each call of another process has a goroutine of its own;
-//   - a call is sent at most once and becomes exactly one message, also when there was no complete
-//     answer: whether the call was carried out is then unknown;
-//   - a call of an agent leaves soon after it was decided, while the right to it lasts, or not at all,
-//     which its message tells;
+//   - the loop waits only for messages and its ticker: replies and heartbeats are handed over
+//     without blocking, and each call to another process has a goroutine of its own;
+//   - a call is sent at most once and results in exactly one message, even without a complete
+//     response: whether the call was carried out is then unknown;
+//   - a call to an agent is sent soon after it was decided, while the controller has the authority
+//     for it, or not at all, and its message says which;
 //   - connections are bounded in each direction, so that neither users nor a large fleet can use up
-//     the sockets that the key-value store is reached by.
+//     the sockets needed for the key-value store.
 //
-// It never decides anything about jobs or machines, keeps no state of the cluster, and never repeats a
-// call: all of that is the controller's. Its own decisions are about load only: which requests of
-// users are refused at once, and which connections are closed early.
+// The package never decides anything about jobs or machines, keeps no state of the cluster, and never
+// repeats a call: all of that is left to the controller. Its own decisions are about load only: which
+// requests of users are refused at once, and which connections are closed early.
 //
 // [Server.Run] waits for the goroutines that it starts: listeners, heartbeat streams, the loop and the
-// log of latencies. The goroutines of calls belong to no group and are not waited for. Each ends once
-// its call has, for which there is a time limit, and the queue has taken the message; calls of agents wait
-// for a slot first, for which there is a limit as well (see agentClients). Those still under way at shutdown end with the process. A
-// controller is prepared for that: any call may have been carried out without its answer arriving.
+// latency log. The goroutines of calls belong to no group and are not waited for. Each ends once its
+// call has ended, which a timeout bounds, and the queue has accepted the message; a call to an agent
+// first waits for a slot, which is bounded as well (see agentClients). Calls still in progress at
+// shutdown end with the process. A controller is prepared for that: any call may have been carried out
+// without its response arriving.
 package server
 
 import (
@@ -44,13 +45,13 @@
 )
 
 const (
-	// tickInterval is how often the controller is given the time when nothing else happens.
+	// tickInterval is the interval at which Step is called when no message arrives.
 	tickInterval = 25 * time.Millisecond
-	// maxBatchMessages bounds how many messages one step takes.
+	// maxBatchMessages bounds the number of messages passed to one Step.
 	maxBatchMessages = 256
-	// queueCapacity bounds the messages that wait for the loop. Whoever posts to a full queue waits.
+	// queueCapacity bounds the number of messages that wait for the loop. Posting to a full queue blocks.
 	queueCapacity = 4096
-	// clockOrigin is the time at which the process starts: later than 0, which stands for "never".
+	// clockOrigin is the value of Server.now at the start of the process. It is not 0, which stands for "never".
 	clockOrigin = units.Second
 )
 
@@ -73,8 +74,8 @@
 	heartbeatStreams []chan peer.Heartbeat // in the order of cfg.Peers
 }
 
-// New prepares a controller process; Run starts it. The incarnation tells this process from earlier
-// and later ones of the same member.
+// New prepares a controller process; Run starts it. The incarnation distinguishes this process from
+// earlier and later ones of the same member.
 func New(cfg *config.Config, operatorPolicy *policy.Policy, log *slog.Logger, incarnation string) *Server {
 	s := &Server{
 		cfg:        cfg,
@@ -116,7 +117,7 @@
 	return group.Wait()
 }
 
-// now is the time since the start by the monotonic clock, counted from clockOrigin.
+// now returns clockOrigin plus the time since the start of the process, by the monotonic clock.
 func (s *Server) now() units.Micros {
 	return units.FromDuration(time.Since(s.startedAt)) + clockOrigin
 }
@@ -134,8 +135,9 @@
 	return nil
 }
 
-// loop is the one goroutine that uses the controller. Each turn gives it the time and the messages
-// that have queued up, and carries out the effects. What is still queued when ctx ends is dropped.
+// loop is the body of the one goroutine that uses the controller. Each iteration passes the time and the
+// queued messages to the controller, and carries out the effects. Messages still queued when ctx ends
+// are dropped.
 func (s *Server) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -156,7 +158,7 @@
 	}
 }
 
-// appendQueued adds what is in the queue by now, up to the size of a batch, without waiting.
+// appendQueued appends the messages that are in the queue now, up to maxBatchMessages, without waiting.
 func (s *Server) appendQueued(batch []controller.Message) []controller.Message {
 	for len(batch) < maxBatchMessages {
 		select {
@@ -169,8 +171,8 @@
 	return batch
 }
 
-// execute carries out one effect, or starts the call that it asks for; it never blocks. Calls start in
-// the order of their effects, but nothing orders their arrival.
+// execute carries out one effect, or starts the call that the effect asks for; it never blocks. Calls
+// start in the order of their effects, but may arrive in any order.
 func (s *Server) execute(effect controller.Effect) {
 	switch effect := effect.(type) {
 	case controller.Reply:
@@ -180,14 +182,14 @@
 	case controller.CloudCall:
 		go s.cloud.call(effect)
 	case controller.AgentCall:
-		go s.agents.call(effect, s.agents.leaveBefore(effect))
+		go s.agents.call(effect, s.agents.sendDeadline(effect))
 	case controller.BroadcastHeartbeat:
 		s.broadcast(effect.Heartbeat)
 	}
 }
 
-// broadcast hands a heartbeat to the stream of every other controller. A stream that has not yet taken
-// the one before goes without: the next heartbeat tells everything anew.
+// broadcast passes a heartbeat to the stream of every other controller. A stream that has not yet taken
+// the previous heartbeat does not get this one: each heartbeat is complete, so the next one makes up for it.
 func (s *Server) broadcast(heartbeat peer.Heartbeat) {
 	for _, stream := range s.heartbeatStreams {
 		select {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -29,8 +29,8 @@
 func newIsolatedServer(t *testing.T, sockets int) *Server {
 	t.Helper()
 	s := newServer(newConfig(sockets))
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
 	go s.loop(ctx)
 	return s
 }
