--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -176,7 +176,7 @@
 	return p.lastID, replies
 }
 
-// remove removes a request: a reply that arrives later is dropped.
+// remove deletes a pending request: a reply that arrives later is dropped.
 func (p *pendingReplies) remove(requestID uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/server/outbound_agent_test.go
+++ b/internal/server/outbound_agent_test.go
@@ -22,7 +22,7 @@
 	return &agent.CommandRequest{FencingToken: 1, Epoch: 1, Commands: []agent.Command{start}}
 }
 
-// TestAgentCalls checks what calls of agents send, and what their answers become.
+// TestAgentCalls checks the requests of calls to agents, and the messages that the responses result in.
 func TestAgentCalls(t *testing.T) {
 	const commandBody = `{"baton":1,"shift":1,"orders":[{"order":"launch","piece":"j-000001/0","pass":1}]}`
 	const responseBody = `{"bench":"n-1"}`
@@ -49,7 +49,7 @@
 	})
 }
 
-// startSilentAgent accepts connections and never answers.
+// startSilentAgent starts an agent that accepts connections and never answers, and returns its address.
 func startSilentAgent(t *testing.T) string {
 	t.Helper()
 	listener := listenOnLoopback(t)
@@ -65,18 +65,15 @@
 	return listener.Addr().String()
 }
 
-// maxCommandAge is how long after its decision a command may still leave, with time for a busy machine.
+// maxCommandAge is how long after its decision a command may arrive: maxCommandWait and an allowance for a
+// busy test machine.
 const maxCommandAge = 1400 * time.Millisecond
 
-// TestNoOldCommand has so many machines not answer that the commands under way are as many as
-// may be. A command that waits for its turn must not leave long after it was decided: what it
-// starts may be cancelled by then, and the right to start may have lapsed.
-//
-// What happened: the command to the machine that answers left 4.5 s after it was decided, behind 4 times
-// as many silent machines as calls may be under way, and could have left at any time.
-//
-// Why: a call waited for its turn without bound, and nobody looked once more before it left. The time that
-// this test prints, and the tasks started late in scenario few_sockets, showed it; no log line did.
+// TestNoOldCommand fills all command slots with calls to silent machines. A command that waits for a slot
+// must not be sent long after it was decided: by then its task may be cancelled, and the authority to
+// start it may have lapsed. Without a bound on the wait and a check before sending, the command to the
+// machine that answers was sent 4.5 s after its decision, behind 4 times as many silent machines as there
+// are slots. This also showed as tasks started late in scenario few_sockets, but in no log line.
 func TestNoOldCommand(t *testing.T) {
 	s := newIsolatedServer(t, 64)
 	silent := startSilentAgent(t)
@@ -92,7 +89,7 @@
 	for i := range 4 * cap(s.agents.commandSlots) {
 		s.execute(controller.AgentCall{CallID: uint64(1000 + i), Address: silent, Commands: command})
 	}
-	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
+	time.Sleep(50 * time.Millisecond) // for all of them to wait before the last call
 	decidedAt := time.Now()
 	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: command})
 	time.Sleep(7 * time.Second)
@@ -100,12 +97,12 @@
 	defer mu.Unlock()
 	for _, receivedAt := range received {
 		if age := receivedAt.Sub(decidedAt); age > maxCommandAge {
-			t.Errorf("a command left %v after it was decided", age)
+			t.Errorf("a command was received %v after it was decided", age)
 		}
 	}
 }
 
-// startAnsweringAgent answers every request, and counts them.
+// startAnsweringAgent starts an agent that answers every request, and counts the requests.
 func startAnsweringAgent(t *testing.T) (address string, received *atomic.Int64) {
 	t.Helper()
 	received = &atomic.Int64{}
@@ -116,7 +113,7 @@
 	return address, received
 }
 
-// awaitResults waits for the results of so many calls, each of which must come once.
+// awaitResults waits for the results of count calls, and fails the test if a call has two results.
 func awaitResults(t *testing.T, s *Server, count int) map[uint64]controller.AgentResult {
 	t.Helper()
 	results := map[uint64]controller.AgentResult{}
@@ -125,71 +122,72 @@
 		case message := <-s.queue:
 			result, ok := message.(controller.AgentResult)
 			if _, twice := results[result.CallID]; !ok || twice {
-				t.Fatalf("unexpected %+v", message)
+				t.Fatalf("unexpected or repeated message %+v", message)
 			}
 			results[result.CallID] = result
 		case <-time.After(10 * time.Second):
-			t.Fatalf("%d of %d calls have ended", len(results), count)
+			t.Fatalf("timed out with %d of %d call results", len(results), count)
 		}
 	}
 	return results
 }
 
-// TestLateCommandComesBack calls 4 times as many silent machines as calls may be under way, and then one
-// that answers. What can't leave in time comes back as not sent, and was not; what has left comes back
-// without an answer. Every call ends once, and then the same command is sent and answered.
+// TestLateCommandComesBack calls 4 times as many silent machines as there are command slots, and then one
+// that answers. A call that misses its deadline must not be sent and must be reported as not sent; a call
+// that was sent must be reported without a heartbeat. Every call must end once. After that, the same
+// command must be sent and answered.
 func TestLateCommandComesBack(t *testing.T) {
 	s := newServer(newConfig(64))
 	slots := cap(s.agents.commandSlots)
 	answering, received := startAnsweringAgent(t)
-	for i := range 4 * slots { // each of its own: connections to one would wait for each other
+	for i := range 4 * slots { // an agent for each, as calls to the same one would wait for its connections
 		s.execute(controller.AgentCall{CallID: uint64(1000 + i), Address: startSilentAgent(t), Commands: startCommand()})
 	}
-	time.Sleep(50 * time.Millisecond) // all of them wait before the last does
+	time.Sleep(50 * time.Millisecond) // for all of them to wait before the last call
 	late := controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand()}
 	s.execute(late)
 	results := awaitResults(t, s, 4*slots+1)
 	if !results[1].NotSent || results[1].Heartbeat != nil || results[1].Waited == 0 || received.Load() != 0 {
-		t.Errorf("%+v, received %d times", results[1], received.Load())
+		t.Errorf("result %+v, agent received %d requests", results[1], received.Load())
 	}
 	sent := 0
 	for _, result := range results {
 		if result.Heartbeat != nil {
-			t.Errorf("answered: %+v", result)
+			t.Errorf("call to a silent agent: unexpected heartbeat: %+v", result)
 		}
 		if !result.NotSent {
 			sent++
 		}
 	}
 	if sent != slots {
-		t.Errorf("%d calls were sent, %d may be under way", sent, slots)
+		t.Errorf("%d calls were sent, want %d", sent, slots)
 	}
 	s.execute(late)
 	if result := awaitResults(t, s, 1)[1]; result.NotSent || result.Heartbeat == nil || result.Waited != 0 || received.Load() != 1 {
-		t.Errorf("%+v, received %d times", result, received.Load())
+		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
 	if len(s.agents.commandSlots) != 0 {
-		t.Errorf("%d slots are taken", len(s.agents.commandSlots))
+		t.Errorf("%d command slots are still in use", len(s.agents.commandSlots))
 	}
 }
 
-// TestCommandOfLapsedRight executes a command whose right has ended by the controller's clock, as after the
-// process has stood still. Nothing is sent, though there is nothing to wait for.
+// TestCommandOfLapsedRight executes a command whose authority has lapsed by the controller's clock, as happens
+// after the process was suspended. The command must not be sent, though a slot is free.
 func TestCommandOfLapsedRight(t *testing.T) {
 	s := newServer(newConfig(64))
 	answering, received := startAnsweringAgent(t)
 	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand(), LeaveBefore: s.now() - 1})
 	if result := awaitResults(t, s, 1)[1]; !result.NotSent || received.Load() != 0 {
-		t.Errorf("%+v, received %d times", result, received.Load())
+		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
 	s.execute(controller.AgentCall{CallID: 2, Address: answering, Commands: startCommand(), LeaveBefore: s.now() + units.Second})
 	if result := awaitResults(t, s, 1)[2]; result.NotSent || received.Load() != 1 {
-		t.Errorf("%+v, received %d times", result, received.Load())
+		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
 }
 
-// TestSilentAgentsLeaveSlots has machines called again that did not answer before. They must leave some
-// calls to others: one that answers is not kept waiting by them.
+// TestSilentAgentsLeaveSlots calls silent machines a second time. These calls must leave some slots free, so
+// that a call to a machine that answers need not wait for them.
 func TestSilentAgentsLeaveSlots(t *testing.T) {
 	s := newServer(newConfig(64))
 	slots := cap(s.agents.inspectSlots)
@@ -209,13 +207,13 @@
 	time.Sleep(50 * time.Millisecond)
 	s.execute(controller.AgentCall{CallID: 1000, Address: answering})
 	if result := awaitResults(t, s, 1)[1000]; result.Heartbeat == nil || received.Load() != 1 {
-		t.Errorf("%+v, received %d times", result, received.Load())
+		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
 	awaitResults(t, s, slots)
 }
 
-// TestCommandTooLateAtWrite has more than half of the time for a command pass between each two looks at the
-// clock, as while its connection is dialled: it has its slot in time, and is too late when it is written.
+// TestCommandTooLateAtWrite advances the clock by more than half of maxCommandWait between each two reads of
+// it, as a slow dial would: the command gets its slot in time, and misses its deadline when it is written.
 func TestCommandTooLateAtWrite(t *testing.T) {
 	s := newServer(newConfig(64))
 	answering, received := startAnsweringAgent(t)
@@ -226,22 +224,22 @@
 	}
 	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand()})
 	if result := awaitResults(t, s, 1)[1]; !result.NotSent || result.Heartbeat != nil || received.Load() != 0 {
-		t.Errorf("%+v, received %d times", result, received.Load())
+		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
 }
 
-// TestBegunCommandIsNotCalledUnsent reads the body of a command in time, as its writer does, and looks for its
-// end when it is too late. What happened: the look for the end counted as too late, so a command whose body may
-// all have left came back as not sent, and nothing was fenced off. Why: every read looked at the clock, and
-// the writer reads once more after the last byte. The two reads of this test showed it.
+// TestBegunCommandIsNotCalledUnsent reads the body of a command before its deadline, and reads the end of the
+// body after it, as the HTTP client does: it reads once more after the last byte. When every read checked
+// the deadline, the last of the two failed, so a command whose body may have been sent completely was
+// reported as not sent, and nothing was fenced off.
 func TestBegunCommandIsNotCalledUnsent(t *testing.T) {
 	now := units.Second
 	body := &deadlineBody{now: func() units.Micros { return now }, sendDeadline: now + 1, reader: bytes.NewReader([]byte("{}"))}
 	if n, err := body.Read(make([]byte, 8)); n != 2 || err != nil {
-		t.Fatalf("%d bytes, %v", n, err)
+		t.Fatalf("first read: %d bytes, error %v", n, err)
 	}
 	now += units.Second
 	if n, err := body.Read(make([]byte, 8)); n != 0 || !errors.Is(err, io.EOF) || body.expired {
-		t.Errorf("%d bytes, %v, refused %v", n, err, body.expired)
+		t.Errorf("second read: %d bytes, error %v, expired %v", n, err, body.expired)
 	}
 }
--- a/internal/server/outbound_cloud_test.go
+++ b/internal/server/outbound_cloud_test.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/controller"
 )
 
-// TestCloudCalls checks what calls of the cloud send, and what their answers become.
+// TestCloudCalls checks the requests of calls to the cloud, and the messages that the responses result in.
 func TestCloudCalls(t *testing.T) {
 	names := cloud.MachineNames{Names: []string{"n-1"}}
 	rental := cloud.RentalRequest{Name: "r", Type: "big", Zone: "z", Count: 2}
--- a/internal/server/outbound_kv_test.go
+++ b/internal/server/outbound_kv_test.go
@@ -17,7 +17,8 @@
 	return controller.StoreResult{CallID: testCallID, Response: response}
 }
 
-// TestKVReads checks what reading calls of the key-value store send, and what their answers become.
+// TestKVReads checks the requests of read calls to the key-value store, and the messages that the responses
+// result in.
 func TestKVReads(t *testing.T) {
 	found := kv.Response{
 		Status: kv.StatusOK, Key: "a/b", Value: json.RawMessage(`{"x":1}`), ModRevision: 4, Revision: 9,
@@ -56,7 +57,8 @@
 	})
 }
 
-// TestKVWrites checks what writing calls of the key-value store send, and what their answers become.
+// TestKVWrites checks the requests of write calls to the key-value store, and the messages that the
+// responses result in.
 func TestKVWrites(t *testing.T) {
 	txn := &kv.Txn{
 		Conditions: []kv.Condition{{Key: "a", ModRevision: 1}},
--- a/internal/server/outbound_test.go
+++ b/internal/server/outbound_test.go
@@ -12,15 +12,15 @@
 	"frostdock.example/frostdock/internal/controller"
 )
 
-// testCallID is the id of every call, which its result has to repeat.
+// testCallID is the id of every call; the result must have the same id.
 const testCallID = 7
 
-// wireRequest is what a callee sees of a request.
+// wireRequest holds what a server receives of a request.
 type wireRequest struct{ method, uri, contentType, body string }
 
 func getRequest(uri string) wireRequest { return wireRequest{method: http.MethodGet, uri: uri} }
 
-// postRequest is a request with a JSON body, or with none when that is empty.
+// postRequest is a request with a JSON body, or without a body when body is empty.
 func postRequest(uri, body string) wireRequest {
 	if body == "" {
 		return wireRequest{method: http.MethodPost, uri: uri}
@@ -28,17 +28,17 @@
 	return wireRequest{http.MethodPost, uri, "application/json", body}
 }
 
-// outboundCase is a call that a callee answers.
+// outboundCase is a call, the request that it must send, and the result of the stub server's response.
 type outboundCase struct {
 	name         string
 	call         controller.Effect
-	request      wireRequest // what has to be sent
-	status       int         // the answer
+	request      wireRequest // must be sent
+	status       int         // of the response
 	responseBody string
-	result       controller.Message // what has to be posted
+	result       controller.Message // must be posted
 }
 
-// runOutboundCases has each call carried out against a callee on loopback.
+// runOutboundCases carries out each call against a stub server on loopback.
 func runOutboundCases(t *testing.T, cases []outboundCase) {
 	t.Helper()
 	for _, tc := range cases {
@@ -62,7 +62,8 @@
 	}
 }
 
-// startStubServer answers every request in the same way. It returns its address, and the requests.
+// startStubServer starts a server that gives every request the same response. It returns the server's
+// address and the requests.
 func startStubServer(t *testing.T, status int, responseBody string) (string, <-chan wireRequest) {
 	t.Helper()
 	requests := make(chan wireRequest, 1)
@@ -79,7 +80,7 @@
 	return address, requests
 }
 
-// serveOnLoopback serves until the test ends, and returns the address.
+// serveOnLoopback serves on a loopback port until the test ends, and returns the address.
 func serveOnLoopback(t *testing.T, handler fasthttp.RequestHandler) string {
 	t.Helper()
 	listener := listenOnLoopback(t)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -10,8 +10,8 @@
 	"frostdock.example/frostdock/internal/policy"
 )
 
-// newConfig is the configuration of a controller with so many sockets that reaches neither key-value
-// store nor cloud.
+// newConfig returns the configuration of a controller with the given number of sockets that can reach neither
+// the key-value store nor the cloud.
 func newConfig(sockets int) *config.Config {
 	cfg := &config.Config{Member: "a"}
 	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
@@ -20,12 +20,12 @@
 	return cfg
 }
 
-// newServer is a server that does not run: what it posts stays in its queue.
+// newServer returns a server whose loop does not run: the messages that it posts stay in its queue.
 func newServer(cfg *config.Config) *Server {
 	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
 }
 
-// newIsolatedServer runs the loop of a server with the configuration of newConfig.
+// newIsolatedServer starts the loop of a server with the configuration of newConfig, and returns the server.
 func newIsolatedServer(t *testing.T, sockets int) *Server {
 	t.Helper()
 	s := newServer(newConfig(sockets))
