--- a/examples/chain.sh
+++ b/examples/chain.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Submits a chain of three jobs to the controller at $1 (host:port) and prints how far each is:
-# load runs first, then two tasks of render, then publish, whose deadline and priority all share.
+# Submits a chain of three jobs to the controller at $1 (host:port) and prints the state of each:
+# j-000001 runs first, then the two tasks of j-000002, then j-000003. The first two jobs inherit the
+# deadline and the priority of j-000003.
 set -euo pipefail
 controller=${1:?host:port of a controller}
 
