--- a/internal/server/outbound_deadline.go
+++ b/internal/server/outbound_deadline.go
@@ -61,7 +61,7 @@
 
 // deadlineBody is the body of a request that may be sent only before a deadline. It is read when the request
 // is written to its connection, after the wait for a connection and the dial. If the deadline has passed by
-// then, nothing of the body is written, and the callee does not carry out a request without its body. Only
+// then, nothing of the body is written, and the agent does not carry out a request without its body. Only
 // the first read checks the deadline: once a part of the body may have been sent, the request must not be
 // reported as not sent.
 type deadlineBody struct {
