--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -16,48 +16,48 @@
 // scalingPartition is the partition whose leader rents machines for all partitions.
 const scalingPartition = 0
 
-// silenceListPeriod is for how long after silent machines were noticed a process that does not rent
-// reads the machine list as well: the list may tell whether they are gone.
+// silenceListPeriod is how long after machines fell silent a process that does not rent also reads the
+// machine list, which may show whether they still exist.
 const silenceListPeriod = 10 * units.Second
 
-// A demand below these parts of the CPUs that teams use does not count as waiting: a few tasks that wait
-// for a machine of their own are no reason for a large fleet to keep all that it has.
+// Unmet demand up to these fractions of the CPUs that teams use does not block scaling in: a few tasks
+// that each need a machine of their own are no reason for a large fleet to keep all its machines.
 const (
-	unmetShareDivisor    = 50 // for tasks that no machine has capacity for
-	unplacedShareDivisor = 20 // for all unplaced tasks, while writes to the store are scarce
+	unmetShareDivisor    = 50 // 1/50 of the used CPUs, for tasks that no machine has capacity for
+	unplacedShareDivisor = 20 // 1/20 of the used CPUs, for all unplaced tasks, while writes to the store are scarce
 )
 
-// autoscaler fits the number of machines to the demand. It owns the cloud's machine list as last read,
-// the rental requests under way, and the choice of machines to drain and to delete.
+// autoscaler matches the number of machines to the demand. It owns the machine list last read from the
+// cloud, the outstanding rental requests, and the choice of machines to drain and to delete.
 //
-// Who does what: only the leader of partition 0 rents, for all partitions, and deletes machines that were
-// rented and never registered. Each leader drains and deletes the machines of its own partitions.
+// Division of work: only the leader of partition 0 rents, for all partitions, and deletes machines that
+// were rented and never registered. Each leader drains and deletes the machines of its own partitions.
 //
-// Promises:
-//   - A rental's name is never used for another rental, and a rental without a clear answer is repeated
-//     under its own name, so that the cloud carries it out at most once.
-//   - A new leader rents nothing until it has read a complete machine list and its predecessor's machines
-//     have had the time to appear in it.
-//   - A machine counts as deleted, and its entry may go, only when the cloud has confirmed the deletion:
-//     that proves that nothing runs there any more.
-//   - A machine that is not heard is never taken for idle.
+// Guarantees:
+//   - The name of a rental is never reused, and a rental whose outcome is unknown is repeated under the
+//     same name, so that the cloud executes it at most once.
+//   - A new leader rents nothing until it has read a complete machine list and the machines that its
+//     predecessor rented have had time to appear in it.
+//   - A machine counts as deleted, and its entry may be removed, only after the cloud has confirmed the
+//     deletion, which proves that nothing runs there any more.
+//   - A machine without recent heartbeats is never considered idle.
 //
-// It never places, starts or stops a task and never writes a machine's entry: it decommissions and
-// drains machines by a decision that plans act on.
+// It never places, starts or stops a task and never writes a machine's entry: it decides to decommission
+// or drain a machine, and plans act on that decision.
 type autoscaler struct {
 	*environment
 	autoscalerDependencies
 
 	machineList machineList
-	strays      strays
+	orphans     orphans
 	rentals     *rentals
 
 	scalingPeriod     period
 	deletePeriod      period
 	machineListPeriod period
 
-	rentsSince       units.Micros // since when this process rents; 0: it does not
-	noDemandSince    units.Micros // since when next to no task waits for capacity
+	rentsSince       units.Micros // when this process began to rent; 0: it does not rent
+	noDemandSince    units.Micros // since when unmet demand has been too low to block scaling in
 	deletionInFlight bool
 }
 
@@ -77,66 +77,70 @@
 	commits      transactionCommitter
 }
 
-// scalingLeadership is what the autoscaler asks of leadership.
+// scalingLeadership reports which partitions this process leads.
 type scalingLeadership interface {
-	// leads reports whether this process leads a partition and may act on it.
+	// leads reports whether this process leads a partition and may act as its leader.
 	leads(partition int) bool
 	leadsAny() bool
-	// currentIncarnation is unique among all processes that ever run, and changes with each registration.
+	// currentIncarnation returns this process's incarnation, which is unique among all processes that
+	// ever run and changes with each registration.
 	currentIncarnation() string
 }
 
-// scalingDemand is what the autoscaler asks of scheduling about tasks.
+// scalingDemand reports the demand of jobs and the use of capacity by their tasks.
 type scalingDemand interface {
-	// unmetDemands lists the waiting tasks that no machine has capacity for.
-	unmetDemands(anywhere bool) []unmetDemand
-	// starvingJobs lists the jobs that have waited for too long; it is to be called once a second.
+	// unmetDemands lists the waiting tasks that no machine has capacity for. With allPartitions, every
+	// job may use the machines of all partitions.
+	unmetDemands(allPartitions bool) []unmetDemand
+	// starvingJobs lists the jobs that have waited for too long; it must be called once a second.
 	starvingJobs() []*job
-	// usedCPUs is what the tasks of all teams use.
+	// usedCPUs returns the CPUs that the tasks of all teams use.
 	usedCPUs() float64
-	// unplacedCPUs is what the tasks take that wait to be placed, whether there is capacity or not.
+	// unplacedCPUs returns the CPUs that tasks waiting for placement need, whether or not there is
+	// capacity for them.
 	unplacedCPUs() float64
 	// changesPlentiful reports whether writes to the store are not scarce.
 	changesPlentiful() bool
 }
 
-// scalingCapacity is what the autoscaler asks about the free capacity of machines.
+// scalingCapacity reports the free capacity of machines.
 type scalingCapacity interface {
 	freeCapacity(m *machine, t *cloud.MachineType) *resources
 	hasCapacityForAny(m *machine, free *resources, jobs []*job) bool
 }
 
-// fleetView is what the autoscaler asks about the health of machines.
+// fleetView reports the health of machines and zones.
 type fleetView interface {
-	// silenceSuspectedWithin reports whether many machines were silent that recently.
+	// silenceSuspectedWithin reports whether many machines were silent at some time within the last
+	// length.
 	silenceSuspectedWithin(length units.Micros) bool
 	// suspects reports whether a zone may be partitioned from the controllers.
 	suspects(zone string) bool
 }
 
-// localHeartbeats tells which machines' heartbeats came here.
+// localHeartbeats reports which machines recently sent heartbeats to this controller.
 type localHeartbeats interface {
 	heardWithin(name string, length units.Micros) bool
 }
 
-// remoteHeartbeats tells which machines' heartbeats came to other controllers.
+// remoteHeartbeats reports which machines recently sent heartbeats to other controllers.
 type remoteHeartbeats interface {
 	anyHeardWithin(name string, length units.Micros) bool
 }
 
-// transactionCommitter writes to the store.
+// transactionCommitter commits transactions to the store.
 type transactionCommitter interface {
 	newWriteTag() string
 	commit(txn *kv.Txn, writeTag string, done func(commitResult))
 }
 
 func newAutoscaler(env *environment, dependencies autoscalerDependencies) *autoscaler {
-	a := &autoscaler{environment: env, autoscalerDependencies: dependencies, strays: strays{}}
+	a := &autoscaler{environment: env, autoscalerDependencies: dependencies, orphans: orphans{}}
 	a.rentals = newRentals(env, dependencies.cloud, a.recordFirstRented)
 	return a
 }
 
-// run does what is due.
+// run does the autoscaling work that is due in this step.
 func (a *autoscaler) run() {
 	a.catalog.refreshWhenDue()
 	scaling := a.leadership.leadsAny() && a.scalingPeriod.due(a.now, scalingPeriod)
@@ -150,16 +154,16 @@
 	}
 	rents := a.catalog.known() && a.leadership.leads(scalingPartition)
 	a.readMachineListWhenDue(rents)
-	a.noteRole(rents)
+	a.updateRole(rents)
 	if rents && scaling {
-		a.rentals.settle(a.replica, a.catalog)
+		a.rentals.reconcile(a.replica, a.catalog)
 		a.scaleOut(unmet)
 	}
 }
 
-// noteRole follows when this process becomes, and ceases to be, the one that rents. It begins with
-// what it reads itself: what it knew from an earlier time may be long out of date.
-func (a *autoscaler) noteRole(rents bool) {
+// updateRole records when this process starts or stops renting. When it starts, it discards its rentals
+// and its machine list: what it knew from an earlier time may be long out of date.
+func (a *autoscaler) updateRole(rents bool) {
 	switch {
 	case !rents:
 		a.rentsSince = 0
@@ -172,21 +176,21 @@
 
 // scaleIn drains and deletes machines that are not needed.
 func (a *autoscaler) scaleIn(unmet []unmetDemand) {
-	waiting := a.demandWaits(unmet)
-	if waiting || a.noDemandSince == 0 {
+	blocked := a.demandBlocksScaleIn(unmet)
+	if blocked || a.noDemandSince == 0 {
 		a.noDemandSince = a.now
 	}
 	starving := a.demand.starvingJobs()
-	// A lull shorter than it takes to rent a machine again is no reason to drain one.
-	lull := a.now-a.noDemandSince < a.longestIdlePeriod()
-	a.drainUnderused(waiting || lull, starving)
-	a.returnIdle(waiting, starving)
+	// A pause in demand that is shorter than the time to rent a machine again is no reason to drain one.
+	recentDemand := a.now-a.noDemandSince < a.longestIdlePeriod()
+	a.drainUnderused(blocked || recentDemand, starving)
+	a.returnIdle(blocked, starving)
 }
 
-// demandWaits reports whether so much waits that no machine should be deleted. While writes to the store
-// are scarce there may be capacity that is not used yet, and a machine with much of it starts more tasks
-// with one write.
-func (a *autoscaler) demandWaits(unmet []unmetDemand) bool {
+// demandBlocksScaleIn reports whether unmet demand is so high that no machine should be deleted. While
+// writes to the store are scarce, some free capacity may not be used yet, and a machine with much free
+// capacity starts more tasks with one write.
+func (a *autoscaler) demandBlocksScaleIn(unmet []unmetDemand) bool {
 	unmetCPUs := 0.0
 	for _, demand := range unmet {
 		unmetCPUs += float64(demand.tasks) * demand.job.spec.CPUs
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -13,7 +13,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeCluster answers what an autoscaler asks of the other duties.
+// fakeCluster fakes the autoscaler's dependencies other than the replica, the cloud client, the catalog
+// and the decommissioner.
 type fakeCluster struct {
 	led            map[int]bool
 	unmet          []unmetDemand
@@ -21,7 +22,7 @@
 	heardHere      map[string]bool
 	heardByPeers   map[string]bool
 	silence        bool
-	firstRented    []string // documents written of the first rented machine
+	firstRented    []string // documents written for the first rented machine
 }
 
 func (f *fakeCluster) leads(partition int) bool   { return f.led[partition] }
@@ -39,7 +40,7 @@
 func (f *fakeCluster) hasCapacityForAny(*machine, *resources, []*job) bool { return false }
 
 func (f *fakeCluster) freeCapacity(m *machine, t *cloud.MachineType) *resources {
-	return &resources{t.CPUs - float64(len(m.doc.Tasks)), t.GPUs, t.MemGB} // tasks have one CPU
+	return &resources{t.CPUs - float64(len(m.doc.Tasks)), t.GPUs, t.MemGB} // each task takes one CPU
 }
 
 func (f *fakeCluster) silenceSuspectedWithin(units.Micros) bool           { return f.silence }
@@ -47,16 +48,16 @@
 func (f *fakeCluster) heardWithin(name string, _ units.Micros) bool       { return f.heardHere[name] }
 func (f *fakeCluster) anyHeardWithin(name string, _ units.Micros) bool    { return f.heardByPeers[name] }
 func (f *fakeCluster) newWriteTag() string                                { return "tag" }
-func (f *fakeCluster) commit(txn *kv.Txn, _ string, _ commitContinuation) { f.noteFirst(txn) }
+func (f *fakeCluster) commit(txn *kv.Txn, _ string, _ commitContinuation) { f.recordFirstRented(txn) }
 
-// commitContinuation takes the outcome of a commit.
+// commitContinuation receives the outcome of a commit.
 type commitContinuation = func(commitResult)
 
-func (f *fakeCluster) noteFirst(txn *kv.Txn) {
+func (f *fakeCluster) recordFirstRented(txn *kv.Txn) {
 	f.firstRented = append(f.firstRented, string(txn.Operations[0].Value))
 }
 
-// autoscalerRig is an autoscaler among fakes, that leads partition 0 from the start.
+// autoscalerRig is an autoscaler among fakes that leads partition 0 from the start.
 type autoscalerRig struct {
 	*autoscaler
 	t       *testing.T
@@ -78,15 +79,15 @@
 		{Name: "slow", CPUs: 32, MemGB: 256, HourlyPrice: 3.1, SpotHourlyPrice: 3.1, BootSeconds: 60, Zones: []string{"a"}},
 	}
 	types.readAt = env.now
-	copied := &replica{env: env, machines: map[string]*machine{}, everSeen: map[string]bool{}, jobs: map[string]*job{}}
+	localReplica := &replica{env: env, machines: map[string]*machine{}, everSeen: map[string]bool{}, jobs: map[string]*job{}}
 	return &autoscalerRig{t: t, cluster: cluster, autoscaler: newAutoscaler(env, autoscalerDependencies{
-		replica: copied, cloud: client, catalog: types,
-		decommission: &decommissioner{environment: env, replica: copied},
+		replica: localReplica, cloud: client, catalog: types,
+		decommission: &decommissioner{environment: env, replica: localReplica},
 		leadership:   cluster, demand: cluster, capacity: cluster, acceptance: cluster, fleet: cluster, agents: cluster, peers: cluster, commits: cluster,
 	})}
 }
 
-// addMachine enters a machine of type big that has been heard just now.
+// addMachine adds a machine of type big whose agent has just sent a heartbeat.
 func (r *autoscalerRig) addMachine(name string, partition int) *machine {
 	m := &machine{
 		name: name, shard: &machineShard{partition: partition},
@@ -97,7 +98,7 @@
 	return m
 }
 
-// sent takes the requests to the cloud that were sent since it was last called.
+// sent returns the requests to the cloud since its last call, and fails the test on any other effect.
 func (r *autoscalerRig) sent(op CloudOp) []CloudCall {
 	r.t.Helper()
 	var calls []CloudCall
@@ -112,7 +113,7 @@
 	return calls
 }
 
-// sentOne takes the only request that was sent.
+// sentOne returns the only request since the last call of sent.
 func (r *autoscalerRig) sentOne(op CloudOp) CloudCall {
 	r.t.Helper()
 	calls := r.sent(op)
@@ -127,7 +128,7 @@
 	r.cloud.handleResult(result)
 }
 
-// waitingJob is a job with tasks of one CPU.
+// waitingJob returns a job with tasks of one CPU, adjusted by change.
 func waitingJob(change func(*schema.Job)) *job {
 	j := &job{spec: schema.Job{Tasks: 100, CPUs: 1}}
 	if change != nil {
@@ -136,7 +137,8 @@
 	return j
 }
 
-// TestOnlyScalingLeaderRents runs autoscalers that lead no partition, another one, and partition 0.
+// TestOnlyScalingLeaderRents checks that an autoscaler rents only if it leads partition 0, not if it
+// leads no partition or another one.
 func TestOnlyScalingLeaderRents(t *testing.T) {
 	for name, tc := range map[string]struct {
 		led   map[int]bool
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -8,43 +8,43 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// machineList is the cloud's list of machines as last read completely.
+// machineList is the cloud's list of machines as last read in full.
 type machineList struct {
-	machines map[string]cloud.ListedMachine
-	names    []string     // sorted; of machines, and of some that were deleted since
-	askedAt  units.Micros // when its first page was asked for; 0: none has been read
-	reading  bool
+	machines    map[string]cloud.ListedMachine
+	names       []string     // sorted names of the listed machines, including some that were deleted since
+	requestedAt units.Micros // when its first page was requested; 0: no list has been read
+	reading     bool
 }
 
 func (l *machineList) forget() { *l = machineList{reading: l.reading} }
 
-// remove takes out machines whose deletion the cloud has confirmed.
+// remove removes machines whose deletion the cloud has confirmed.
 func (l *machineList) remove(names []string) {
 	for _, name := range names {
 		delete(l.machines, name)
 	}
 }
 
-// machineListRead is a read of the machine list under way. The list that is known is replaced only when
-// the last page is there; a page that fails ends the read.
+// machineListRead is a read of the machine list in progress. The known list is replaced only after the
+// last page has arrived; a failed page ends the read.
 type machineListRead struct {
-	autoscaler *autoscaler
-	askedAt    units.Micros
-	machines   map[string]cloud.ListedMachine // of the pages read so far
-	after      string                         // the last name of those pages
+	autoscaler  *autoscaler
+	requestedAt units.Micros
+	machines    map[string]cloud.ListedMachine // of the pages read so far
+	after       string                         // last name on those pages
 }
 
-// readMachineListWhenDue begins to read the list. A process that does not rent reads it only while silent
-// machines need an explanation.
+// readMachineListWhenDue starts to read the list when that is due. A process that does not rent reads it
+// only after machines fell silent, to learn whether they still exist.
 func (a *autoscaler) readMachineListWhenDue(rents bool) {
 	if a.machineList.reading || !rents && !a.fleet.silenceSuspectedWithin(silenceListPeriod) || !a.machineListPeriod.due(a.now, machineListPeriod) {
 		return
 	}
-	read := &machineListRead{autoscaler: a, askedAt: a.now, machines: map[string]cloud.ListedMachine{}}
-	read.askForPage()
+	read := &machineListRead{autoscaler: a, requestedAt: a.now, machines: map[string]cloud.ListedMachine{}}
+	read.requestPage()
 }
 
-func (r *machineListRead) askForPage() {
+func (r *machineListRead) requestPage() {
 	r.autoscaler.machineList.reading = true
 	r.autoscaler.cloud.call(CloudCall{Op: CloudList, After: r.after}, r.handlePage)
 }
@@ -60,127 +60,131 @@
 		r.after = listed.Name
 	}
 	if result.Page.Truncated && r.after != previous {
-		r.askForPage()
+		r.requestPage()
 		return
 	}
 	r.autoscaler.applyMachineList(r)
 }
 
-// applyMachineList acts on what a complete list shows: failed machines are surely gone, and machines that
-// never register are deleted.
+// applyMachineList acts on a complete list. It decommissions machines that are missing from it or listed
+// as failed, which are certainly gone, and deletes machines that never register.
 func (a *autoscaler) applyMachineList(read *machineListRead) {
-	a.machineList.machines, a.machineList.askedAt = read.machines, read.askedAt
+	a.machineList.machines, a.machineList.requestedAt = read.machines, read.requestedAt
 	a.machineList.names = slices.Sorted(maps.Keys(read.machines))
-	a.giveUpUnlisted()
+	a.decommissionUnlisted()
 	var overdue []string
 	for _, name := range a.machineList.names {
 		listed := a.machineList.machines[name]
 		if m := a.replica.machines[name]; m != nil {
-			a.strays.clear(name)
-			a.giveUpIfFailed(m, listed)
-		} else if a.rentsSince > 0 && a.strayOverdue(listed) {
+			a.orphans.clear(name)
+			a.decommissionIfFailed(m, listed)
+		} else if a.rentsSince > 0 && a.orphanOverdue(listed) {
 			overdue = append(overdue, name)
 		}
 	}
-	a.strays.keepListed(a.machineList.machines)
-	a.deleteStrays(overdue)
+	a.orphans.keepListed(a.machineList.machines)
+	a.deleteOrphans(overdue)
 }
 
-// giveUpUnlisted gives up silent machines that a complete list no longer has, though they have been up
-// for longer than a list can lag: that is the cloud's word. A leader that hears none of its machines has no
-// other way to tell whether they, or its own network, are gone.
-func (a *autoscaler) giveUpUnlisted() {
-	settled := units.FromSeconds(unlistedLagFactor*a.cfg.Settings.Cloud.ListLagS) + unlistedMargin
+// decommissionUnlisted decommissions silent machines that are missing from a complete list although they
+// have been up for longer than the list can lag: by the list, the cloud reports that they are gone. A
+// leader that receives no heartbeats from any of its machines has no other way to tell whether the
+// machines or its own network failed.
+func (a *autoscaler) decommissionUnlisted() {
+	minSilence := units.FromSeconds(unlistedLagFactor*a.cfg.Settings.Cloud.ListLagS) + unlistedMargin
 	for _, m := range a.replica.sortedMachines() {
 		_, listed := a.machineList.machines[m.name]
-		if listed || m.agent == nil || a.now-m.agent.since < settled || a.now-max(m.agent.heardAt, m.agent.since) < settled {
+		if listed || m.agent == nil || a.now-m.agent.since < minSilence || a.now-max(m.agent.heardAt, m.agent.since) < minSilence {
 			continue
 		}
 		a.decommission.giveUp("not listed", m)
 	}
 }
 
-// A machine that is missing from a complete list is given up when it has been silent for so many times
-// the lag of the list, and a margin.
+// A machine that is missing from a complete list is decommissioned when it has been silent for this
+// multiple of the list's lag plus a margin.
 const (
 	unlistedLagFactor = 4
 	unlistedMargin    = 5 * units.Second
 )
 
-// giveUpIfFailed gives up a machine that the cloud lists as failed and that is not heard either.
-func (a *autoscaler) giveUpIfFailed(m *machine, listed cloud.ListedMachine) {
+// decommissionIfFailed decommissions a machine that the cloud lists as failed and that sends no
+// heartbeats either.
+func (a *autoscaler) decommissionIfFailed(m *machine, listed cloud.ListedMachine) {
 	if listed.State == cloud.Failed && m.agent != nil && a.now-m.agent.heardAt > a.cfg.Settings.HeartbeatPeriod()*2 {
 		a.decommission.giveUp("listed as failed", m)
 	}
 }
 
-// strays remembers since when a listed machine without an entry has failed, or has been up and silent for
-// too long.
-type strays map[string]units.Micros
+// orphans records, by name, since when a listed machine without an entry has failed, or has been silent
+// for too long.
+type orphans map[string]units.Micros
 
-// note begins to count a machine as a stray, unless it is one already, and returns since when it is.
-func (s strays) note(name string, now units.Micros) units.Micros {
-	if _, ok := s[name]; !ok {
-		s[name] = now
+// add records a machine as an orphan, unless it is one already, and returns since when it has been one.
+func (o orphans) add(name string, now units.Micros) units.Micros {
+	if _, ok := o[name]; !ok {
+		o[name] = now
 	}
-	return s[name]
+	return o[name]
 }
 
-func (s strays) clear(name string) { delete(s, name) }
+func (o orphans) clear(name string) { delete(o, name) }
 
-func (s strays) has(name string) bool {
-	_, ok := s[name]
+func (o orphans) has(name string) bool {
+	_, ok := o[name]
 	return ok
 }
 
-// keepListed forgets strays that are not listed any more.
-func (s strays) keepListed(listed map[string]cloud.ListedMachine) {
-	for name := range s {
+// keepListed removes the orphans that are no longer listed.
+func (o orphans) keepListed(listed map[string]cloud.ListedMachine) {
+	for name := range o {
 		if _, ok := listed[name]; !ok {
-			delete(s, name)
+			delete(o, name)
 		}
 	}
 }
 
-// A machine without an entry is a stray when it has been listed for longer than this many boot times and a
+// A machine without an entry is an orphan when its age exceeds this multiple of its boot time plus a
 // margin.
 const (
-	strayBootFactor     = 3
-	strayMarginSeconds  = 15
-	unknownBootSeconds  = 60 // of a type that the catalog does not have
-	strayListLagsFactor = 2  // and is deleted when it has been one for so many times the list's lag
+	orphanBootFactor       = 3
+	orphanMarginSeconds    = 15
+	unknownTypeBootSeconds = 60 // boot time assumed for a type that is not in the catalog
+	orphanListLagFactor    = 2  // an orphan that has not failed is deleted after this multiple of the list's lag
 )
 
-// strayOverdue reports whether a listed machine without an entry should be deleted: it has failed, or
-// never came up, or is up and silent. The list lags, so it is looked at twice.
-func (a *autoscaler) strayOverdue(listed cloud.ListedMachine) bool {
-	boot := float64(unknownBootSeconds)
+// orphanOverdue reports whether a listed machine without an entry should be deleted: it has failed, or
+// never came up, or is up and silent. Because the list lags, a machine that has not failed must be found
+// orphaned twice.
+func (a *autoscaler) orphanOverdue(listed cloud.ListedMachine) bool {
+	boot := float64(unknownTypeBootSeconds)
 	if machineType := a.catalog.machineType(listed.Type); machineType != nil {
 		boot = machineType.BootSeconds
 	}
 	failed := listed.State == cloud.Failed
-	if !failed && (listed.AgeSeconds <= strayBootFactor*boot+strayMarginSeconds || a.heardRecently(listed.Name)) {
+	if !failed && (listed.AgeSeconds <= orphanBootFactor*boot+orphanMarginSeconds || a.heardRecently(listed.Name)) {
 		return false
 	}
-	since := a.strays.note(listed.Name, a.now)
-	return failed || a.now-since > units.FromSeconds(strayListLagsFactor*a.cfg.Settings.Cloud.ListLagS)
+	since := a.orphans.add(listed.Name, a.now)
+	return failed || a.now-since > units.FromSeconds(orphanListLagFactor*a.cfg.Settings.Cloud.ListLagS)
 }
 
-// heardWithinPeriods is for how many heartbeat periods after a heartbeat a machine counts as heard.
+// heardWithinPeriods is for how many heartbeat periods after its last heartbeat a machine counts as
+// heard.
 const heardWithinPeriods = 3
 
-// heardRecently reports whether a machine that is not entered yet sends heartbeats here or to another
-// controller: it is not silent, only the store is slow. A controller that does not answer proves nothing
-// here: nothing runs on such a machine, and one that never comes up would be paid for as long as one peer
-// heartbeat stays away.
+// heardRecently reports whether a machine without an entry sends heartbeats to this or another
+// controller: then it is not silent, only the store is slow to register it. A controller that does not
+// answer is not assumed to hear the machine: nothing runs on a machine without an entry, and one that
+// never comes up would be paid for as long as one peer's heartbeat is missing.
 func (a *autoscaler) heardRecently(name string) bool {
 	recent := heardWithinPeriods * a.cfg.Settings.HeartbeatPeriod()
 	return a.agents.heardWithin(name, recent) || a.peers.anyHeardWithin(name, recent)
 }
 
-// deleteStrays deletes machines that have no entry. The cloud's list shows what became of a deletion that
-// fails, and the next list repeats it.
-func (a *autoscaler) deleteStrays(names []string) {
+// deleteOrphans deletes machines that have no entry. A failed deletion is not retried here: the cloud's
+// list still shows the machine, and the next list that is read leads to another deletion.
+func (a *autoscaler) deleteOrphans(names []string) {
 	if len(names) == 0 {
 		return
 	}
--- a/internal/controller/machinelist_test.go
+++ b/internal/controller/machinelist_test.go
@@ -9,7 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestMachineListPages reads lists of several pages. What is known stays until a list is read completely.
+// TestMachineListPages reads lists of several pages. The known list must stay until a new one is read in
+// full.
 func TestMachineListPages(t *testing.T) {
 	page := func(truncated bool, names ...string) CloudResult {
 		result := CloudResult{Status: cloud.StatusOK, Page: cloud.MachinePage{Truncated: truncated}}
@@ -20,7 +21,7 @@
 	}
 	for name, tc := range map[string]struct {
 		pages  []CloudResult
-		afters []string // where each page was asked for
+		afters []string // After parameter of each page request
 		want   []string
 	}{
 		"one page":          {[]CloudResult{page(false, "m-1")}, []string{""}, []string{"m-1"}},
@@ -37,7 +38,7 @@
 			for i, result := range tc.pages {
 				call := rig.sentOne(CloudList)
 				if call.After != tc.afters[i] {
-					t.Errorf("page %d asked for after %q, want %q", i, call.After, tc.afters[i])
+					t.Errorf("page %d requested after %q, want %q", i, call.After, tc.afters[i])
 				}
 				rig.readMachineListWhenDue(true) // one read at a time
 				rig.answer(call, result)
@@ -46,22 +47,22 @@
 				t.Errorf("listed %v, want %v", got, tc.want)
 			}
 			if calls := rig.sent(CloudList); len(calls) > 0 || rig.machineList.reading {
-				t.Errorf("still reads: %+v", calls)
+				t.Errorf("still reading after the last page: %+v", calls)
 			}
 		})
 	}
 }
 
-// TestStrays lists which listed machines without an entry are deleted, when the list is seen now and again
-// after a while.
+// TestStrays checks which listed machines without an entry are deleted when the list shows them now and
+// again after a while.
 func TestStrays(t *testing.T) {
-	const overdue = 106 // three boot times of 30 s, 15 s, and one more
+	const overdue = 106 // seconds: three boot times of 30 s, plus 15 s, plus one
 	for name, tc := range map[string]struct {
 		listed      cloud.ListedMachine
 		heard       bool
 		heardByPeer bool
-		follows     bool // this process does not rent
-		again       units.Micros
+		doesNotRent bool
+		again       units.Micros // how long after the first read the list is read again
 		deleted     bool
 	}{
 		"booting":                 {listed: cloud.ListedMachine{Type: "big", AgeSeconds: 20}, again: 17 * units.Second},
@@ -72,17 +73,17 @@
 		"unknown type, booting":   {listed: cloud.ListedMachine{Type: "new", AgeSeconds: overdue}, again: 17 * units.Second},
 		"unknown type, never up":  {listed: cloud.ListedMachine{Type: "new", AgeSeconds: 196}, again: 17 * units.Second, deleted: true},
 		"failed":                  {listed: cloud.ListedMachine{Type: "big", State: cloud.Failed}, deleted: true},
-		"failed, another's to do": {listed: cloud.ListedMachine{Type: "big", State: cloud.Failed}, follows: true},
+		"failed, another's to do": {listed: cloud.ListedMachine{Type: "big", State: cloud.Failed}, doesNotRent: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := newAutoscalerRig(t)
-			rig.noteRole(!tc.follows)
+			rig.updateRole(!tc.doesNotRent)
 			tc.listed.Name = "m-1"
 			rig.cluster.heardHere = map[string]bool{"m-1": tc.heard}
 			rig.cluster.heardByPeers = map[string]bool{"m-1": tc.heardByPeer}
 			for _, at := range []units.Micros{rig.now, rig.now + tc.again} {
 				rig.now, rig.effects = at, nil
-				rig.applyMachineList(&machineListRead{askedAt: at, machines: map[string]cloud.ListedMachine{"m-1": tc.listed}})
+				rig.applyMachineList(&machineListRead{requestedAt: at, machines: map[string]cloud.ListedMachine{"m-1": tc.listed}})
 			}
 			if deleted := len(rig.sent(CloudDelete)) > 0; deleted != tc.deleted {
 				t.Errorf("deleted %v, want %v", deleted, tc.deleted)
@@ -91,7 +92,7 @@
 	}
 }
 
-// TestWhoReadsTheList lists which processes read the machine list, and how often.
+// TestWhoReadsTheList checks which processes read the machine list, and how often.
 func TestWhoReadsTheList(t *testing.T) {
 	for name, tc := range map[string]struct {
 		rents, silence bool
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -9,25 +9,26 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// refusedOfferPause is for how long an offer is not asked for after the cloud had too few machines of it.
+// refusedOfferPause is how long an offer is not requested again after the cloud had too few machines of
+// it.
 const refusedOfferPause = 15 * units.Second
 
-// A rental whose machines have not all registered after this many boot times and a margin is not waited
-// for any more: the machine list will tell what became of them.
+// A rental is dropped when its machines have not all registered within this multiple of the type's boot
+// time plus a margin. The machine list then shows what became of them.
 const (
 	rentalBootFactor    = 2.5
 	rentalMarginSeconds = 10
 )
 
-// offer is something that the cloud rents: a machine type in a zone, on demand or as spot instances.
+// offer is what a rental request can ask for: a machine type in a zone, on demand or as spot instances.
 type offer struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
-// rental is a rental request under way: not answered clearly yet, or granted with machines that have not
-// registered.
+// rental is an outstanding rental request: its outcome is unknown, or it was granted and some of its
+// machines have not registered.
 type rental struct {
 	request         cloud.RentalRequest
 	inFlight        bool
@@ -40,56 +41,58 @@
 	return offer{r.request.Type, r.request.Zone, r.request.Spot}
 }
 
-// comingMachines is how many machines the rental may still bring.
-func (r *rental) comingMachines() int {
+// upcomingMachines returns how many machines the rental may still add.
+func (r *rental) upcomingMachines() int {
 	if r.granted {
 		return len(r.pendingMachines)
 	}
 	return r.request.Count
 }
 
-// rentals are the rental requests under way. Each has a name of its own that is never used again, and is
-// idempotent: without a clear answer it is repeated, unchanged, until the cloud grants or refuses it.
+// rentals holds the outstanding rental requests. The name of a request is never reused and makes the
+// request idempotent: without a clear answer it is repeated, unchanged, until the cloud grants or refuses
+// it.
 type rentals struct {
 	*environment
 	cloud     *cloudClient
-	onGranted func(machines []string) // runs when the cloud has granted a rental
+	onGranted func(machines []string) // called with the machine names when the cloud has granted a rental
 
-	underWay  map[string]*rental // by name
-	begun     int                // ever, by this process; the number is part of the name
-	notBefore map[offer]units.Micros
+	outstanding map[string]*rental     // by name
+	namesIssued int                    // by this process; the number is part of the name
+	notBefore   map[offer]units.Micros // earliest time at which an offer may be requested again
 }
 
 func newRentals(env *environment, client *cloudClient, onGranted func(machines []string)) *rentals {
 	return &rentals{
 		environment: env, cloud: client, onGranted: onGranted,
-		underWay: map[string]*rental{}, notBefore: map[offer]units.Micros{},
+		outstanding: map[string]*rental{}, notBefore: map[offer]units.Micros{},
 	}
 }
 
-// forgetAll forgets the rentals under way. Their names stay used.
-func (r *rentals) forgetAll() { r.underWay = map[string]*rental{} }
+// forgetAll discards the outstanding rentals. Their names are still not reused.
+func (r *rentals) forgetAll() { r.outstanding = map[string]*rental{} }
 
-// names lists the rentals under way in a fixed order.
-func (r *rentals) names() []string { return slices.Sorted(maps.Keys(r.underWay)) }
+// names returns the sorted names of the outstanding rentals.
+func (r *rentals) names() []string { return slices.Sorted(maps.Keys(r.outstanding)) }
 
-// available reports whether an offer may be asked for.
+// available reports whether an offer may be requested now.
 func (r *rentals) available(wanted offer) bool { return r.now >= r.notBefore[wanted] }
 
-// newName is a name that no other rental has: incarnations are unique among all processes that ever run.
+// newName returns a name that no other rental has: incarnations are unique among all processes that ever
+// run.
 func (r *rentals) newName(incarnation string) string {
-	r.begun++
-	return "r-" + incarnation + "-" + strconv.Itoa(r.begun)
+	r.namesIssued++
+	return "r-" + incarnation + "-" + strconv.Itoa(r.namesIssued)
 }
 
-// begin sends a new rental.
+// begin records a new rental and sends its request.
 func (r *rentals) begin(request cloud.RentalRequest) {
 	started := &rental{request: request}
-	r.underWay[request.Name] = started
+	r.outstanding[request.Name] = started
 	r.send(started)
 }
 
-// send sends a rental, always under its own name.
+// send sends the request of a rental, always under the same name.
 func (r *rentals) send(sent *rental) {
 	sent.inFlight = true
 	r.cloud.call(CloudCall{Op: CloudRent, Rental: sent.request}, func(result CloudResult) { r.handleResult(sent, result) })
@@ -103,13 +106,14 @@
 	case cloud.StatusRefused:
 		r.log.Debug("rental refused", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 		r.pauseOffer(sent.offer())
-		delete(r.underWay, request.Name)
+		delete(r.outstanding, request.Name)
 	case cloud.StatusUnknown:
-		sent.inFlight = false // it may have been carried out: the next round repeats it
+		sent.inFlight = false // it may have been executed: the next round repeats it
 	}
 }
 
-// grant notes which machines a rental brings. Fewer than were asked for are all that the cloud has.
+// grant records the machines that a rental has got. If they are fewer than requested, the cloud has no
+// more of the offer.
 func (r *rentals) grant(granted *rental, machines []string) {
 	request := &granted.request
 	granted.granted, granted.grantedAt = true, r.now
@@ -126,11 +130,11 @@
 
 func (r *rentals) pauseOffer(refused offer) { r.notBefore[refused] = r.now + refusedOfferPause }
 
-// settle repeats rentals without a clear answer, and forgets those whose machines have registered or are
-// overdue.
-func (r *rentals) settle(replica *replica, catalog *catalog) {
+// reconcile repeats rentals whose outcome is unknown, and drops rentals whose machines have all
+// registered or are overdue.
+func (r *rentals) reconcile(replica *replica, catalog *catalog) {
 	for _, name := range r.names() {
-		each := r.underWay[name]
+		each := r.outstanding[name]
 		if !each.granted {
 			if !each.inFlight {
 				r.send(each)
@@ -139,7 +143,7 @@
 		}
 		maps.DeleteFunc(each.pendingMachines, func(machine string, _ bool) bool { return replica.machines[machine] != nil })
 		if len(each.pendingMachines) == 0 || r.overdue(each, catalog) {
-			delete(r.underWay, name)
+			delete(r.outstanding, name)
 		}
 	}
 }
@@ -149,9 +153,9 @@
 	return machineType != nil && r.now-granted.grantedAt > units.FromSeconds(machineType.BootSeconds*rentalBootFactor+rentalMarginSeconds)
 }
 
-// pending reports whether a machine has been granted and has not registered.
+// pending reports whether a machine was granted by an outstanding rental and has not registered.
 func (r *rentals) pending(machine string) bool {
-	for _, each := range r.underWay {
+	for _, each := range r.outstanding {
 		if each.pendingMachines[machine] {
 			return true
 		}
--- a/internal/controller/rentals_test.go
+++ b/internal/controller/rentals_test.go
@@ -8,55 +8,55 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestRentalIsIdempotent follows a rental without a clear answer: it is repeated unchanged, under its own
-// name, which no later rental takes.
+// TestRentalIsIdempotent checks that a rental without a clear answer is repeated unchanged, under its own
+// name, and that no later rental uses that name.
 func TestRentalIsIdempotent(t *testing.T) {
 	rig := newAutoscalerRig(t)
 	rig.rent(offer{"big", "a", false}, new(64.0), 5)
 	first := rig.sentOne(CloudRent)
-	rig.rentals.settle(rig.replica, rig.catalog)
+	rig.rentals.reconcile(rig.replica, rig.catalog)
 	if calls := rig.sent(CloudRent); len(calls) != 0 {
-		t.Errorf("repeated while in flight: %+v", calls)
+		t.Errorf("request repeated while in flight: %+v", calls)
 	}
 	rig.answer(first, CloudResult{Status: cloud.StatusUnknown})
-	rig.rentals.settle(rig.replica, rig.catalog)
+	rig.rentals.reconcile(rig.replica, rig.catalog)
 	repeated := rig.sentOne(CloudRent)
 	if repeated.Rental != first.Rental || repeated.CallID == first.CallID {
-		t.Errorf("repeated as %+v, first %+v", repeated, first)
+		t.Errorf("repeated as %+v, want the rental of %+v under a new call ID", repeated, first)
 	}
 	rig.answer(repeated, CloudResult{Status: cloud.StatusOK, Machines: cloud.MachineNames{Names: []string{"m-2", "m-1"}}})
 	if want := []string{`{"n":"m-1","w":"tag"}`}; !slices.Equal(rig.cluster.firstRented, want) {
 		t.Errorf("first rented %v, want %v", rig.cluster.firstRented, want)
 	}
 	if !rig.rentals.pending("m-1") || !rig.rentals.pending("m-2") {
-		t.Error("granted machines are not expected")
+		t.Error("granted machines are not pending")
 	}
 	rig.rentals.forgetAll()
 	rig.rent(offer{"big", "a", false}, new(64.0), 5)
 	if next := rig.sentOne(CloudRent); next.Rental.Name == first.Rental.Name {
-		t.Errorf("name %s is used again", next.Rental.Name)
+		t.Errorf("rental name %s is reused", next.Rental.Name)
 	}
 }
 
-// TestRentalEnds lists when a granted or refused rental is no longer under way.
+// TestRentalEnds checks when a granted or refused rental is no longer outstanding.
 func TestRentalEnds(t *testing.T) {
 	for name, tc := range map[string]struct {
-		status     cloud.Status
-		granted    []string
-		registered []string
-		later      units.Micros
-		underWay   bool
-		available  bool // the offer may be asked for again
+		status      cloud.Status
+		granted     []string
+		registered  []string
+		later       units.Micros
+		outstanding bool
+		available   bool // the offer may be requested again
 	}{
 		"refused":               {status: cloud.StatusRefused, later: units.Second},
 		"refused long ago":      {status: cloud.StatusRefused, later: refusedOfferPause, available: true},
-		"fewer than asked for":  {status: cloud.StatusOK, granted: []string{"m-1"}, later: units.Second, underWay: true},
-		"all granted":           {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, later: units.Second, underWay: true, available: true},
-		"one registered":        {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, registered: []string{"m-1"}, later: units.Second, underWay: true, available: true},
+		"fewer than asked for":  {status: cloud.StatusOK, granted: []string{"m-1"}, later: units.Second, outstanding: true},
+		"all granted":           {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, later: units.Second, outstanding: true, available: true},
+		"one registered":        {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, registered: []string{"m-1"}, later: units.Second, outstanding: true, available: true},
 		"all registered":        {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, registered: []string{"m-1", "m-2"}, available: true},
-		"not yet overdue":       {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, later: 85 * units.Second, underWay: true, available: true},
+		"not yet overdue":       {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, later: 85 * units.Second, outstanding: true, available: true},
 		"overdue":               {status: cloud.StatusOK, granted: []string{"m-1", "m-2"}, later: 86 * units.Second, available: true},
-		"no answer, asked anew": {status: cloud.StatusUnknown, later: 86 * units.Second, underWay: true, available: true},
+		"no answer, asked anew": {status: cloud.StatusUnknown, later: 86 * units.Second, outstanding: true, available: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rig := newAutoscalerRig(t)
@@ -67,12 +67,12 @@
 				rig.addMachine(machine, 0)
 			}
 			rig.now += tc.later
-			rig.rentals.settle(rig.replica, rig.catalog)
-			if underWay := len(rig.rentals.underWay) > 0; underWay != tc.underWay {
-				t.Errorf("under way %v, want %v", underWay, tc.underWay)
+			rig.rentals.reconcile(rig.replica, rig.catalog)
+			if outstanding := len(rig.rentals.outstanding) > 0; outstanding != tc.outstanding {
+				t.Errorf("outstanding %v, want %v", outstanding, tc.outstanding)
 			}
 			if available := rig.rentals.available(wanted); available != tc.available {
-				t.Errorf("available %v, want %v", available, tc.available)
+				t.Errorf("offer available %v, want %v", available, tc.available)
 			}
 		})
 	}
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -9,30 +9,31 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Limits of scaling in: a few machines of a small fleet, a small part of a large one.
+// Limits on scaling in: each limit is the larger of a fixed number of machines and a fraction of the
+// fleet.
 const (
-	minDrainingTogether  = 2
-	drainingFleetDivisor = 20
-	minIdleReturned      = 1 // in one second
-	idleFleetDivisor     = 50
+	minDrainingTogether  = 2  // machines drained at the same time
+	drainingFleetDivisor = 20 // or 1/20 of the fleet
+	minIdleReturned      = 1  // idle machines decommissioned in one second
+	idleFleetDivisor     = 50 // or 1/50 of the fleet
 )
 
-// What a machine must show to be drained, and what must stay free elsewhere.
+// Conditions for draining a machine, and for decommissioning an idle one.
 const (
-	maxDrainableUse    = 0.6 // of its CPUs
-	steadyBeforeDrain  = 30 * units.Second
-	minSpareCPUs       = 8 // free elsewhere, however small the fleet is
-	minIdlePeriod      = 30 * units.Second
-	idleHeartbeatLimit = 2 // heartbeat periods without a heartbeat after which a machine may be cut off
+	maxDrainableUse    = 0.6               // a machine is drained only while less than this fraction of its CPUs is used
+	steadyBeforeDrain  = 30 * units.Second // how long a machine must have been reachable without interruption
+	minSpareCPUs       = 8                 // CPUs that must stay free on other machines, however small the fleet is
+	minIdlePeriod      = 30 * units.Second // shortest idle time before a machine is decommissioned
+	idleHeartbeatLimit = 2                 // heartbeat periods without a heartbeat after which a machine may be cut off
 )
 
-// idlePeriod is how long a machine may have nothing to do before it is deleted: about as long as it would
-// take to get another.
+// idlePeriod returns how long a machine may be idle before it is decommissioned: about as long as it
+// takes to rent another.
 func (a *autoscaler) idlePeriod(machineType *cloud.MachineType) units.Micros {
 	return max(minIdlePeriod, units.FromSeconds(machineType.BootSeconds*a.policy.ScaleInIdleBoots))
 }
 
-// longestIdlePeriod is that of the type that takes longest to boot.
+// longestIdlePeriod returns the idle period of the machine type that takes longest to boot.
 func (a *autoscaler) longestIdlePeriod() units.Micros {
 	var longest units.Micros
 	for i := range a.catalog.types {
@@ -41,12 +42,12 @@
 	return longest
 }
 
-// maxDraining is how many machines may be drained together.
+// maxDraining returns how many machines may be drained at the same time.
 func (a *autoscaler) maxDraining() int {
 	return max(minDrainingTogether, len(a.replica.machines)/drainingFleetDivisor)
 }
 
-// maxIdleReturned is how many machines may be decommissioned for being idle in one second.
+// maxIdleReturned returns how many idle machines may be decommissioned in one second.
 func (a *autoscaler) maxIdleReturned() int {
 	return max(minIdleReturned, len(a.replica.machines)/idleFleetDivisor)
 }
@@ -56,36 +57,37 @@
 	machine     *machine
 	machineType *cloud.MachineType
 	usedCPUs    float64
-	waste       float64 // what its unused part costs, by the hour
+	waste       float64 // hourly cost of its unused CPUs
 }
 
-// drainSurvey is what one look at all machines shows of their use.
+// drainSurvey collects, in one pass over all machines, their use and the candidates for draining.
 type drainSurvey struct {
 	autoscaler *autoscaler
-	waiting    bool   // much waits: none may be drained
-	starving   []*job // whose tasks no machine that has capacity for them may be kept from
+	blocked    bool   // no machine may be drained, because of present or recent unmet demand
+	starving   []*job // a machine with capacity for one of these jobs is not drained
 
 	freeCPUs, usedCPUs float64
-	draining           int // machines that are drained already
+	draining           int // machines that are already being drained
 	candidates         []drainCandidate
 }
 
-// drainUnderused chooses machines that are little used to be drained, as far as the free capacity elsewhere
-// takes what is on them and leaves some for new tasks. Those that waste most go first.
-func (a *autoscaler) drainUnderused(waiting bool, starving []*job) {
-	survey := &drainSurvey{autoscaler: a, waiting: waiting, starving: starving}
+// drainUnderused starts draining underused machines as long as the free capacity of the other machines
+// can take their tasks and still leaves the spare capacity for new tasks. Machines with the highest waste
+// go first.
+func (a *autoscaler) drainUnderused(blocked bool, starving []*job) {
+	survey := &drainSurvey{autoscaler: a, blocked: blocked, starving: starving}
 	for _, m := range a.replica.sortedMachines() {
 		if machineType := a.catalog.machineType(m.doc.Type); machineType != nil && m.part() >= 0 {
 			survey.add(m, machineType)
 		}
 	}
-	if waiting {
+	if blocked {
 		return
 	}
 	slices.SortStableFunc(survey.candidates, func(x, y drainCandidate) int { return cmp.Compare(y.waste, x.waste) })
 	free := survey.freeCPUs
 	for _, candidate := range survey.candidates {
-		free -= candidate.machineType.CPUs // its own free capacity, and what its tasks take elsewhere
+		free -= candidate.machineType.CPUs // the candidate's own free capacity, plus what its tasks need elsewhere
 		if survey.draining >= a.maxDraining() || free < max(minSpareCPUs, a.policy.SpareCapacityShare*survey.usedCPUs) {
 			return
 		}
@@ -95,7 +97,7 @@
 	}
 }
 
-// add takes one machine into the survey. It ends the draining of a machine that is wanted again.
+// add adds one machine to the survey. It stops draining a machine that is needed again.
 func (s *drainSurvey) add(m *machine, machineType *cloud.MachineType) {
 	a := s.autoscaler
 	capacity := a.capacity.freeCapacity(m, machineType)
@@ -108,7 +110,7 @@
 		return
 	}
 	wanted := a.capacity.hasCapacityForAny(m, capacity, s.starving)
-	if s.waiting || wanted {
+	if s.blocked || wanted {
 		m.agent.stopDraining()
 	}
 	if m.agent.draining {
@@ -119,26 +121,26 @@
 		return
 	}
 	s.freeCPUs += machineType.CPUs - used
-	if used/machineType.CPUs < maxDrainableUse && !wanted && a.reachedSteadily(m) {
+	if used/machineType.CPUs < maxDrainableUse && !wanted && a.steadilyReachable(m) {
 		s.candidates = append(s.candidates, drainCandidate{m, machineType, used, machineType.HourlyRate(m.doc.Spot) * (1 - used/machineType.CPUs)})
 	}
 }
 
-// reachedSteadily reports whether a machine has been within reach for some time. One that was not may be
-// empty for that reason alone.
-func (a *autoscaler) reachedSteadily(m *machine) bool {
+// steadilyReachable reports whether a machine has been reachable for some time without interruption. A
+// machine that was not may be empty for that reason alone.
+func (a *autoscaler) steadilyReachable(m *machine) bool {
 	return a.now-m.agent.since > steadyBeforeDrain && m.agent.responses.steady(a.now, a.cfg.Settings.HeartbeatPeriod(), steadyBeforeDrain)
 }
 
-// returnIdle decommissions machines that have nothing to do, the dearest first.
-func (a *autoscaler) returnIdle(waiting bool, starving []*job) {
+// returnIdle decommissions idle machines, the most expensive first.
+func (a *autoscaler) returnIdle(blocked bool, starving []*job) {
 	var idle []*machine
 	for _, m := range a.replica.sortedMachines() {
 		machineType := a.catalog.machineType(m.doc.Type)
 		if machineType == nil || m.agent == nil {
 			continue
 		}
-		if waiting || !a.isIdle(m, machineType, starving) {
+		if blocked || !a.isIdle(m, machineType, starving) {
 			m.agent.noteUsed(a.now)
 			continue
 		}
@@ -152,8 +154,8 @@
 	a.decommission.mark("idle", idle[:min(len(idle), a.maxIdleReturned())]...)
 }
 
-// isIdle reports whether a machine has nothing to do, and nothing to wait for. One that is not heard may be
-// cut off, and is not idle for sure.
+// isIdle reports whether a machine has no task whose completion is not stored, and no capacity for a
+// starving job. A machine without recent heartbeats may be cut off, so it does not count as idle.
 func (a *autoscaler) isIdle(m *machine, machineType *cloud.MachineType, starving []*job) bool {
 	if slices.ContainsFunc(m.doc.Tasks, func(task schema.Task) bool { return a.replica.unstoredJobOf(task) != nil }) {
 		return false
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -8,19 +8,19 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestReturnIdle lists which machines are decommissioned for having nothing to do.
+// TestReturnIdle checks which machines are decommissioned as idle.
 func TestReturnIdle(t *testing.T) {
 	task := schema.Task{Job: "j", Index: 1}
 	for name, tc := range map[string]struct {
 		change   func(*autoscalerRig, *machine)
-		waiting  bool
+		blocked  bool
 		after    units.Micros
 		returned bool
 	}{
 		"idle":             {after: 120 * units.Second, returned: true},
 		"idle for a while": {after: units.Second},
 		"drained":          {after: units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.startDraining() }, returned: true},
-		"demand waits":     {after: 120 * units.Second, waiting: true},
+		"demand waits":     {after: 120 * units.Second, blocked: true},
 		"not heard":        {after: 120 * units.Second, change: func(_ *autoscalerRig, m *machine) { m.agent.heardAt = 0 }},
 		"has a task": {after: 120 * units.Second, change: func(r *autoscalerRig, m *machine) {
 			r.place(m, task)
@@ -36,7 +36,7 @@
 			if tc.change != nil {
 				tc.change(rig, m)
 			}
-			rig.returnIdle(tc.waiting, nil)
+			rig.returnIdle(tc.blocked, nil)
 			if returned := m.agent != nil && m.agent.decommission.reason == "idle"; returned != tc.returned {
 				t.Errorf("returned %v, want %v", returned, tc.returned)
 			}
@@ -44,7 +44,8 @@
 	}
 }
 
-// TestDrainUnderused drains few machines at once, those with the least use first, while enough stays free.
+// TestDrainUnderused checks that only a few machines are drained at once, those with the least use first,
+// and only while enough capacity stays free.
 func TestDrainUnderused(t *testing.T) {
 	task := schema.Task{Job: "j", Index: 1}
 	for name, tc := range map[string]struct {
@@ -79,7 +80,7 @@
 			if draining := rig.drainingMachines(); !slices.Equal(draining, tc.want) {
 				t.Errorf("draining %v, want %v", draining, tc.want)
 			}
-			rig.drainUnderused(true, nil) // demand waits again
+			rig.drainUnderused(true, nil) // unmet demand appears again
 			if draining := rig.drainingMachines(); len(draining) > 0 {
 				t.Errorf("still draining %v", draining)
 			}
@@ -97,7 +98,7 @@
 	return draining
 }
 
-// place enters a task of an accepted job on a machine.
+// place adds a task of an accepted job to a machine.
 func (r *autoscalerRig) place(m *machine, task schema.Task) {
 	j := waitingJob(nil)
 	j.id, j.accepted = task.Job, true
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -10,43 +10,43 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Limits of renting.
+// Limits on renting.
 const (
-	minRentalCalls       = 2  // rental requests a second, however few calls are allowed: that many are, for a while
-	rentalCallsDivisor   = 2  // the part of the calls allowed a second that rentals may take
-	maxMachinesPerRental = 50 // machines that one request may ask for
-	maxFleetShareDivisor = 8  // a request asks for at most this part of the fleet, so that one price or one zone does not take all
-	rentalRounds         = 4  // and, when that is more, at most this part of what is lacking in one second
-	maxRentalsPending    = 40 // requests not yet answered, or whose machines have not registered yet
+	minRentalCalls       = 2  // rental requests a second, even if the cloud's rate limit is lower: it tolerates that many for a while
+	rentalCallsDivisor   = 2  // rental requests may use 1/2 of the requests a second that the cloud permits
+	maxMachinesPerRental = 50 // machines in one request
+	maxFleetShareDivisor = 8  // a request asks for at most 1/8 of the fleet, so that one price or one zone does not get all machines
+	rentalRounds         = 4  // or, if that is more, for at most its part of 1/4 of the shortfall, split over the permitted requests of one second
+	maxRentalsPending    = 40 // requests that are unanswered, or whose machines have not all registered yet
 )
 
-// What a new leader waits for before it rents: its predecessor's machines appear in the list within so
-// many times the list's lag, and a margin.
+// A new leader rents only after this multiple of the machine list's lag, plus a margin: by then the
+// machines that its predecessor rented appear in the list.
 const (
 	handoverLagFactor = 2
 	handoverMargin    = 2 * units.Second
 )
 
-// firstLeaderWithin is how soon after the start of its process a leader must lead to be taken for the first
-// of all: nobody has rented before it.
+// firstLeaderWithin is how soon after the start of its process a leader must begin to rent to count as
+// the first leader ever, before which nobody has rented.
 const firstLeaderWithin = 3 * units.Second
 
-// unmetCapacity is the CPUs that waiting tasks lack.
+// unmetCapacity is the number of CPUs that waiting tasks need beyond the existing capacity.
 type unmetCapacity struct {
-	onDemandOnly float64 // of jobs that may not use spot instances
-	spotAllowed  float64 // of the others
+	onDemandOnly float64 // for jobs that may not use spot instances
+	spotAllowed  float64 // for all other jobs
 }
 
-// scaleOut asks for machines for the tasks that no machine has capacity for, in several requests a round
-// when much is lacking, each for the offer that is best then.
+// scaleOut rents machines for the tasks that no machine has capacity for. If much capacity is missing it
+// sends several requests a round, each for the offer that is best at that point.
 func (a *autoscaler) scaleOut(unmet []unmetDemand) {
 	if !a.knowsFleet() {
 		return
 	}
-	lacking := a.capacityLacking(unmet)
+	shortfall := a.capacityShortfall(unmet)
 	permitted := int(a.cfg.Settings.Cloud.RPS / rentalCallsDivisor)
-	for calls := max(minRentalCalls, permitted); calls > 0 && len(a.rentals.underWay) < maxRentalsPending; calls-- {
-		best, cpus := a.chooseOffer(unmet, &lacking)
+	for calls := max(minRentalCalls, permitted); calls > 0 && len(a.rentals.outstanding) < maxRentalsPending; calls-- {
+		best, cpus := a.chooseOffer(unmet, &shortfall)
 		if best == nil {
 			return
 		}
@@ -54,78 +54,79 @@
 	}
 }
 
-// knowsFleet reports whether this process can tell what its predecessor rented, and has seen a list:
-// machines that are up and have not registered yet are seen there only.
+// knowsFleet reports whether this process can tell what its predecessor rented and has read a machine
+// list: only the list shows machines that are up and have not registered yet.
 func (a *autoscaler) knowsFleet() bool {
-	settled := units.FromSeconds(handoverLagFactor*a.cfg.Settings.Cloud.ListLagS) + handoverMargin
-	first := a.rentsSince <= firstLeaderWithin || len(a.replica.machines) == 0
-	return (first || a.now-a.rentsSince >= settled) && a.machineList.askedAt > 0
+	handoverDelay := units.FromSeconds(handoverLagFactor*a.cfg.Settings.Cloud.ListLagS) + handoverMargin
+	firstLeader := a.rentsSince <= firstLeaderWithin || len(a.replica.machines) == 0
+	return (firstLeader || a.now-a.rentsSince >= handoverDelay) && a.machineList.requestedAt > 0
 }
 
-// chooseOffer is the best offer for what is lacking, nil if there is none, and the kind of CPUs that it is
-// for.
-func (a *autoscaler) chooseOffer(unmet []unmetDemand, lacking *unmetCapacity) (best *offer, cpus *float64) {
-	if lacking.onDemandOnly > 0 {
+// chooseOffer returns the best offer for the shortfall, nil if there is none, and the part of the
+// shortfall that the offer is meant for.
+func (a *autoscaler) chooseOffer(unmet []unmetDemand, shortfall *unmetCapacity) (best *offer, cpus *float64) {
+	if shortfall.onDemandOnly > 0 {
 		if best = a.bestOffer(unmet, false); best != nil {
-			return best, &lacking.onDemandOnly
+			return best, &shortfall.onDemandOnly
 		}
 	}
-	if lacking.spotAllowed > 0 {
-		return a.bestOffer(unmet, true), &lacking.spotAllowed
+	if shortfall.spotAllowed > 0 {
+		return a.bestOffer(unmet, true), &shortfall.spotAllowed
 	}
 	return nil, nil
 }
 
-// rent asks for machines of an offer and takes them off the CPUs that are lacking. Where few calls are
-// allowed each asks for more, so that a fleet that is wanted at once comes at once.
-func (a *autoscaler) rent(wanted offer, lackingCPUs *float64, permitted int) {
+// rent requests machines of an offer and subtracts their CPUs from the shortfall. If few requests are
+// permitted, each asks for more machines, so that a fleet that is needed at once is rented at once.
+func (a *autoscaler) rent(wanted offer, shortfallCPUs *float64, permitted int) {
 	cpus := a.catalog.machineType(wanted.machineType).CPUs
-	machines := int(math.Ceil(*lackingCPUs / cpus))
+	machines := int(math.Ceil(*shortfallCPUs / cpus))
 	perRequest := max(a.policy.MaxLaunchBatch, len(a.replica.machines)/maxFleetShareDivisor, machines/(rentalRounds*max(1, permitted)))
 	request := cloud.RentalRequest{
 		Name: a.rentals.newName(a.leadership.currentIncarnation()),
 		Type: wanted.machineType, Zone: wanted.zone, Spot: wanted.spot,
 		Count: min(machines, maxMachinesPerRental, perRequest),
 	}
-	a.log.Info("renting machines", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "unmet_cpus", *lackingCPUs)
-	*lackingCPUs -= float64(request.Count) * cpus
+	a.log.Info("renting machines", "request", request.Name, "type", request.Type, "zone", request.Zone, "spot", request.Spot, "count", request.Count, "unmet_cpus", *shortfallCPUs)
+	*shortfallCPUs -= float64(request.Count) * cpus
 	a.rentals.begin(request)
 }
 
-// capacityLacking is what neither free capacity nor a coming machine can take.
-func (a *autoscaler) capacityLacking(unmet []unmetDemand) unmetCapacity {
-	var lacking unmetCapacity
+// capacityShortfall returns the demand that neither free capacity nor upcoming machines can serve.
+func (a *autoscaler) capacityShortfall(unmet []unmetDemand) unmetCapacity {
+	var shortfall unmetCapacity
 	for _, demand := range unmet {
 		cpus := float64(demand.tasks) * demand.job.spec.CPUs
 		if a.mayUseSpot(demand.job) {
-			lacking.spotAllowed += cpus
+			shortfall.spotAllowed += cpus
 		} else {
-			lacking.onDemandOnly += cpus
+			shortfall.onDemandOnly += cpus
 		}
 	}
-	// Tasks that may use spot instances and run on other machines give way to those that may not: it is
-	// capacity for the former that is lacking then.
+	// Tasks that may use spot instances but run on on-demand machines give way to tasks that may not. The
+	// capacity that is missing then is capacity for the former.
 	displaced := 0.0
 	if a.policy.UseSpot {
-		displaced = min(lacking.onDemandOnly, a.displaceableCPUs())
+		displaced = min(shortfall.onDemandOnly, a.displaceableCPUs())
 	}
-	lacking.onDemandOnly -= displaced
-	lacking.spotAllowed += displaced
-	lacking.spotAllowed -= a.cpusEndingSoon()
-	onDemand, spot := a.comingCPUs()
-	lacking.spotAllowed -= spot
-	lacking.onDemandOnly -= onDemand
-	if lacking.onDemandOnly < 0 { // what is left of on-demand machines serves the others
-		lacking.spotAllowed += lacking.onDemandOnly
-		lacking.onDemandOnly = 0
+	shortfall.onDemandOnly -= displaced
+	shortfall.spotAllowed += displaced
+	shortfall.spotAllowed -= a.cpusEndingSoon()
+	onDemand, spot := a.upcomingCPUs()
+	shortfall.spotAllowed -= spot
+	shortfall.onDemandOnly -= onDemand
+	if shortfall.onDemandOnly < 0 { // surplus upcoming on-demand CPUs serve the jobs that may use spot instances
+		shortfall.spotAllowed += shortfall.onDemandOnly
+		shortfall.onDemandOnly = 0
 	}
-	lacking.spotAllowed = max(0, lacking.spotAllowed)
-	return lacking
+	shortfall.spotAllowed = max(0, shortfall.spotAllowed)
+	return shortfall
 }
 
 func (a *autoscaler) mayUseSpot(j *job) bool { return j.spec.Spot && a.policy.UseSpot }
 
-// displaceableCPUs is what tasks use on on-demand machines that could as well run on spot instances.
+// displaceableCPUs returns the CPUs of on-demand machines that are used by array tasks which could also
+// run on spot instances.
 func (a *autoscaler) displaceableCPUs() float64 {
 	sum := 0.0
 	for _, m := range a.replica.sortedMachines() {
@@ -141,10 +142,10 @@
 	return sum
 }
 
-// cpusEndingSoon is what array tasks use that are expected to end before a machine rented now would be up:
-// for tasks that wait for so little nothing need be rented.
+// cpusEndingSoon estimates the CPUs of array tasks that will end before a machine rented now would be up.
+// Waiting tasks that fit into these CPUs need no rented machine.
 func (a *autoscaler) cpusEndingSoon() float64 {
-	boot := a.catalog.shortestBootSeconds()
+	bootSeconds := a.catalog.shortestBootSeconds()
 	sum := 0.0
 	for _, j := range a.replica.sortedJobs() {
 		if j.spec.Service || j.cancelled() {
@@ -154,13 +155,13 @@
 		if average == 0 {
 			average = defaultTaskTime
 		}
-		sum += float64(j.active()) * j.spec.CPUs * min(1, boot/average.Seconds())
+		sum += float64(j.active()) * j.spec.CPUs * min(1, bootSeconds/average.Seconds())
 	}
 	return sum
 }
 
-// comingCPUs is the capacity of machines that are rented or listed and have not registered yet.
-func (a *autoscaler) comingCPUs() (onDemand, spot float64) {
+// upcomingCPUs returns the CPUs of machines that are rented or listed and have not registered yet.
+func (a *autoscaler) upcomingCPUs() (onDemand, spot float64) {
 	add := func(machineType string, isSpot bool, machines int) {
 		t := a.catalog.machineType(machineType)
 		switch {
@@ -172,20 +173,20 @@
 		}
 	}
 	for _, name := range a.rentals.names() {
-		each := a.rentals.underWay[name]
-		add(each.request.Type, each.request.Spot, each.comingMachines())
+		each := a.rentals.outstanding[name]
+		add(each.request.Type, each.request.Spot, each.upcomingMachines())
 	}
-	for _, name := range a.machineList.names { // rented by a predecessor, or there from the start
+	for _, name := range a.machineList.names { // rented by a predecessor, or present from the start
 		listed, ok := a.machineList.machines[name]
-		if ok && listed.State != cloud.Failed && !a.strays.has(name) && !a.replica.everSeen[name] && !a.rentals.pending(name) {
+		if ok && listed.State != cloud.Failed && !a.orphans.has(name) && !a.replica.everSeen[name] && !a.rentals.pending(name) {
 			add(listed.Type, listed.Spot, 1)
 		}
 	}
 	return onDemand, spot
 }
 
-// recordFirstRented notes in the store, once and for all, the first machine that was rented: those before
-// it were there from the start, and services are placed there first.
+// recordFirstRented stores, only once, the name of the first machine that was rented. Machines before it
+// were present from the start, and services are placed there first.
 func (a *autoscaler) recordFirstRented(machines []string) {
 	if a.replica.firstRented != nil || len(machines) == 0 {
 		return
@@ -195,6 +196,6 @@
 		Conditions: []kv.Condition{{Key: schema.FirstMachineKey}},
 		Operations: []kv.Operation{{Set: schema.FirstMachineKey, Value: encode(first)}},
 	}
-	// A commit that fails is not repeated: the next rental's tries again.
+	// A failed commit is not retried: the next granted rental tries again.
 	a.commits.commit(txn, first.WriteTag, func(commitResult) {})
 }
--- a/internal/controller/scaleout_test.go
+++ b/internal/controller/scaleout_test.go
@@ -6,9 +6,9 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestNewLeaderWaits lists when a process that has begun to lead may rent.
+// TestNewLeaderWaits checks when a process that has begun to lead may rent.
 func TestNewLeaderWaits(t *testing.T) {
-	const settled = 18 * units.Second // twice the list's lag of 8 s, and 2 s
+	const handoverDelay = 18 * units.Second // twice the list's lag of 8 s, plus 2 s
 	for name, tc := range map[string]struct {
 		since, after units.Micros
 		listRead     bool
@@ -17,9 +17,9 @@
 	}{
 		"first leader":                       {since: 2 * units.Second, listRead: true, fleet: true, rents: true},
 		"first leader, no list":              {since: 2 * units.Second, fleet: true},
-		"later leader":                       {since: 9 * units.Second, after: settled - 1, listRead: true, fleet: true},
-		"later leader, settled":              {since: 9 * units.Second, after: settled, listRead: true, fleet: true, rents: true},
-		"later leader, settled, no list":     {since: 9 * units.Second, after: settled, fleet: true},
+		"later leader":                       {since: 9 * units.Second, after: handoverDelay - 1, listRead: true, fleet: true},
+		"later leader, settled":              {since: 9 * units.Second, after: handoverDelay, listRead: true, fleet: true, rents: true},
+		"later leader, settled, no list":     {since: 9 * units.Second, after: handoverDelay, fleet: true},
 		"later leader, no machine registers": {since: 9 * units.Second, listRead: true, rents: true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -28,9 +28,9 @@
 			if tc.fleet {
 				rig.addMachine("m-1", 0)
 			}
-			rig.noteRole(true)
+			rig.updateRole(true)
 			if tc.listRead {
-				rig.machineList.askedAt = tc.since
+				rig.machineList.requestedAt = tc.since
 			}
 			rig.now += tc.after
 			rig.scaleOut([]unmetDemand{{waitingJob(nil), 64}})
