--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -1,12 +1,12 @@
-// Package cloud holds the messages between controllers and the cloud that rents machines out, and
-// nothing else: package server carries them over HTTP, package controller decides what to rent
-// and what to give back.
+// Package cloud defines the messages between controllers and the cloud that rents out machines,
+// and nothing else: package server carries them over HTTP, package controller decides what to
+// rent and what to return.
 //
-// The cloud offers a Catalog of machine types. A RentalRequest scales out; it has a name, and is
-// idempotent under that name, so it can be repeated when its answer was lost. Deletions are
-// idempotent by the names of the machines. The list of machines may be out of date.
+// The cloud offers a Catalog of machine types. A RentalRequest scales out; it is idempotent under
+// its name, so it can be repeated when its answer was lost. Deletions are idempotent by the names
+// of the machines. The list of machines may be out of date.
 //
-// The cloud has names of its own. They stand in the JSON tags and mean:
+// The cloud's API has names of its own, which appear in the JSON tags:
 //
 //	stock  machine type    bench  machine           cards    GPUs        rate         price by the hour
 //	yard   zone            hire   rental request    loaners  spot        marketPrice  spot price by the hour
@@ -18,15 +18,15 @@
 	CPUs             float64  `json:"cpus"`
 	GPUs             float64  `json:"cards"`
 	MemGB            float64  `json:"memoryGb"`
-	CacheGB          float64  `json:"localGb"`     // for images
-	FetchGBPerSecond float64  `json:"fetchGbPerS"` // at which images are pulled
+	CacheGB          float64  `json:"localGb"`     // disk space for images
+	FetchGBPerSecond float64  `json:"fetchGbPerS"` // rate at which images are pulled
 	HourlyPrice      float64  `json:"rate"`
 	SpotHourlyPrice  float64  `json:"marketPrice"`
-	BootSeconds      float64  `json:"bootS"` // that a new machine usually takes until it is running
-	Zones            []string `json:"yards"` // in which the type is offered
+	BootSeconds      float64  `json:"bootS"` // usual time until a new machine is running
+	Zones            []string `json:"yards"` // zones in which the type is offered
 }
 
-// HourlyRate is the price of a machine of the type, by the hour.
+// HourlyRate returns the price of a machine of the type, by the hour.
 func (t *MachineType) HourlyRate(spot bool) float64 {
 	if spot {
 		return t.SpotHourlyPrice
@@ -53,7 +53,7 @@
 	Names []string `json:"benches"`
 }
 
-// MachineState is the state of a machine as the cloud sees it.
+// MachineState is the state of a machine as the cloud reports it.
 type MachineState string
 
 // The states of a machine.
--- a/internal/cloud/status.go
+++ b/internal/cloud/status.go
@@ -2,17 +2,17 @@
 
 import "net/http"
 
-// Status is what became of a request to the cloud, decoded once where the answer arrives.
+// Status is the outcome of a request to the cloud, decoded once, where the answer arrives.
 type Status int
 
-// What can become of a request.
+// Outcomes of a request.
 const (
-	StatusUnknown Status = iota // no answer, or one that tells nothing: it may have been carried out
-	StatusOK                    // carried out
-	StatusRefused               // not carried out: no capacity, trouble, or a malformed request
+	StatusUnknown Status = iota // no answer, or an inconclusive one: the request may have been executed
+	StatusOK                    // executed
+	StatusRefused               // not executed: no capacity, the cloud is unavailable, or the request is malformed
 )
 
-// StatusOf decodes the status of an HTTP answer, or 0 where there was none.
+// StatusOf decodes an HTTP status code; 0 stands for no answer.
 func StatusOf(httpStatus int) Status {
 	switch httpStatus {
 	case http.StatusOK:
--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -13,15 +13,15 @@
 	catalogRefreshPeriod = 60 * units.Second       // afterwards
 )
 
-// catalog knows the machine types that the cloud offers. It keeps the last catalog that was not empty
-// while newer ones cannot be read: a type never becomes unknown because the cloud does not answer.
-// Only the catalog itself reads and replaces the types; all others just look them up.
+// catalog holds the machine types that the cloud offers. It keeps the last non-empty catalog while newer
+// ones cannot be read: a type never becomes unknown because the cloud does not answer. Only the catalog
+// itself reads and replaces the types; other components only look them up.
 type catalog struct {
 	*environment
 	cloud *cloudClient
 
 	types       []cloud.MachineType // in the cloud's order; empty: not known yet
-	readAt      units.Micros        // when a read last ended with types known
+	readAt      units.Micros        // when a read last ended while the types were known
 	retryPeriod period
 	reading     bool
 }
@@ -33,7 +33,7 @@
 // known reports whether the machine types are known.
 func (c *catalog) known() bool { return len(c.types) > 0 }
 
-// machineType is the type of that name, nil if the catalog has none.
+// machineType returns the type of that name, nil if the catalog has none.
 func (c *catalog) machineType(name string) *cloud.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// shortestBootSeconds is the boot time of the type that boots fastest.
+// shortestBootSeconds returns the boot time of the type that boots fastest.
 func (c *catalog) shortestBootSeconds() float64 {
 	shortest := math.Inf(1)
 	for i := range c.types {
@@ -52,7 +52,7 @@
 	return shortest
 }
 
-// refreshWhenDue reads the catalog until it is known, and then now and then.
+// refreshWhenDue reads the catalog repeatedly until it is known, and periodically afterwards.
 func (c *catalog) refreshWhenDue() {
 	if c.reading || !c.refreshDue() {
 		return
--- a/internal/controller/catalog_test.go
+++ b/internal/controller/catalog_test.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestCatalogStaysKnown reads the catalog: until one is known soon again, then now and then, and a failed
-// or empty read takes nothing away.
+// TestCatalogStaysKnown checks that the catalog is read often until it is known and rarely afterwards,
+// and that a failed or empty read leaves the known types in place.
 func TestCatalogStaysKnown(t *testing.T) {
 	rig := newAutoscalerRig(t)
 	types := rig.catalog.types
@@ -34,7 +34,7 @@
 		rig.catalog.refreshWhenDue()
 		calls := rig.sent(CloudCatalog)
 		if asks := len(calls) == 1; asks != step.asks {
-			t.Errorf("%s: asks %v, want %v", step.name, asks, step.asks)
+			t.Errorf("%s: requests the catalog %v, want %v", step.name, asks, step.asks)
 		}
 		rig.catalog.refreshWhenDue() // one read at a time
 		for _, call := range calls {
--- a/internal/controller/cloudclient.go
+++ b/internal/controller/cloudclient.go
@@ -1,10 +1,10 @@
 package controller
 
-// cloudClient sends requests to the cloud and passes each answer to who asked. It repeats nothing and
-// keeps nothing of the answers: whether a request may be sent again is decided by who sent it.
+// cloudClient sends requests to the cloud and passes each answer to its caller. It retries nothing and
+// stores no answers: the caller decides whether a request may be sent again.
 type cloudClient struct {
 	*environment
-	calls map[uint64]func(CloudResult) // continuations of requests that are not answered yet
+	calls map[uint64]func(CloudResult) // continuations of unanswered requests, by call ID
 }
 
 func newCloudClient(env *environment) *cloudClient {
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -7,20 +7,20 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// unmetDemand is a job with the tasks that no machine of its partition has capacity for.
+// unmetDemand is a job and the number of its waiting tasks that no machine has capacity for.
 type unmetDemand struct {
 	job   *job
 	tasks int
 }
 
-// freeMachine is a machine with what waiting tasks may still have of it.
+// freeMachine is a machine with its remaining free capacity.
 type freeMachine struct {
 	machine *machine
 	resources
 }
 
-// demandFinder finds what the machines that are there do not give: tasks that no machine has capacity
-// for, and jobs that starve. It keeps nothing but each job's waiting time, and places nothing.
+// demandFinder finds demand that the existing machines cannot serve: tasks that no machine has capacity
+// for, and starving jobs. It maintains nothing but each job's waiting time, and places nothing.
 type demandFinder struct {
 	*environment
 	replica *replica
@@ -28,20 +28,20 @@
 	writes  *writeBudget
 }
 
-// demandFitter fits waiting tasks into the free capacity of machines, as far as can be told from what
-// is stored. It changes nothing but its own account of that capacity.
+// demandFitter fits waiting tasks into the free capacity of machines, as far as stored documents show it.
+// It changes nothing but its own copy of that capacity.
 type demandFitter struct {
 	*demandFinder
-	anywhere bool                   // the machines of all partitions count for every job
-	free     map[int][]*freeMachine // with something free, by partition
-	usage    usageByTeam
+	allPartitions bool                   // every job may use the machines of all partitions
+	free          map[int][]*freeMachine // machines with free CPUs, by pool (see poolOf)
+	usage         usageByTeam
 }
 
-// unmetDemands fits the waiting tasks of every partition into the free capacity of its machines and returns
-// what is left over. Jobs of higher priority go first. With anywhere, the machines of all partitions
-// count for every job, as they do for what must be rented.
-func (d *demandFinder) unmetDemands(anywhere bool) []unmetDemand {
-	fitter := &demandFitter{demandFinder: d, anywhere: anywhere, free: map[int][]*freeMachine{}}
+// unmetDemands fits the waiting tasks of every partition into the free capacity of its machines and
+// returns the tasks that do not fit. Jobs of higher priority go first. With allPartitions, every job may
+// use the machines of all partitions; renting is decided on that basis.
+func (d *demandFinder) unmetDemands(allPartitions bool) []unmetDemand {
+	fitter := &demandFitter{demandFinder: d, allPartitions: allPartitions, free: map[int][]*freeMachine{}}
 	for _, m := range d.replica.sortedMachines() {
 		fitter.addMachine(m)
 	}
@@ -61,15 +61,15 @@
 	return unmet
 }
 
-// poolOf is the partition under which the free machines for a partition's jobs are listed.
+// poolOf returns the key in free of the machines that the jobs of a partition may use.
 func (f *demandFitter) poolOf(partition int) int {
-	if f.anywhere {
+	if f.allPartitions {
 		return 0
 	}
 	return partition
 }
 
-// addMachine lists a machine that takes tasks, with what is free of it.
+// addMachine adds a machine that takes tasks, with its free capacity.
 func (f *demandFitter) addMachine(m *machine) {
 	machineType := f.catalog.machineType(m.doc.Type)
 	if machineType == nil || m.part() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
@@ -87,8 +87,8 @@
 	}
 }
 
-// fit reserves capacity for the waiting tasks of a job that its quota allows, and returns how many are
-// left over.
+// fit reserves capacity for the waiting tasks of a job that its team's quota allows, and returns how many
+// of them do not fit.
 func (f *demandFitter) fit(j *job) int {
 	left := j.waiting()
 	if left == 0 {
@@ -110,9 +110,9 @@
 	return left
 }
 
-// tasksThatFit is how many tasks of a job fit, up to so many; it may be negative.
-func (m *freeMachine) tasksThatFit(j *job, most int) int {
-	tasks := int(min(m.cpus/j.spec.CPUs, float64(most)) + roundingTolerance)
+// tasksThatFit returns how many tasks of a job fit, at most limit; the result may be negative.
+func (m *freeMachine) tasksThatFit(j *job, limit int) int {
+	tasks := int(min(m.cpus/j.spec.CPUs, float64(limit)) + roundingTolerance)
 	if j.spec.GPUs > 0 {
 		tasks = min(tasks, int(m.gpus/j.spec.GPUs+roundingTolerance))
 	}
@@ -123,25 +123,28 @@
 }
 
 const (
-	// starvingAfter is how long a job may have tasks waiting, and none placed, before it may use any
-	// capacity that it fits into, whatever that is kept for: no job may wait for 90 s beside a machine
-	// that could take it, kept free for others, left to another partition or about to be emptied.
+	// starvingAfter is how long a job may have waiting tasks, with none placed, before it may use any
+	// capacity that it fits into, even if that is reserved for others: no job may wait for 90 s while a
+	// machine that could run it is kept free for others, left to another partition or about to be
+	// drained.
 	starvingAfter = 30 * units.Second
 
-	// overlookedAfter is how long until a job may use the machine shards that a plan has not picked.
-	overlookedAfter = 5 * units.Second
+	// unpickedShardsDelay is how long a job waits before it may use the machine shards that a plan has
+	// not picked.
+	unpickedShardsDelay = 5 * units.Second
 
-	// failureForgetPeriod is how long after its last failure a job whose tasks are active counts as well.
-	failureForgetPeriod = 30 * units.Second
+	// failureResetPeriod is how long after its last failure a job with active tasks counts as healthy
+	// again.
+	failureResetPeriod = 30 * units.Second
 )
 
-// starvingJobs notes which jobs wait and lists those that starve. It is to be called every second:
-// nothing else starts the clock of waitingTime.
+// starvingJobs updates since when each job has waited and lists the jobs that starve. It must be called
+// every second: nothing else starts the clock of waitingTime.
 func (d *demandFinder) starvingJobs() []*job {
 	var starving []*job
 	usage := d.replica.teamUsage()
 	for _, j := range d.replica.sortedJobs() {
-		j.forgetOldFailures(d.now)
+		j.resetOldFailures(d.now)
 		switch {
 		case j.cancelled() || d.now < j.retryAt || j.waiting() == 0 || d.tasksWithinQuota(j, usage) == 0:
 			j.waitingSince = 0
@@ -154,19 +157,19 @@
 	return starving
 }
 
-// forgetOldFailures takes a job whose tasks have run on for a while for a healthy one: those that wait
-// need not wait for the completion of the others.
-func (j *job) forgetOldFailures(now units.Micros) {
-	if j.failures > 0 && j.active() > 0 && now-j.failedAt > failureForgetPeriod {
+// resetOldFailures treats a job as healthy again once its tasks have run for a while since its last
+// failure: its waiting tasks then need not wait for the completion of the active ones.
+func (j *job) resetOldFailures(now units.Micros) {
+	if j.failures > 0 && j.active() > 0 && now-j.failedAt > failureResetPeriod {
 		j.failures = 0
 	}
 }
 
-// notePlaced notes that a plan has placed a task of the job. An entry that is read once more, because
-// something else on its machine has changed, is no new place.
+// notePlaced records that a plan has placed a task of the job. Reading an entry again, because something
+// else on its machine has changed, does not count as a placement.
 func (j *job) notePlaced() { j.waitingSince = 0 }
 
-// waitingTime is how long tasks of the job have waited and none was placed.
+// waitingTime returns how long the job has had waiting tasks with none placed.
 func (j *job) waitingTime(now units.Micros) units.Micros {
 	if j.waitingSince == 0 {
 		return 0
@@ -174,15 +177,15 @@
 	return now - j.waitingSince
 }
 
-// starving reports whether the job has waited for too long.
+// starving reports whether the job has waited for longer than starvingAfter.
 func (j *job) starving(now units.Micros) bool { return j.waitingTime(now) > starvingAfter }
 
-// overlooked reports whether none of the job's tasks was placed for some seconds: the machine shards
-// that a plan picks for arrays are those with the most capacity, which may be of no use to a job that
-// is bound to a zone.
-func (j *job) overlooked(now units.Micros) bool { return j.waitingTime(now) > overlookedAfter }
+// overlooked reports whether the job has waited for longer than unpickedShardsDelay: the machine shards
+// that a plan picks for arrays are those with the most capacity, which may be of no use to a job that is
+// bound to a zone.
+func (j *job) overlooked(now units.Micros) bool { return j.waitingTime(now) > unpickedShardsDelay }
 
-// usedCPUs is what the tasks of all teams use.
+// usedCPUs returns the CPUs that the tasks of all teams use.
 func (d *demandFinder) usedCPUs() float64 {
 	usage := d.replica.teamUsage()
 	sum := 0.0
@@ -192,7 +195,8 @@
 	return sum
 }
 
-// unplacedCPUs is what the tasks take that wait to be placed, whether there is capacity or not.
+// unplacedCPUs returns the CPUs that tasks waiting for placement need within their teams' quotas, whether
+// or not there is capacity for them.
 func (d *demandFinder) unplacedCPUs() float64 {
 	sum := 0.0
 	usage := d.replica.teamUsage()
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -15,15 +15,14 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// TestFleetWork starts a controller on a fleet half as large again as the largest
-// that is known, and bounds what that costs in counted work: bytes of documents,
-// requests until it commands, probes of agents, and how much of what it knows is
-// looked at again after one heartbeat.
+// TestFleetWork starts a controller on a fleet half as large again as the largest known one. It bounds
+// the work that this takes, in counts: bytes of documents, requests until the controller leads its
+// partition, probes of agents, and cached occupancies that one heartbeat invalidates.
 func TestFleetWork(t *testing.T) {
 	for _, tc := range []struct {
 		valueKB               float64
 		ops                   int
-		machines, tasks, jobs int // tasks on each machine
+		machines, tasks, jobs int // tasks: number on each machine
 	}{
 		{4, 12, 2031, 10, 1700},
 		{16, 32, 2736, 5, 1200},
@@ -34,7 +33,7 @@
 			f := &fleetWork{T: t, c: quietController(cfg), machines: tc.machines}
 			f.store = &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
 			f.step = f.store.stepper(f.c)
-			fill(f.store, f.c, tc.machines, tc.tasks, tc.jobs, 400)
+			fillStore(f.store, f.c, tc.machines, tc.tasks, tc.jobs, 400)
 			bytes := f.checkDocuments()
 			f.checkLoad(bytes)
 			f.checkAgents()
@@ -43,7 +42,7 @@
 	}
 }
 
-// fleetConfig has one controller and one team.
+// fleetConfig returns a configuration with one controller and one team.
 func fleetConfig() *config.Config {
 	cfg := &config.Config{Member: "a"}
 	s := &cfg.Settings
@@ -53,7 +52,7 @@
 	return cfg
 }
 
-// fleetWork is a controller that starts on a fleet in use.
+// fleetWork is a controller that starts on a fleet in use, with the store that holds the fleet.
 type fleetWork struct {
 	*testing.T
 	c        *Controller
@@ -62,13 +61,13 @@
 	machines int
 }
 
-// checkDocuments bounds the documents' lengths, and returns their sum.
+// checkDocuments bounds the length of each document, and returns the sum of the lengths.
 func (f *fleetWork) checkDocuments() int {
 	bytes := 0
-	for k, it := range f.store.keys {
-		bytes += len(it.Value)
-		if len(it.Value) > f.c.store.limits.maxValueBytes()*9/10 {
-			f.Errorf("%s: %d bytes of %d", k, len(it.Value), f.c.store.limits.maxValueBytes())
+	for k, stored := range f.store.keys {
+		bytes += len(stored.Value)
+		if len(stored.Value) > f.c.store.limits.maxValueBytes()*9/10 {
+			f.Errorf("%s: %d bytes, too close to the value limit of %d", k, len(stored.Value), f.c.store.limits.maxValueBytes())
 		}
 	}
 	return bytes
@@ -83,35 +82,36 @@
 		}
 	}
 	if !f.c.authority.leads(0) || len(f.c.replica.machines) != f.machines {
-		f.Fatalf("leads %v, knows %d machines", f.c.partitions.ledPartitions(), len(f.c.replica.machines))
+		f.Fatalf("leads partitions %v, replica has %d machines", f.c.partitions.ledPartitions(), len(f.c.replica.machines))
 	}
-	if most := bytes/pageBytes + 1; f.store.asked[kv.List] > most {
-		f.Errorf("%d pages of %d KB", f.store.asked[kv.List], bytes>>10)
+	if maxPages := bytes/pageBytes + 1; f.store.asked[kv.List] > maxPages {
+		f.Errorf("%d pages read for %d KB of documents", f.store.asked[kv.List], bytes>>10)
 	}
 	asked := 0
 	for _, n := range f.store.asked {
 		asked += n
 	}
 	if asked > f.store.asked[kv.List]+10 {
-		f.Errorf("%d requests before it commands: %v", asked, f.store.asked)
+		f.Errorf("%d requests until the controller leads its partition: %v", asked, f.store.asked)
 	}
 }
 
-// checkAgents bounds the calls in two seconds, in which every machine is asked and told the new token.
+// checkAgents bounds the agent calls in two seconds, in which every machine is probed and receives the
+// new fencing token.
 func (f *fleetWork) checkAgents() {
 	for range 80 {
 		f.step()
 	}
 	if f.store.agentCalls < f.machines || f.store.agentCalls > f.machines*5/2 {
-		f.Errorf("%d calls of agents for %d machines", f.store.agentCalls, f.machines)
+		f.Errorf("%d agent calls for %d machines", f.store.agentCalls, f.machines)
 	}
 }
 
-// checkOccupancies has one heartbeat come, after which what is kept of the other machines stays.
+// checkOccupancies checks that one heartbeat leaves the cached occupancies of the other machines valid.
 func (f *fleetWork) checkOccupancies() {
 	before := f.occupanciesKept()
 	if before < f.machines*9/10 {
-		f.Errorf("occupancies of %d machines are kept", before)
+		f.Errorf("occupancies of only %d machines are cached", before)
 	}
 	m := f.c.replica.sortedMachines()[7]
 	f.store.seq++
@@ -119,7 +119,7 @@
 		Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: f.store.seq, FencingToken: f.c.replica.fencingToken(m),
 	}})
 	if after := f.occupanciesKept(); after < before-1 {
-		f.Errorf("one heartbeat dropped the occupancies of %d machines", before-after)
+		f.Errorf("one heartbeat invalidated the occupancies of %d machines", before-after)
 	}
 }
 
@@ -133,7 +133,7 @@
 	return kept
 }
 
-// longRanges is the progress of a job with many gaps.
+// longRanges is the stored progress of a job with many gaps.
 var longRanges = func() string {
 	var ranges []string
 	for n := range 40 {
@@ -142,9 +142,9 @@
 	return strings.Join(ranges, ",")
 }()
 
-// TestFleetSplits raises the format over the documents of 4,000 machines that are several times
-// as long as the announced limits allow, so that they are split in more than one step. It bounds
-// the changes that this takes, and nothing may be written that is too long or lost on the way.
+// TestFleetSplits raises the store's format version when the documents of 4,000 machines are several
+// times as long as the announced limits allow, so that they are split in more than one step. It bounds
+// the changes that this takes; no document may be written that is too long, and nothing may be lost.
 func TestFleetSplits(t *testing.T) {
 	const machines, jobs = 4000, 2500
 	valueKB, ops := 2.0, 4
@@ -156,7 +156,7 @@
 	layout := schema.Layout{MachineShards: 48, JobShards: 24}
 	o.put(schema.LayoutKey, layout)
 	c.replica.useLayout(layout)
-	fill(o, c, machines, 8, jobs, 1) // no task waits
+	fillStore(o, c, machines, 8, jobs, 1) // no task waits
 	segment := schema.ProgressSegment{Jobs: map[string]schema.JobProgress{}}
 	for j := range 40 {
 		segment.Jobs[fmt.Sprintf("j-%06d", j*577)] = schema.JobProgress{DoneRanges: longRanges, AverageSeconds: 7, Samples: 40}
@@ -164,29 +164,29 @@
 	o.put(schema.ProgressKey(0, 0), segment)
 	o.most, o.mostOps = int(cfg.Settings.KVStore.ValueKB*1024), cfg.Settings.KVStore.TxnOps
 	if n := o.longerThan(int(valueKB * 1024)); n < 72 {
-		t.Fatalf("%d documents are too long to begin with", n)
+		t.Fatalf("only %d documents are too long at the start", n)
 	}
 	step, steps := o.stepper(c), 0
 	for ; steps < 4000 && (steps < 100 || o.longerThan(int(valueKB*1024)) > 0); steps++ {
 		step()
 	}
 	if n := o.longerThan(int(valueKB * 1024)); n > 0 {
-		t.Fatalf("%d documents are still too long", n)
+		t.Fatalf("%d documents are still too long after all steps", n)
 	}
 	if len(o.refused) > 0 {
-		t.Errorf("%d transactions were too large: %v", len(o.refused), o.refused[0])
+		t.Errorf("%d writes exceeded the store limits, first: %v", len(o.refused), o.refused[0])
 	}
 	t.Logf("%d changes, %.1f s", o.changes, float64(steps)/40)
 	if o.changes > 2500 {
-		t.Errorf("%d changes", o.changes)
+		t.Errorf("%d changes written, too many", o.changes)
 	}
 	if len(c.replica.machines) != machines || len(c.replica.sortedJobs()) != jobs {
-		t.Errorf("%d machines, %d jobs", len(c.replica.machines), len(c.replica.sortedJobs()))
+		t.Errorf("replica has %d machines, %d jobs", len(c.replica.machines), len(c.replica.sortedJobs()))
 	}
 	checkNothingLost(t, c, segment)
 }
 
-// longerThan counts the documents that are longer than so many bytes.
+// longerThan counts the documents that are longer than the given number of bytes.
 func (o *fakeStore) longerThan(bytes int) int {
 	count := 0
 	for key, it := range o.keys {
@@ -197,7 +197,8 @@
 	return count
 }
 
-// checkNothingLost looks for the progress of a segment, and for each machine in its shard.
+// checkNothingLost checks that the progress of a segment is still there and that each machine is in its
+// shard.
 func checkNothingLost(t *testing.T, c *Controller, segment schema.ProgressSegment) {
 	t.Helper()
 	for id := range segment.Jobs {
@@ -207,16 +208,16 @@
 	}
 	for _, m := range c.replica.machines {
 		if c.replica.machineShardOf(m.name) != m.shard || !slices.Contains(m.shard.machines, m) {
-			t.Fatalf("%s is in machine shard %d", m.name, m.shard.number)
+			t.Fatalf("%s is in the wrong machine shard, %d", m.name, m.shard.number)
 		}
 	}
 }
 
-// fill stores a fleet in use: tasks spread as they are after a while, neighbours
-// seldom together.
-func fill(o *fakeStore, c *Controller, machines, tasks, jobs, tasksOfJob int) {
+// fillStore stores a fleet in use: the tasks of each job are spread over the machines as after a while of
+// operation, with consecutive tasks seldom on the same machine.
+func fillStore(o *fakeStore, c *Controller, machines, tasks, jobs, tasksOfJob int) {
 	rng := rand.New(rand.NewPCG(5, 6))
-	groups := make([]schema.MachineShard, len(c.replica.machineShards))
+	machineShards := make([]schema.MachineShard, len(c.replica.machineShards))
 	for i := range machines {
 		name := fmt.Sprintf("n-%06d", i)
 		m := schema.Machine{Name: name, Addr: name, MachineKind: schema.MachineKind{Type: "big", Zone: "a", Spot: i%4 == 0}}
@@ -224,26 +225,26 @@
 			j := rng.IntN(jobs)
 			m.Tasks = append(m.Tasks, schema.Task{Job: fmt.Sprintf("j-%06d", j*577), Index: rng.IntN(400), Attempt: 3<<28 | uint64(rng.IntN(9000))})
 		}
-		g := c.replica.machineShardOf(name)
-		groups[g.number].Machines = append(groups[g.number].Machines, m)
+		shard := c.replica.machineShardOf(name)
+		machineShards[shard.number].Machines = append(machineShards[shard.number].Machines, m)
 	}
-	for n, g := range groups {
-		o.put(schema.MachineShardKey(n), g)
+	for n, shard := range machineShards {
+		o.put(schema.MachineShardKey(n), shard)
 	}
-	shelves := make([]schema.JobShard, len(c.replica.jobShards))
+	jobShards := make([]schema.JobShard, len(c.replica.jobShards))
 	for j := range jobs {
 		id := fmt.Sprintf("j-%06d", j*577)
-		n := schema.JobShardIndex(id, len(shelves))
-		shelves[n].Jobs = append(shelves[n].Jobs, schema.Job{ID: id, Class: "some-class", Team: "red", Tasks: tasksOfJob, CPUs: 2, MemGB: 7.4, Spot: true,
+		n := schema.JobShardIndex(id, len(jobShards))
+		jobShards[n].Jobs = append(jobShards[n].Jobs, schema.Job{ID: id, Class: "some-class", Team: "red", Tasks: tasksOfJob, CPUs: 2, MemGB: 7.4, Spot: true,
 			Image: fmt.Sprintf("img-%02d", rng.IntN(18)), ImageGB: float64(rng.IntN(300)) / 100, EstimatedSeconds: float64(rng.IntN(90000)) / 1000, AcceptedAt: 1e15 + rng.Int64N(5e8)})
 	}
-	for n, s := range shelves {
+	for n, s := range jobShards {
 		o.put(schema.JobShardKey(n), s)
 	}
 }
 
-// TestFleetWorkMeasures shows that the bounds on documents are real: plain ones of
-// the same fleet would not fit.
+// TestFleetWorkMeasures checks that the bounds on documents are not met trivially: as plain JSON,
+// documents of the same fleet would not fit.
 func TestFleetWorkMeasures(t *testing.T) {
 	var m []schema.Machine
 	for i := range 21 {
@@ -257,6 +258,6 @@
 		t.Fatal(err)
 	}
 	if plain := schema.PlainJSON(raw); len(plain) < 4096 || len(raw) > 3600 {
-		t.Errorf("%d bytes, plain %d", len(raw), len(plain))
+		t.Errorf("%d bytes as stored, %d as plain JSON", len(raw), len(plain))
 	}
 }
