--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/cloud"
 )
 
-// fakeAgent is one machine's worker agent. It keeps the agent's side of the protocol: it ends its
-// tasks when its lease expires, and obeys no command of an older fencing token or epoch.
+// fakeAgent stands in for one machine's worker agent. It follows the agent's side of the protocol: it
+// ends its tasks when its lease expires, and rejects commands with an older fencing token or of another epoch.
 type fakeAgent struct {
 	world  *world
 	listed cloud.ListedMachine
@@ -19,29 +19,29 @@
 	epoch           uint64
 	sequence        uint64
 	fencingToken    uint64
-	leaseRenewedAt  time.Time // when the last answered heartbeat was sent
+	leaseRenewedAt  time.Time // when the last heartbeat that got a response was sent
 	tasks           map[string]*agentTask
-	controllerIndex int // where the next heartbeat goes
+	controllerIndex int // receiver of the next heartbeat
 	nextHeartbeat   time.Time
-	inFlight        bool      // a heartbeat has no answer yet
-	sentAt          time.Time // when it was sent
-	changed         bool      // something is to be told before nextHeartbeat
+	inFlight        bool      // a heartbeat awaits its response
+	sentAt          time.Time // when the latest heartbeat was sent
+	changed         bool      // there is a change to report before nextHeartbeat
 	faults          agentFaults
 }
 
-// agentFaults are what is wrong with a machine; zero: nothing.
+// agentFaults are the faults injected into a machine. The zero value means none.
 type agentFaults struct {
 	hungUntil         time.Time
-	inboundLostUntil  time.Time // answers and commands do not reach it
-	outboundLostUntil time.Time // its heartbeats reach nobody
-	lateCommandRate   float64   // share of commands that are held up
+	inboundLostUntil  time.Time // responses and commands do not reach the machine
+	outboundLostUntil time.Time // its heartbeats reach no controller
+	lateCommandRate   float64   // share of commands that are delayed
 }
 
 func (f *agentFaults) isHung(now time.Time) bool         { return now.Before(f.hungUntil) }
 func (f *agentFaults) isInboundLost(now time.Time) bool  { return now.Before(f.inboundLostUntil) }
 func (f *agentFaults) isOutboundLost(now time.Time) bool { return now.Before(f.outboundLostUntil) }
 
-// agentStepInterval is how often a machine's time is moved on.
+// agentStepInterval is the interval between calls of fakeAgent.step.
 const agentStepInterval = 25 * time.Millisecond
 
 func newAgent(w *world, listed cloud.ListedMachine) (*fakeAgent, error) {
@@ -58,7 +58,7 @@
 	return a, nil
 }
 
-// run moves the machine's time on until it is gone.
+// run steps the machine until it is removed or the run stops.
 func (a *fakeAgent) run() {
 	for a.world.sleep(agentStepInterval) {
 		if !a.step() {
@@ -68,7 +68,7 @@
 	a.remove()
 }
 
-// step does what is due, and reports whether the machine is still there.
+// step performs the actions that are due, and reports whether the machine still exists.
 func (a *fakeAgent) step() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,7 +90,7 @@
 	return true
 }
 
-// checkLease begins a new epoch, without tasks, when the lease has expired.
+// checkLease drops all tasks and begins a new epoch if the lease has expired.
 func (a *fakeAgent) checkLease(now time.Time) {
 	if now.Sub(a.leaseRenewedAt) <= workerLease {
 		return
@@ -103,14 +103,14 @@
 	a.leaseRenewedAt, a.changed = now, true
 }
 
-// raiseToken notes the highest fencing token seen, below which no command is obeyed.
+// raiseToken records the highest fencing token seen. Commands with a lower one are rejected.
 func (a *fakeAgent) raiseToken(token uint64) {
 	if token > a.fencingToken {
 		a.fencingToken, a.changed = token, true
 	}
 }
 
-// remove takes the machine away with all that is on it.
+// remove drops the machine's tasks and closes its server.
 func (a *fakeAgent) remove() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -126,7 +126,7 @@
 	})
 }
 
-// reboot starts the machine again at once, with nothing on it and its counts begun anew.
+// reboot restarts the machine at once, without tasks and with its epoch, sequence and token reset.
 func (a *fakeAgent) reboot() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/soak/agent_heartbeats.go
+++ b/internal/soak/agent_heartbeats.go
@@ -10,17 +10,17 @@
 const (
 	heartbeatPath    = "/v1/report"
 	heartbeatTimeout = 4 * time.Second
-	// lostHeartbeatTime is how long an agent takes to give up a heartbeat that reaches nobody.
+	// lostHeartbeatTime is how long an agent waits for a heartbeat that reaches no controller.
 	lostHeartbeatTime = 200 * time.Millisecond
-	// minHeartbeatInterval is how soon a change is told after the heartbeat before.
+	// minHeartbeatInterval is the shortest time from a heartbeat to one that reports a change.
 	minHeartbeatInterval = 250 * time.Millisecond
-	// heartbeatRetryDelay is how soon another controller is tried.
+	// heartbeatRetryDelay is the delay before another controller is tried.
 	heartbeatRetryDelay = 500 * time.Millisecond
 	// maxRedirectDelay keeps redirected agents from reaching the leader all at once.
 	maxRedirectDelay = 300 * time.Millisecond
 )
 
-// outgoingHeartbeat is a heartbeat with what held when it was sent.
+// outgoingHeartbeat is a heartbeat with its receiver and the machine's faults when it is sent.
 type outgoingHeartbeat struct {
 	body            agent.Heartbeat
 	controllerIndex int
@@ -32,7 +32,7 @@
 	return !now.Before(a.nextHeartbeat) || a.changed && now.Sub(a.sentAt) >= minHeartbeatInterval
 }
 
-// prepareHeartbeat notes that a heartbeat is sent now.
+// prepareHeartbeat returns the heartbeat to send now and schedules the next one.
 func (a *fakeAgent) prepareHeartbeat(now time.Time) outgoingHeartbeat {
 	a.changed, a.inFlight, a.sentAt = false, true, now
 	a.nextHeartbeat = now.Add(a.world.rng.between(heartbeatInterval*3/4, heartbeatInterval*5/4))
@@ -42,7 +42,7 @@
 	}
 }
 
-// heartbeat tells all of the machine, its tasks in no order: the protocol asks for none.
+// heartbeat reports the machine's full state. Its tasks are in random order, since the protocol requires none.
 func (a *fakeAgent) heartbeat() agent.Heartbeat {
 	a.sequence++
 	heartbeat := agent.Heartbeat{
@@ -55,13 +55,13 @@
 	return heartbeat
 }
 
-// heartbeatAnswer is what a controller answers: commands, or where the leader is.
+// heartbeatAnswer is a controller's response: commands, or a redirect to the leader.
 type heartbeatAnswer struct {
 	agent.HeartbeatResponse
 	agent.Redirect
 }
 
-// sendHeartbeat sends one heartbeat and obeys its answer.
+// sendHeartbeat sends one heartbeat and handles its response.
 func (a *fakeAgent) sendHeartbeat(outgoing outgoingHeartbeat) {
 	sentAt := time.Now()
 	a.maybeDuplicate(outgoing.body)
@@ -82,7 +82,8 @@
 	}
 }
 
-// maybeDuplicate has a heartbeat arrive a second time, late and anywhere, if that fault is at work.
+// maybeDuplicate sends a share of the heartbeats a second time, late and to a random controller, while
+// that fault is active.
 func (a *fakeAgent) maybeDuplicate(heartbeat agent.Heartbeat) {
 	percent := a.world.duplicatePercent.Load()
 	if percent == 0 || !a.world.rng.chance(float64(percent)/100) {
@@ -94,7 +95,7 @@
 	})
 }
 
-// exchange sends a heartbeat through the faults at work and returns what comes back.
+// exchange sends a heartbeat subject to the active faults and returns the response, if it gets through.
 func (a *fakeAgent) exchange(outgoing outgoingHeartbeat) (status int, answer heartbeatAnswer) {
 	target := outgoing.controllerIndex
 	if outgoing.outboundLost || a.world.network.isCut(linkHeartbeats, target) {
@@ -108,8 +109,8 @@
 	return status, answer
 }
 
-// chooseController chooses where the next heartbeat goes: to the leader that the answer names, or to
-// the controller after the one that was tried.
+// chooseController selects the receiver of the next heartbeat: the leader that the response names, or
+// else the controller after the one that was tried.
 func (a *fakeAgent) chooseController(status int, leader string, lastTried int) {
 	if status == http.StatusMisdirectedRequest && leader != "" {
 		for index, process := range a.world.controllers {
--- a/internal/soak/agent_http.go
+++ b/internal/soak/agent_http.go
@@ -10,13 +10,13 @@
 	"frostdock.example/frostdock/internal/agent"
 )
 
-// lostCommandTime is longer than a controller waits for an agent.
+// lostCommandTime is how long a lost request is held open: longer than a controller waits for an agent.
 const lostCommandTime = 2 * time.Second
 
-// minCommandDelay and maxCommandDelay bound how long a command is held up.
+// minCommandDelay and maxCommandDelay bound the delay of a late command.
 const minCommandDelay, maxCommandDelay = 2 * time.Second, 8 * time.Second
 
-// handle answers a controller: a POST has commands, anything else asks for a heartbeat.
+// handle serves a controller's request: a POST carries commands, any other method asks for a heartbeat.
 func (a *fakeAgent) handle(ctx *fasthttp.RequestCtx) {
 	if !a.awaitDelivery(ctx) {
 		return
@@ -41,8 +41,8 @@
 	respond(ctx, response{status, a.heartbeat()})
 }
 
-// awaitDelivery holds a request up as the faults want, and reports whether the agent gets it.
-// What comes while the machine hangs is carried out when it goes on.
+// awaitDelivery delays a request according to the machine's faults, and reports whether the agent
+// receives it. Requests that arrive while the machine hangs are handled when it resumes.
 func (a *fakeAgent) awaitDelivery(ctx *fasthttp.RequestCtx) bool {
 	for {
 		a.mu.Lock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// obey carries commands out, unless they are of an older leader or for an earlier epoch.
+// obey executes commands, unless they have an older fencing token or are for another epoch.
 func (a *fakeAgent) obey(request agent.CommandRequest) (status int) {
 	if request.FencingToken < a.fencingToken || request.Epoch != a.epoch {
 		return http.StatusConflict
--- a/internal/soak/agent_tasks.go
+++ b/internal/soak/agent_tasks.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/agent"
 )
 
-// agentTask is a task on a machine.
+// agentTask is an attempt of a task on a machine.
 type agentTask struct {
 	id      string
 	jobID   string
@@ -16,10 +16,10 @@
 	attempt uint64
 	state   agent.TaskState
 	cause   agent.Cause
-	dueAt   time.Time // when its image is there, or it completes
+	dueAt   time.Time // when its image is pulled, or when it completes
 }
 
-// isOnMachine reports whether the task counts as on the machine by the protocol's rules.
+// isOnMachine reports whether the protocol counts the task as being on the machine.
 func (t *agentTask) isOnMachine() bool {
 	return t.state == agent.Running || t.state == agent.Checkpointing
 }
@@ -30,13 +30,13 @@
 	causeNoCapacity = "no_room"
 )
 
-// minPullTime and maxPullTime bound how long an image takes.
+// minPullTime and maxPullTime bound the time to pull an image.
 const minPullTime, maxPullTime = 20 * time.Millisecond, 300 * time.Millisecond
 
 // cpuRounding is the rounding error allowed in a machine's sum of CPUs.
 const cpuRounding = 1e-9
 
-// advance moves a task on if its time has come.
+// advance moves a task to its next state once dueAt is reached.
 func (a *fakeAgent) advance(task *agentTask, now time.Time) {
 	if now.Before(task.dueAt) || task.state == agent.Ended {
 		return
@@ -56,8 +56,8 @@
 	}
 }
 
-// beginTask runs a task whose image is there. One that has completed before finds its result and
-// completes at once.
+// beginTask runs a task whose image is pulled. If an earlier attempt has completed, the task finds
+// the stored result and completes at once.
 func (a *fakeAgent) beginTask(task *agentTask, now time.Time, runTime time.Duration) {
 	task.state, a.changed = agent.Running, true
 	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.num)
@@ -73,7 +73,7 @@
 	task.state, task.cause, a.changed = agent.Ended, cause, true
 }
 
-// dropTasks ends all tasks without a trace.
+// dropTasks ends all tasks and removes them, so that no heartbeat reports their end.
 func (a *fakeAgent) dropTasks() {
 	for id, task := range a.tasks {
 		a.noteStopped(task)
@@ -109,7 +109,7 @@
 	}
 }
 
-// startTask obeys a start, unless another attempt of the task is there.
+// startTask executes a start command, unless another attempt of the task has not ended yet.
 func (a *fakeAgent) startTask(command agent.Command, previous *agentTask) {
 	if previous != nil && previous.state != agent.Ended {
 		return
@@ -128,7 +128,7 @@
 	a.changed = true
 }
 
-// refusalCause is why a task can't start here; empty: it can.
+// refusalCause returns why a task can't start on the machine, or "" if it can.
 func (a *fakeAgent) refusalCause(jobID string, num int) agent.Cause {
 	job := a.world.users.job(jobID)
 	switch {
--- a/internal/soak/background.go
+++ b/internal/soak/background.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// background owns the goroutines of a run. They share one context, and all have ended when wait
-// returns. The context is kept here since every goroutine of the run has the same.
+// background owns the goroutines of a run, all of which have ended when wait returns. It stores the
+// context because all of them share this one.
 type background struct {
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -20,11 +20,12 @@
 	return b
 }
 
-// spawn runs an action in a goroutine. The action must end soon after the run is stopped. Only what
-// ends before wait is called may spawn: Run itself, other actions, and the stand-ins' handlers.
+// spawn runs an action in a goroutine. The action must end soon after the run is stopped. Nothing may
+// call spawn after wait has returned: the callers are Run itself, other actions, and the stand-ins'
+// handlers, which end before wait is called.
 func (b *background) spawn(action func()) { b.running.Go(action) }
 
-// sleep waits, and reports whether the run goes on.
+// sleep waits for the duration or the end of the run, and reports whether the run continues.
 func (b *background) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -36,7 +37,7 @@
 	}
 }
 
-// after runs an action later, unless the run is stopped by then.
+// after runs an action after a delay, unless the run is stopped by then.
 func (b *background) after(delay time.Duration, action func()) {
 	b.spawn(func() {
 		if b.sleep(delay) {
--- a/internal/soak/build_test.go
+++ b/internal/soak/build_test.go
@@ -9,12 +9,12 @@
 	"testing"
 )
 
-// repositoryRoot is where the tests find the sources.
+// repositoryRoot is the root of the sources, relative to the working directory of the tests.
 const repositoryRoot = "../.."
 
 var productionVersion = regexp.MustCompile(`(?m)^production = "([0-9a-f]+)"`)
 
-// build makes a controller's binary from sources; extra are further arguments of go build.
+// build compiles the controller from the sources; extra holds further arguments of go build.
 func build(t *testing.T, source, target string, extra ...string) {
 	t.Helper()
 	args := append([]string{"build", "-ldflags=-linkmode=external", "-o", target}, extra...)
@@ -25,8 +25,8 @@
 	}
 }
 
-// buildProduction builds the version that deploy/service.toml names as in production, from the
-// repository's history; it reports false where that is not there.
+// buildProduction builds the production version named in deploy/service.toml from the repository's
+// history and returns the binary's path. It reports false if that version is not available.
 func buildProduction(t *testing.T, dir string) (string, bool) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(repositoryRoot, "deploy/service.toml"))
@@ -41,7 +41,7 @@
 	archive.Dir = repositoryRoot
 	tar, err := archive.Output()
 	if err != nil {
-		return "", false // a shallow clone
+		return "", false // as in a shallow clone
 	}
 	source := filepath.Join(dir, "production")
 	unpack(t, tar, source)
@@ -50,7 +50,7 @@
 	return target, true
 }
 
-// unpack extracts an archive into a new directory.
+// unpack extracts a tar archive into a new directory.
 func unpack(t *testing.T, tar []byte, target string) {
 	t.Helper()
 	if err := os.Mkdir(target, 0o700); err != nil {
