--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Checker judges a history by the protocol's rules. It is told what agents, users and the
-// cloud saw, and knows nothing of how the service works. Times are since its making, on the
-// monotonic clock.
+// Checker checks a history against the protocol's rules. It is told what agents, users and the
+// cloud observe, and knows nothing about how the service works. Its times count from NewChecker on
+// the monotonic clock.
 type Checker struct {
 	mu             sync.Mutex
 	clock          func() time.Duration // replaced in tests
 	onViolation    func(Violation)      // called with the lock held
 	cancelDeadline time.Duration
-	quotas         map[string]float64 // CPUs that a team may use; 0: any
+	quotas         map[string]float64 // CPUs that each team may use; 0: unlimited
 	usage          map[string]float64
 	jobs           map[string]*jobHistory
 	observations   Observations
@@ -27,42 +27,42 @@
 // The rules.
 const (
 	RuleInvented     Rule = "invented"      // a job exists that nobody submitted
-	RuleForgotten    Rule = "forgotten"     // an accepted job is not known any more
-	RuleAcceptedBad  Rule = "accepted_bad"  // a job is accepted that must not be
-	RuleWentBack     Rule = "went_back"     // a job's outcome changes, or is cancelled though nobody asked
-	RuleNotDone      Rule = "not_done"      // a job is called done before all its tasks completed
-	RuleOrphaned     Rule = "orphaned"      // a job outlives the one that it needs, or its tasks outlive it
-	RuleMalformed    Rule = "malformed"     // an answer has no known stage
-	RuleTooEarly     Rule = "too_early"     // a task starts before the jobs that it needs are done
-	RuleRanTwice     Rule = "ran_twice"     // a task is on two machines at a time
-	RuleWrongPlace   Rule = "wrong_place"   // a task is in a zone or on a spot machine that it does not allow
+	RuleForgotten    Rule = "forgotten"     // the service no longer knows an accepted job
+	RuleAcceptedBad  Rule = "accepted_bad"  // a job that must be rejected is accepted
+	RuleWentBack     Rule = "went_back"     // a job's outcome changes, or is cancelled although no user asked for it
+	RuleNotDone      Rule = "not_done"      // a job is reported as done before all its tasks completed
+	RuleOrphaned     Rule = "orphaned"      // a job outlives one that it depends on, or its tasks outlive the job
+	RuleMalformed    Rule = "malformed"     // a response has an unknown stage
+	RuleTooEarly     Rule = "too_early"     // a task starts before its job's dependencies are done
+	RuleRanTwice     Rule = "ran_twice"     // a task is on two machines at the same time
+	RuleWrongPlace   Rule = "wrong_place"   // a task is in a zone or on a spot machine that its job does not allow
 	RuleQuota        Rule = "quota"         // a team uses more than its quota
-	RuleRanCancelled Rule = "ran_cancelled" // a task is on a machine after the time for its cancellation
+	RuleRanCancelled Rule = "ran_cancelled" // a task is on a machine after the deadline of its cancellation
 	RuleNothingRan   Rule = "nothing_ran"   // no task was started in the whole run
 )
 
-// Violation is a rule that was broken at a moment.
+// Violation records when and how a rule was broken.
 type Violation struct {
 	At     time.Duration
 	Rule   Rule
 	Detail string
 }
 
-// String is the violation as a line.
+// String formats the violation as one line, with its time in seconds.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// Observations are what a checker has seen.
+// Observations are what a checker has recorded.
 type Observations struct {
 	Violations   []Violation
 	Jobs         int
-	Answers      int // to users
+	Answers      int // responses to users
 	TasksStarted int
-	LateStarts   int // of these, of jobs whose cancellation had been told
+	LateStarts   int // of these, starts after a user was told that the job is cancelled
 }
 
-// JobFacts is what the checker has to know of a job.
+// JobFacts is what the checker needs to know about a job.
 type JobFacts struct {
 	ID           string
 	Team         string
@@ -72,27 +72,28 @@
 	Spot         bool   // spot machines are allowed
 	Needs        []string
 	Service      bool
-	RejectReason RejectReason // empty: it may be accepted
+	RejectReason RejectReason // empty: the job may be accepted
 }
 
-// RejectReason is why a job must not be accepted, as an end of "it ...".
+// RejectReason is why a job must not be accepted, worded to follow "it" in a sentence.
 type RejectReason string
 
-// jobHistory is what has been seen of a job.
+// jobHistory is what the checker has recorded about a job.
 type jobHistory struct {
 	JobFacts
 	accepted         bool
 	acceptedAt       time.Duration
-	cancelRequested  bool  // a user has asked to cancel it
-	outcome          Stage // empty: it is not over
+	cancelRequested  bool  // a user has asked to cancel the job
+	outcome          Stage // empty: no user was told that the job is over
 	cancelledAt      time.Duration
 	cancelled        bool
-	machines         map[int]string // tasks that are on machines
+	machines         map[int]string // machine that each task is on, by task index
 	completed        map[int]bool
-	deadlineReported bool // that its tasks are on machines too long is reported
+	deadlineReported bool // a violation of the cancellation deadline is already recorded
 }
 
-// NewChecker returns a checker that has seen nothing.
+// NewChecker returns a checker with an empty history. A cancellation must take effect within
+// cancelDeadline; quotas are the CPUs that each team may use, 0 if unlimited.
 func NewChecker(cancelDeadline time.Duration, quotas map[string]float64) *Checker {
 	startedAt := time.Now()
 	return &Checker{
@@ -107,7 +108,7 @@
 	c.onViolation(violation)
 }
 
-// Observations is what has been seen so far.
+// Observations returns what has been recorded so far.
 func (c *Checker) Observations() Observations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/checker_answers.go
+++ b/internal/soak/checker_answers.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// RequestKind is what a user asks.
+// RequestKind is the kind of a user's request.
 type RequestKind string
 
 // The requests of users.
@@ -16,7 +16,7 @@
 	CancelRequest RequestKind = "abort"
 )
 
-// Stage is what a user is told of a job.
+// Stage is the state of a job as reported to a user.
 type Stage string
 
 // The stages; done and cancelled are outcomes.
@@ -29,15 +29,15 @@
 
 func (s Stage) isOutcome() bool { return s == StageDone || s == StageCancelled }
 
-// isSuccess reports whether an answer tells of a job.
+// isSuccess reports whether a response with this status describes a job.
 func isSuccess(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// isRejection reports whether an answer to a submission refuses it for good.
+// isRejection reports whether a response with this status rejects a submission for good.
 func isRejection(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusUnprocessableEntity
 }
 
-// Submitted registers a job before it is sent for the first time.
+// Submitted registers a job before its first submission is sent.
 func (c *Checker) Submitted(facts JobFacts) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -52,15 +52,15 @@
 	c.jobs[id].cancelRequested = true
 }
 
-// KnownBefore is what users had been told of a job when a request was sent.
+// KnownBefore is what users had been told about a job when a request was sent.
 type KnownBefore struct {
 	at       time.Duration
 	accepted bool
 	outcome  Stage
 }
 
-// BeforeRequest is called just before a request about a job is sent. Its result goes to Answered:
-// an answer may be overtaken by another, and is judged by what was known before its request.
+// BeforeRequest is called just before a request about a job is sent. Its result is passed to Answered:
+// responses can overtake each other, so each is checked against what was known before its request.
 func (c *Checker) BeforeRequest(id string) KnownBefore {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,7 +71,7 @@
 	return known
 }
 
-// Answered is called with each answer to a user.
+// Answered is called with each response to a user.
 func (c *Checker) Answered(kind RequestKind, id string, status int, stage Stage, known KnownBefore) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,26 +79,26 @@
 	job := c.jobs[id]
 	switch {
 	case job == nil && isSuccess(status):
-		c.violate(RuleInvented, "%s was never submitted and is called %q", id, stage)
+		c.violate(RuleInvented, "%s was never submitted, but is reported as %q", id, stage)
 	case job == nil:
 	case isSuccess(status):
 		c.stageReported(job, stage, known)
 	case status == http.StatusNotFound && known.accepted:
-		c.violate(RuleForgotten, "%s is accepted, and a %s gets 404", id, kind)
+		c.violate(RuleForgotten, "%s was accepted, but a %s request gets 404", id, kind)
 	case isRejection(status) && kind == SubmitRequest && known.accepted:
-		c.violate(RuleForgotten, "%s is accepted, and its repeat gets %d", id, status)
+		c.violate(RuleForgotten, "%s was accepted, but a repeated submission gets %d", id, status)
 	}
 }
 
 func (c *Checker) stageReported(job *jobHistory, stage Stage, known KnownBefore) {
 	if job.RejectReason != "" {
-		c.violate(RuleAcceptedBad, "%s is accepted, and it %s", job.ID, job.RejectReason)
+		c.violate(RuleAcceptedBad, "%s was accepted, although it %s", job.ID, job.RejectReason)
 	}
 	if !job.accepted {
 		job.accepted, job.acceptedAt = true, c.clock()
 	}
 	if known.outcome != "" && stage != known.outcome {
-		c.violate(RuleWentBack, "%s was called %s and is called %s", job.ID, known.outcome, stage)
+		c.violate(RuleWentBack, "%s was reported as %s and is now reported as %s", job.ID, known.outcome, stage)
 	}
 	switch stage {
 	case StageDone:
@@ -108,7 +108,7 @@
 	case StagePending, StageRunning:
 		c.checkOpen(job, stage, known)
 	default:
-		c.violate(RuleMalformed, "%s has the stage %q", job.ID, stage)
+		c.violate(RuleMalformed, "%s is reported with the unknown stage %q", job.ID, stage)
 	}
 	if stage.isOutcome() && job.outcome == "" {
 		job.outcome = stage
@@ -117,30 +117,31 @@
 
 func (c *Checker) checkDone(job *jobHistory) {
 	if len(job.completed) < job.Tasks {
-		c.violate(RuleNotDone, "%s is called done with %d of %d tasks", job.ID, len(job.completed), job.Tasks)
+		c.violate(RuleNotDone, "%s is reported as done with %d of %d tasks completed", job.ID, len(job.completed), job.Tasks)
 	}
 }
 
 func (c *Checker) checkCancelled(job *jobHistory) {
 	if !c.mayBeCancelled(job) {
-		c.violate(RuleWentBack, "%s is called cancelled, and nobody cancelled it or what it needs", job.ID)
+		c.violate(RuleWentBack, "%s is reported as cancelled, but no user cancelled it or a job that it needs", job.ID)
 	}
 	if !job.cancelled {
 		job.cancelled, job.cancelledAt = true, c.clock()
 	}
 }
 
-// checkOpen judges that a job is called open by what users had been told when they asked.
+// checkOpen checks a response that reports a job as open against what users had been told when the
+// request was sent.
 func (c *Checker) checkOpen(job *jobHistory, stage Stage, known KnownBefore) {
 	cancelledAt, cancelled := c.dependencyCancelledAt(job)
 	if cancelled && known.at > max(cancelledAt, job.acceptedAt)+c.cancelDeadline {
-		c.violate(RuleOrphaned, "%s is called %s to a question %.2f s after the user of a job that it needs was told that that is cancelled",
+		c.violate(RuleOrphaned, "%s is reported as %s to a request sent %.2f s after a user was told that a job that it needs is cancelled",
 			job.ID, stage, (known.at - cancelledAt).Seconds())
 	}
 }
 
-// mayBeCancelled reports whether a user asked to cancel the job, or one that it needs directly
-// or through others.
+// mayBeCancelled reports whether a user asked to cancel the job, or a direct or transitive dependency
+// that is not done.
 func (c *Checker) mayBeCancelled(job *jobHistory) bool {
 	return job.cancelRequested || slices.ContainsFunc(job.Needs, func(id string) bool {
 		dependency := c.jobs[id]
@@ -148,8 +149,8 @@
 	})
 }
 
-// dependencyCancelledAt is when the user of a job that this one needs, directly or through others,
-// was first told that it is cancelled.
+// dependencyCancelledAt returns when a user was first told that a direct or transitive dependency of
+// the job is cancelled.
 func (c *Checker) dependencyCancelledAt(job *jobHistory) (earliest time.Duration, found bool) {
 	for _, id := range job.Needs {
 		dependency := c.jobs[id]
@@ -163,8 +164,8 @@
 	return earliest, found
 }
 
-// cancelledAt is when a user was first told that the job, or one that it needs directly or through
-// others, is cancelled.
+// cancelledAt returns when a user was first told that the job, or one of its direct or transitive
+// dependencies, is cancelled.
 func (c *Checker) cancelledAt(job *jobHistory) (time.Duration, bool) {
 	at, found := c.dependencyCancelledAt(job)
 	if job.cancelled && (!found || job.cancelledAt < at) {
@@ -181,7 +182,7 @@
 	return job != nil && job.accepted
 }
 
-// Outcome is what users were told of how the job ended; empty: it is not over.
+// Outcome returns the outcome of the job that users were told, or "" if they were told none.
 func (c *Checker) Outcome(id string) Stage {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/checker_deadlines.go
+++ b/internal/soak/checker_deadlines.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// deadlineCheckInterval is how often what time alone breaks is looked for.
+// deadlineCheckInterval is the interval between calls of CheckDeadlines.
 const deadlineCheckInterval = 100 * time.Millisecond
 
 // watchDeadlines calls CheckDeadlines until the run is stopped.
@@ -23,8 +23,8 @@
 	}
 }
 
-// CheckDeadlines looks for what time alone breaks: tasks that are on machines too long after a
-// user was told of the cancellation.
+// CheckDeadlines reports the violations that arise without any event: tasks that are still on machines
+// more than cancelDeadline after a user was told of the cancellation.
 func (c *Checker) CheckDeadlines() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,25 +36,25 @@
 		at, cancelled := c.cancelledAt(job)
 		if cancelled && c.clock() > at+c.cancelDeadline {
 			job.deadlineReported = true
-			c.violate(RuleRanCancelled, "%s has tasks on %v %.2f s after the user was told", id, machinesOf(job), (c.clock() - at).Seconds())
+			c.violate(RuleRanCancelled, "%s has tasks on %v %.2f s after a user was told that it is cancelled", id, machinesOf(job), (c.clock() - at).Seconds())
 		}
 	}
 }
 
-// Finish is called when all faults are over and all has ended: no task may go on that
-// belongs to a job that is over, which the service would no longer know.
+// Finish is called when all faults and all jobs are over. No task of a job that is over may still be
+// on a machine, since the service no longer knows about it; and some task must have started.
 func (c *Checker) Finish() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.observations.TasksStarted == 0 {
-		c.violate(RuleNothingRan, "no task was started")
+		c.violate(RuleNothingRan, "no task was started in the whole run")
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if job := c.jobs[id]; job.outcome != "" && len(job.machines) > 0 {
-			c.violate(RuleOrphaned, "%s is %s, and tasks of it go on on %v", id, job.outcome, machinesOf(job))
+			c.violate(RuleOrphaned, "%s is %s, but still has tasks on %v", id, job.outcome, machinesOf(job))
 		}
 	}
 }
 
-// machinesOf lists the machines on which tasks of a job are.
+// machinesOf lists the machines that have tasks of a job.
 func machinesOf(job *jobHistory) []string { return slices.Sorted(maps.Values(job.machines)) }
--- a/internal/soak/checker_tasks.go
+++ b/internal/soak/checker_tasks.go
@@ -3,14 +3,14 @@
 // cpuTolerance is the rounding error allowed in sums of CPUs.
 const cpuTolerance = 1e-6
 
-// TaskStarted is called when a task has its image on a machine and starts.
+// TaskStarted is called when a task starts on a machine, after its image is pulled.
 func (c *Checker) TaskStarted(machine, zone string, spot bool, id string, num int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.observations.TasksStarted++
 	job := c.jobs[id]
 	if job == nil {
-		c.violate(RuleInvented, "%s/%d starts, and nobody submitted it", id, num)
+		c.violate(RuleInvented, "%s/%d starts, but its job was never submitted", id, num)
 		return
 	}
 	c.checkDependenciesDone(job, num, machine)
@@ -19,7 +19,7 @@
 		c.violate(RuleRanTwice, "%s/%d starts on %s while it is on %s", id, num, machine, other)
 	}
 	if spot && !job.Spot || job.Zone != "" && job.Zone != zone {
-		c.violate(RuleWrongPlace, "%s/%d starts on %s in %s, spot %v", id, num, machine, zone, spot)
+		c.violate(RuleWrongPlace, "%s/%d starts on %s in zone %s, spot %v, which its job does not allow", id, num, machine, zone, spot)
 	}
 	if !twice {
 		c.usage[job.Team] += job.CPUs
@@ -49,7 +49,7 @@
 	}
 	c.observations.LateStarts++
 	if age := c.clock() - job.cancelledAt; age > c.cancelDeadline {
-		c.violate(RuleRanCancelled, "%s/%d starts %.2f s after its user was told", job.ID, num, age.Seconds())
+		c.violate(RuleRanCancelled, "%s/%d starts %.2f s after a user was told that its job is cancelled", job.ID, num, age.Seconds())
 	}
 }
 
@@ -72,7 +72,7 @@
 	c.jobs[id].completed[num] = true
 }
 
-// IsCompleted reports whether a task has completed: its result is kept.
+// IsCompleted reports whether an attempt of a task has completed, so that its result is stored.
 func (c *Checker) IsCompleted(id string, num int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// history tells a checker what happened, at moments that it sets.
+// history reports events to a checker, whose clock is h.at.
 type history struct {
 	checker *Checker
 	at      time.Duration
@@ -54,21 +54,21 @@
 	return h
 }
 
-// The time for a cancellation in all histories, and moments just after and within it.
+// The cancellation deadline of all histories, and waiting times just after and just within it.
 const (
 	limit = 10 * time.Second
 	late  = limit + time.Millisecond
 	early = limit
 )
 
-// checkerCase is a made-up history, and the rule that it breaks.
+// checkerCase is a synthetic history and the rule that it breaks.
 type checkerCase struct {
 	name string
-	rule Rule // as it is printed; empty where none is broken
+	rule Rule // as it is printed; empty: none is broken
 	play func(h *history)
 }
 
-// testChecker has a checker judge histories.
+// testChecker runs each history against a checker of its own.
 func testChecker(t *testing.T, cases []checkerCase) {
 	t.Helper()
 	for _, tc := range cases {
@@ -79,13 +79,14 @@
 			violations := h.checker.Observations().Violations
 			caught := slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == tc.rule })
 			if tc.rule == "" && len(violations) > 0 || tc.rule != "" && !caught {
-				t.Errorf("want %q, got %q", tc.rule, violations)
+				t.Errorf("want violation of rule %q, got %q", tc.rule, violations)
 			}
 		})
 	}
 }
 
-// TestCheckerPlacement has the checks on tasks on machines catch a history that breaks them, and pass one that just does not.
+// TestCheckerPlacement tests that the rules on tasks on machines report a history that breaks them, and
+// accept one that only just keeps them.
 func TestCheckerPlacement(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"twice", "ran_twice", func(h *history) { h.job(JobFacts{ID: "a"}).started("a", 0, "m").started("a", 0, "n") }},
@@ -109,7 +110,8 @@
 	})
 }
 
-// TestCheckerCancellation has the checks on tasks after a cancellation catch a history that breaks them, and pass one that just does not.
+// TestCheckerCancellation tests that the rules on tasks after a cancellation report a history that breaks
+// them, and accept one that only just keeps them.
 func TestCheckerCancellation(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"goes on after cancellation", "ran_cancelled", func(h *history) {
@@ -138,7 +140,8 @@
 	})
 }
 
-// TestCheckerDependencies has the checks on jobs that need others catch a history that breaks them, and pass one that just does not.
+// TestCheckerDependencies tests that the rules on jobs with dependencies report a history that breaks
+// them, and accept one that only just keeps them.
 func TestCheckerDependencies(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"starts before what it needs", "too_early", func(h *history) {
@@ -179,7 +182,8 @@
 	})
 }
 
-// TestCheckerAnswers has the checks on answers to users catch a history that breaks them, and pass one that just does not.
+// TestCheckerAnswers tests that the rules on responses to users report a history that breaks them, and
+// accept one that only just keeps them.
 func TestCheckerAnswers(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"accepted and 404", "forgotten", func(h *history) {
@@ -222,7 +226,7 @@
 	})
 }
 
-// TestViolationLine pins the form in which operators read a violation.
+// TestViolationLine tests the format of a violation, which operators read.
 func TestViolationLine(t *testing.T) {
 	violation := Violation{At: 1500 * time.Millisecond, Rule: RuleQuota, Detail: "red uses 5 of 4 CPUs"}
 	if want := "1.500 quota: red uses 5 of 4 CPUs"; violation.String() != want {
