--- a/internal/soak/cloud.go
+++ b/internal/soak/cloud.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// scaleOutCapacity is how many machines can be had beside those that are there at the start.
+	// scaleOutCapacity is how many machines can be created beside those that run from the start.
 	scaleOutCapacity = 24
-	// minBootTime and maxBootTime bound how long a machine takes to be up.
+	// minBootTime and maxBootTime bound the boot time of a machine.
 	minBootTime, maxBootTime = 200 * time.Millisecond, 3 * time.Second
 	// crashDetectionTime is how long the cloud lists a crashed machine as running.
 	crashDetectionTime = 3 * time.Second
 )
 
-// fakeCloud creates, lists and deletes machines.
+// fakeCloud stands in for the cloud: it creates, lists and deletes machines.
 type fakeCloud struct {
 	world  *world
 	server *httpServer
 
 	mu          sync.Mutex
 	nextMachine int
-	available   int // that can still be had
+	available   int // machines that can still be created
 	down        bool
-	scaleOuts   map[string][]string // names of machines by that of the request, which may be repeated
+	scaleOuts   map[string][]string // machine names by request name, since requests may be repeated
 	machines    map[string]*machine
 }
 
 type machine struct {
 	listed    cloud.ListedMachine
 	createdAt time.Time
-	agent     *fakeAgent // nil: it is not up
+	agent     *fakeAgent // nil: the machine is not up
 }
 
 func newCloud(w *world) (*fakeCloud, error) {
@@ -47,10 +47,10 @@
 	return c, nil
 }
 
-// close ends the cloud; its machines end with the run.
+// close stops the cloud's server; the machines end with the run.
 func (c *fakeCloud) close() error { return c.server.close() }
 
-// createRunning makes the machines that are up at the start.
+// createRunning creates the machines that are up at the start of the run.
 func (c *fakeCloud) createRunning(count int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// create makes a machine that is starting.
+// create adds a machine in the state cloud.Starting.
 func (c *fakeCloud) create(kind, zone string, spot bool) *machine {
 	created := &machine{
 		createdAt: time.Now(),
@@ -77,7 +77,7 @@
 	return created
 }
 
-// bootAfter has a machine be up after some time, if it is not deleted by then.
+// bootAfter completes a machine's boot after a delay, unless the machine is deleted by then.
 func (c *fakeCloud) bootAfter(delay time.Duration, booting *machine) {
 	c.world.after(delay, func() {
 		c.mu.Lock()
@@ -99,7 +99,7 @@
 	return err
 }
 
-// crash stops a machine, which stays listed.
+// crash stops a machine, which stays listed: as running for crashDetectionTime, then as failed.
 func (c *fakeCloud) crash(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,7 +116,7 @@
 	})
 }
 
-// delete removes a machine with all that is on it.
+// delete removes a machine and its tasks.
 func (c *fakeCloud) delete(name string) {
 	deleted := c.machines[name]
 	if deleted == nil {
@@ -130,7 +130,7 @@
 	c.world.events.add("machine %s deleted", name)
 }
 
-// agents lists those of the machines that are up, in order.
+// agents lists the agents of the machines that are up, ordered by machine name.
 func (c *fakeCloud) agents() []*fakeAgent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +143,7 @@
 	return up
 }
 
-// setDown begins or ends an outage of the cloud's interface; its machines run on.
+// setDown begins or ends an outage of the cloud's API; its machines keep running.
 func (c *fakeCloud) setDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/cloud_http.go
+++ b/internal/soak/cloud_http.go
@@ -40,8 +40,8 @@
 	}}}
 }
 
-// scaleOut creates machines, fewer than asked for if there are not so many. A repeated request
-// gets the machines of the first.
+// scaleOut creates the requested machines, or as many as are available. A repeated request returns
+// the machines of the first.
 func (c *fakeCloud) scaleOut(body []byte) response {
 	var request cloud.RentalRequest
 	if json.Unmarshal(body, &request) != nil || request.Count < 1 || request.Type != machineType {
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -15,30 +15,30 @@
 	"github.com/valyala/fasthttp"
 )
 
-// crashRestartDelay is how soon a controller that ended by itself is started again.
+// crashRestartDelay is the delay before a controller that exited by itself is restarted.
 const crashRestartDelay = time.Second
 
-// controllerProcess is one member of the service, whose process comes and goes.
+// controllerProcess is one member of the service, whose process is killed and restarted during a run.
 type controllerProcess struct {
 	world      *world
 	index      int
 	name       string
 	configPath string
-	logFile    *os.File // of all its processes, one after the other
+	logFile    *os.File // shared by its successive processes
 	client     *fasthttp.HostClient
 
 	mu            sync.Mutex
 	binary        string
-	cmd           *exec.Cmd     // nil: no process is there
+	cmd           *exec.Cmd     // nil: no process is running
 	exited        chan struct{} // closed when cmd has ended
-	killRequested bool          // it was meant to end
+	killRequested bool          // cmd is meant to end
 	crashes       []string
 	ready         bool
 }
 
 func memberName(index int) string { return fmt.Sprintf("bay-%d", index) }
 
-// newController prepares a controller's links, settings and log. It is started by start.
+// newController prepares a controller's peer relays, settings and log. start starts its process.
 func newController(w *world, index int) (*controllerProcess, error) {
 	p := &controllerProcess{world: w, index: index, name: memberName(index), binary: w.opts.Binary}
 	if w.opts.PreviousBinary != "" {
@@ -60,7 +60,7 @@
 	return p, nil
 }
 
-// start starts the process, if it is not there.
+// start starts the process unless it is running.
 func (p *controllerProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,9 +81,9 @@
 	return nil
 }
 
-// runProcess starts a process and waits until it has ended. The kernel ends the child when the
-// thread that started it does (Pdeathsig), so that none is left behind if this process is killed:
-// the thread is kept until the child has ended.
+// runProcess starts a process and waits until it has ended. The kernel kills the child when the
+// thread that started it ends (Pdeathsig), so that no child outlives this process. The goroutine
+// therefore keeps its thread until the child has ended.
 func (p *controllerProcess) runProcess(cmd *exec.Cmd, started chan<- error, exited chan<- struct{}) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -96,7 +96,7 @@
 	close(exited)
 }
 
-// processExited notes that a process has ended, and starts another if it ended by itself.
+// processExited handles the end of a process, and restarts it if it was not killed by the run.
 func (p *controllerProcess) processExited(cmd *exec.Cmd, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,18 +106,18 @@
 	if p.killRequested || p.world.isStopped() {
 		return
 	}
-	p.noteCrash("%s ended by itself: %v", p.name, err)
+	p.noteCrash("%s exited by itself: %v", p.name, err)
 	p.world.after(crashRestartDelay, p.startAgain)
 }
 
-// noteCrash has the run fail for something that the process did.
+// noteCrash records a failure of the process, which fails the run.
 func (p *controllerProcess) noteCrash(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	p.crashes = append(p.crashes, line)
 	p.world.events.add("BROKEN %s", line)
 }
 
-// startAgain starts the process during the run, in which a start that fails counts as a crash.
+// startAgain restarts the process during the run; a failed start counts as a crash.
 func (p *controllerProcess) startAgain() {
 	if err := p.start(); err != nil {
 		p.mu.Lock()
@@ -126,7 +126,7 @@
 	}
 }
 
-// kill ends the process without a signal that it could see, and waits until it is gone.
+// kill ends the process with SIGKILL, which it can't handle, and waits until it has ended.
 func (p *controllerProcess) kill() {
 	p.mu.Lock()
 	cmd, exited := p.cmd, p.exited
@@ -140,14 +140,14 @@
 	<-exited
 }
 
-// signal sends a signal, unless the process has ended meanwhile.
+// signal sends a signal, unless the process has already ended.
 func (p *controllerProcess) signal(cmd *exec.Cmd, signal os.Signal) {
 	if err := cmd.Process.Signal(signal); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		p.world.events.add("send %v to %s: %v", signal, p.name, err)
 	}
 }
 
-// restartAfter kills the process and starts it again after some time.
+// restartAfter kills the process and restarts it after the downtime.
 func (p *controllerProcess) restartAfter(downtime time.Duration) {
 	p.kill()
 	if p.world.sleep(downtime) {
@@ -155,7 +155,8 @@
 	}
 }
 
-// upgrade has another binary run from now on. The downtime is drawn when the old one has ended.
+// upgrade kills the process and restarts it with another binary. The downtime is drawn after the old
+// process has ended.
 func (p *controllerProcess) upgrade(binary string, drawDowntime func() time.Duration) {
 	p.kill()
 	p.mu.Lock()
@@ -166,7 +167,7 @@
 	}
 }
 
-// pause stops the process for some time; its clocks run on.
+// pause suspends the process for a duration; its clocks keep running.
 func (p *controllerProcess) pause(duration time.Duration) {
 	p.mu.Lock()
 	cmd := p.cmd
@@ -180,7 +181,7 @@
 	p.signal(cmd, syscall.SIGCONT)
 }
 
-// close kills the process for good.
+// close kills the process and closes its log.
 func (p *controllerProcess) close() error {
 	p.kill()
 	if err := p.logFile.Close(); err != nil {
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// failures lists ends by itself and complaints in the log.
+// failures lists the crashes of the process and the fatal lines in its log.
 func (p *controllerProcess) failures() []string {
 	p.mu.Lock()
 	found := slices.Clone(p.crashes)
@@ -197,7 +198,7 @@
 	return append(found, p.complaints(maxFailures-len(found))...)
 }
 
-// probe asks for the health as a load balancer does.
+// probe polls the controller's readiness, as a load balancer does.
 func (p *controllerProcess) probe() {
 	for p.world.sleep(probeInterval) {
 		ready := p.isHealthy()
@@ -207,7 +208,7 @@
 	}
 }
 
-// isReady reports whether a load balancer would send users here.
+// isReady reports whether a load balancer would route users to this controller.
 func (p *controllerProcess) isReady() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/soak/controller_client.go
+++ b/internal/soak/controller_client.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// noAnswer is the status of a request without an answer.
+	// noAnswer is the status of a request without a response.
 	noAnswer = 0
 
 	probeInterval = 300 * time.Millisecond
@@ -20,17 +20,17 @@
 	clientIdleLimit = 5 * time.Second
 )
 
-// newClient returns a client that sends each request once: what repeats is the stand-ins' affair.
+// newClient returns a client that sends each request once: retries are up to the stand-ins.
 func newClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{Addr: address, MaxConns: maxClientConns, MaxIdemponentCallAttempts: 1, MaxIdleConnDuration: clientIdleLimit}
 }
 
-// post sends a request; see call.
+// post sends a POST request; see call.
 func (p *controllerProcess) post(path string, body any, timeout time.Duration, answer any) int {
 	return p.call(http.MethodPost, path, body, timeout, answer)
 }
 
-// call sends a request, decodes the answer's body into answer unless that is nil, and returns the status.
+// call sends a request, decodes the response body into answer unless that is nil, and returns the status.
 func (p *controllerProcess) call(method, path string, body any, timeout time.Duration, answer any) int {
 	request, reply := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -40,7 +40,7 @@
 	if body != nil {
 		raw, err := json.Marshal(body)
 		if err != nil {
-			panic(fmt.Sprintf("soak: a request body has no JSON form: %v", err)) // an error of this package
+			panic(fmt.Sprintf("soak: cannot encode a request body as JSON: %v", err)) // a bug in this package
 		}
 		request.SetBody(raw)
 	}
@@ -48,13 +48,13 @@
 		return noAnswer
 	}
 	if answer != nil && len(reply.Body()) > 0 {
-		// A body that is no JSON shows in what the answer lacks: the checker judges an empty stage.
+		// A body that is not JSON leaves the result empty: the checker reports an empty stage.
 		_ = json.Unmarshal(reply.Body(), answer)
 	}
 	return reply.StatusCode()
 }
 
-// isHealthy asks for the health as a load balancer does.
+// isHealthy sends a readiness probe, as a load balancer does.
 func (p *controllerProcess) isHealthy() bool {
 	return p.call(http.MethodGet, "/ready", nil, probeTimeout, nil) == http.StatusOK
 }
--- a/internal/soak/controller_log.go
+++ b/internal/soak/controller_log.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxFailures is how many failures of a controller are listed.
+	// maxFailures is the maximum number of failures listed for a controller.
 	maxFailures = 20
 	// maxLogLineBytes is the longest line that a controller may log.
 	maxLogLineBytes = 1 << 20
 )
 
-// fatalLogLines are what a log must not have: crashes, data races and broken invariants.
+// fatalLogLines are texts that a log must not contain: crashes, data races and broken invariants.
 var fatalLogLines = []string{"panic: ", "fatal error: ", "DATA RACE", "invariant violated"}
 
-// complaints lists so many of the fatal lines in the log, and why it could not be read, if so.
+// complaints lists the first fatal lines in the log, up to limit, and the error if the log can't be read.
 func (p *controllerProcess) complaints(limit int) []string {
 	found, err := findLines(p.logFile.Name(), limit, isFatal)
 	for i, line := range found {
--- a/internal/soak/controller_settings.go
+++ b/internal/soak/controller_settings.go
@@ -7,7 +7,7 @@
 	"text/template"
 )
 
-// settingsTemplate is the settings file that the platform gives a controller.
+// settingsTemplate is the template of the settings file that the platform provides to a controller.
 var settingsTemplate = template.Must(template.New("settings").Parse(
 	`member = "{{.Member}}"
 site = "{{.Zone}}"
@@ -61,7 +61,7 @@
 sockets = 2000
 `))
 
-// settings is what the template is filled with.
+// settings are the values for settingsTemplate.
 type settings struct {
 	Member, Zone, PublicAddr, PeerBind            string
 	Peers                                         []peerSettings
@@ -115,7 +115,7 @@
 func writeSettings(path string, w *world, index int) error {
 	var text bytes.Buffer
 	if err := settingsTemplate.Execute(&text, settingsFor(w, index)); err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("render the settings: %w", err)
 	}
 	if err := os.WriteFile(path, text.Bytes(), 0o600); err != nil {
 		return fmt.Errorf("write the settings: %w", err)
@@ -134,15 +134,15 @@
 	return others
 }
 
-// peerBind is where a controller takes heartbeats from the others.
+// peerBind is the address at which a controller receives heartbeats from the others.
 func peerBind(w *world, index int) string { return w.address(hostController+index, peerPort) }
 
-// relayAddress is where a controller sends its heartbeats for another.
+// relayAddress is the address to which a controller sends its heartbeats for another.
 func relayAddress(w *world, from, to int) string {
 	return w.address(hostPeer+from*controllerCount+to, peerPort)
 }
 
-// relayToPeers starts the relays for what a controller sends the others.
+// relayToPeers starts the relays for a controller's connections to the others.
 func relayToPeers(w *world, from int) error {
 	for _, to := range peersOf(from) {
 		if err := w.relayPeers(from, to, relayAddress(w, from, to), peerBind(w, to)); err != nil {
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Times that all runs have: short, so that leases expire and cancellations fall due within a run.
+// Size and times of all runs. The times are short, so that leases expire and cancellation deadlines
+// pass within a run.
 const (
 	controllerCount   = 3
 	heartbeatInterval = 500 * time.Millisecond
@@ -26,36 +27,36 @@
 	teams = []string{"red", "blue", "green"}
 )
 
-// zoneOf spreads controllers and machines over the zones.
+// zoneOf assigns controllers and machines to the zones in turn.
 func zoneOf(index int) string { return zones[index%len(zones)] }
 
-// teamQuotas are the CPUs that each team may use; 0: any.
+// teamQuotas returns the CPUs that each team may use; 0: unlimited.
 func teamQuotas() map[string]float64 {
 	return map[string]float64{"red": 40, "blue": 0, "green": 60}
 }
 
-// storeLimits are what the key-value store takes.
+// storeLimits are the limits of the key-value store on rates, value sizes and operations per transaction.
 type storeLimits struct {
 	operationsPerSecond, requestsPerSecond float64
 	valueBytes, operations                 int
 }
 
-// Limits before and after their announced fall. A larger fleet is given more; see scaleLimits.
+// The store's limits before and after the announced reduction. scaleLimits raises the rates for a larger fleet.
 var (
 	currentLimits   = storeLimits{operationsPerSecond: 60, requestsPerSecond: 400, valueBytes: 8 << 10, operations: 16}
 	announcedLimits = storeLimits{operationsPerSecond: 40, requestsPerSecond: 400, valueBytes: 2 << 10, operations: 6}
 )
 
-// usualWorkers is the fleet for which the store's limits and the pauses between submissions are
-// meant; a larger one has more users.
+// usualWorkers is the number of machines for which the store's limits and the pauses between
+// submissions are set. A larger fleet has more users, so rates rise and pauses shrink in proportion.
 const usualWorkers = 20
 
-// Hosts of a run, which give their addresses. Those of a kind are numbered from here on.
+// Host numbers of a run, from which address derives IP addresses. Each is the first of its kind.
 const (
 	hostController = 0
 	hostStore      = 10
 	hostCloud      = 20
-	hostPeer       = 30 // where one controller reaches another through the network's cuts
+	hostPeer       = 30 // relays between controllers, which apply the network's cuts
 	hostWorker     = 50
 )
 
@@ -68,11 +69,11 @@
 	agentPort      = 9000
 )
 
-// maxInstances is how many runs one test process may have at a time.
+// maxInstances is the maximum number of concurrent runs in one test process.
 const maxInstances = 8
 
-// address is an address of this run: each host has one of its own in the loopback range, so that
-// fixed ports never meet those that the system hands out, nor another run's.
+// address returns the address of a host's port in this run. Each host has an IP address of its own in
+// the loopback range, so that fixed ports collide neither with ephemeral ports nor with another run's.
 func (w *world) address(host, port int) string {
 	run := os.Getpid()*maxInstances + w.opts.Instance%maxInstances
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+run/250%200, run%250, 1+host%250, port+host/250)
--- a/internal/soak/eventlog.go
+++ b/internal/soak/eventlog.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// eventTimeFormat is that of the controllers' logs, with which the events are merged.
+// eventTimeFormat is the time format of the controllers' logs, with which the events are merged.
 const eventTimeFormat = "2006-01-02T15:04:05.000000Z"
 
-// eventLog is what happened outside the controllers, in lines like theirs, so that both merge
-// into one timeline.
+// eventLog records what happens outside the controllers. Its lines have the format of the
+// controllers' logs, so that all merge into one timeline.
 type eventLog struct {
 	mu       sync.Mutex
 	file     *os.File
-	writeErr error // the first
+	writeErr error // first error of a write
 }
 
 func newEventLog(path string) (*eventLog, error) {
@@ -27,7 +27,7 @@
 	return &eventLog{file: file}, nil
 }
 
-// add writes an event; an error shows when the log is closed.
+// add writes an event; close returns the error if the write fails.
 func (l *eventLog) add(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// close reports whether all events were written.
+// close closes the file and returns an error if an event was not written.
 func (l *eventLog) close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
