--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// faultKind is one kind of fault. Begin returns soon, or when the fault is over.
+// faultKind is one kind of fault. begin starts the fault, and returns soon or when the fault is over.
 type faultKind struct {
 	name  string
 	begin func(w *world, duration time.Duration)
 }
 
-// faultKinds are all kinds. Their order is part of what a seed fixes.
+// faultKinds are all kinds of faults. A seed draws them by index, so their order must not change.
 var faultKinds = []faultKind{
 	{"a controller is killed", (*world).killController},
 	{"a controller is killed twice", (*world).killControllerTwice},
 	{"all controllers are killed", (*world).killAllControllers},
-	{"leaders change in series", (*world).killControllersInSeries},
+	{"controllers are killed in series", (*world).killControllersInSeries},
 	{"a controller is paused", (*world).pauseController},
 	{"a controller is refused by the key-value store", (*world).refuseController},
 	{"a controller is refused by the key-value store, then all", (*world).refuseControllerThenAll},
 	{"the key-value store is down", (*world).outage},
-	{"a controller loses key-value store and peers", (*world).isolateController},
+	{"a controller loses the key-value store and its peers", (*world).isolateController},
 	{"a controller loses its peers", (*world).cutPeers},
 	{"heartbeats do not reach a controller", (*world).cutHeartbeats},
 	{"answers to heartbeats are lost", (*world).cutHeartbeatAnswers},
 	{"answers to users are lost", (*world).cutUserAnswers},
-	{"transactions come late", (*world).commitLate},
+	{"transactions are applied late", (*world).commitLate},
 	{"answers to transactions are lost", (*world).loseCommitAnswers},
 	{"the key-value store is slow", (*world).slowStore},
-	{"heartbeats come again, late", (*world).duplicateHeartbeats},
-	{"commands come late", (*world).delayCommands},
+	{"heartbeats are duplicated, late", (*world).duplicateHeartbeats},
+	{"commands are delayed", (*world).delayCommands},
 	{"machines hang and jobs are cancelled", (*world).hangMachines},
 	{"machines are unreachable inbound", (*world).loseInbound},
 	{"machines are unreachable outbound", (*world).loseOutbound},
 	{"machines crash", (*world).crashMachines},
 	{"machines reboot", (*world).rebootMachines},
 	{"the cloud is down", (*world).cloudOutage},
-	{"jobs are cancelled in numbers", (*world).cancelManyJobs},
+	{"many jobs are cancelled", (*world).cancelManyJobs},
 }
 
-// during begins something and ends it after some time. The end is left out if the run is stopped before.
+// during calls begin, and calls end after the duration unless the run is stopped before.
 func (w *world) during(duration time.Duration, begin, end func()) {
 	begin()
 	w.after(duration, end)
 }
 
-// cancelRecent has users cancel some of the latest jobs within moments.
+// cancelRecent has users cancel up to count of the latest jobs, each after a random delay of at most 300 ms.
 func (w *world) cancelRecent(count int) {
 	for range count {
 		if id := w.users.recentJob(); id != "" {
@@ -70,7 +70,7 @@
 	w.network.cutFor(linkHeartbeatAnswers, w.randomController().index, duration)
 }
 
-// cutUserAnswers lasts half as long as the other faults.
+// cutUserAnswers lasts half as long as the drawn duration, unlike the other faults.
 func (w *world) cutUserAnswers(duration time.Duration) {
 	w.network.cutFor(linkUserAnswers, w.randomController().index, duration/2)
 }
--- a/internal/soak/faults_controllers.go
+++ b/internal/soak/faults_controllers.go
@@ -4,10 +4,10 @@
 
 func (w *world) randomController() *controllerProcess { return pick(w.rng, w.controllers...) }
 
-// shortDowntimeShare is the share of processes that are started again almost at once.
+// shortDowntimeShare is the share of restarts that follow almost at once.
 const shortDowntimeShare = 0.5
 
-// downtime draws how long a process stays away: next to nothing, or longer.
+// downtime draws the time until a process is restarted: almost none, or some seconds.
 func (w *world) downtime() time.Duration {
 	if w.rng.chance(shortDowntimeShare) {
 		return w.rng.between(0, 300*time.Millisecond)
@@ -29,7 +29,7 @@
 	}
 }
 
-// killControllersInSeries kills one after the other, so that leaders that have just begun are hit.
+// killControllersInSeries kills one controller after the other, so that some have only just become leader.
 func (w *world) killControllersInSeries(duration time.Duration) {
 	const kills = 5
 	for i := range time.Duration(kills) {
--- a/internal/soak/faults_machines.go
+++ b/internal/soak/faults_machines.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// lateCommandRate is the share of commands that are held up by that fault.
+// lateCommandRate is the share of commands that delayCommands delays.
 const lateCommandRate = 0.4
 
-// randomAgents draws so many machines; one may be drawn more than once.
+// randomAgents draws count agents, or as many as are up; one may be drawn more than once.
 func (w *world) randomAgents(count int) []*fakeAgent {
 	all := w.cloud.agents()
 	var drawn []*fakeAgent
--- a/internal/soak/faults_store.go
+++ b/internal/soak/faults_store.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// storeFaultRate is the share of transactions that a fault of the store hits.
+// storeFaultRate is the share of transactions that a fault of the store affects.
 const storeFaultRate = 0.3
 
-// lostRequestsShare is how often a controller's requests are lost in place of refused.
+// lostRequestsShare is the probability that a controller's requests are lost instead of refused.
 const lostRequestsShare = 0.4
 
-// slowStoreDelay is the longest delay of a slow store's answers.
+// slowStoreDelay is the longest delay of a slow store's responses.
 const slowStoreDelay = 600 * time.Millisecond
 
 func (w *world) outage(duration time.Duration) {
 	w.during(duration, func() { w.store.setOutage(true) }, func() { w.store.setOutage(false) })
 }
 
-// refuseRequests has the store refuse one controller, or lose its requests.
+// refuseRequests has the store refuse the requests of one controller, or lose them.
 func (w *world) refuseRequests(process *controllerProcess, duration time.Duration) {
 	lost := w.rng.chance(lostRequestsShare)
 	set := func(unavailable, lost bool) {
--- a/internal/soak/httpserver.go
+++ b/internal/soak/httpserver.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// shutdownTimeout is how long requests may take to end when a server is closed: longer than the
-// longest delay that a fault gives them.
+// shutdownTimeout is how long closing a server waits for open requests: longer than the longest delay
+// that a fault adds to them.
 const shutdownTimeout = 30 * time.Second
 
 // httpServer is the server of a stand-in.
@@ -22,7 +22,7 @@
 	listener net.Listener
 }
 
-// serve answers requests at an address until the server is closed.
+// serve starts a server at an address. It handles requests until it is closed.
 func (w *world) serve(address string, handler fasthttp.RequestHandler) (*httpServer, error) {
 	listener, err := (&net.ListenConfig{}).Listen(w.ctx, "tcp4", address)
 	if err != nil {
@@ -37,12 +37,12 @@
 	return s, nil
 }
 
-// close takes no more connections and waits until the requests at work are answered.
+// close stops accepting connections and waits until the open requests are handled.
 func (s *httpServer) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := s.server.ShutdownWithContext(ctx)
-	// A server that had not begun to serve does not know its listener.
+	// The shutdown leaves the listener open if Serve has not registered it yet.
 	if closeErr := s.listener.Close(); !errors.Is(closeErr, net.ErrClosed) {
 		err = errors.Join(err, closeErr)
 	}
@@ -52,15 +52,15 @@
 	return nil
 }
 
-// loseRequest has a client wait in vain. The server can't but answer in the end: the time must be
-// longer than the client waits.
+// loseRequest simulates a lost request. The server has to respond in the end, so wait must be longer
+// than the client's timeout.
 func (w *world) loseRequest(ctx *fasthttp.RequestCtx, wait time.Duration) {
 	w.sleep(wait)
 	ctx.SetConnectionClose()
 	ctx.SetStatusCode(http.StatusServiceUnavailable)
 }
 
-// response is a status with a body.
+// response is a status with a body, which is sent as JSON unless nil.
 type response struct {
 	status int
 	body   any
@@ -80,8 +80,8 @@
 	ctx.SetBody(raw)
 }
 
-// discardLogger drops the servers' own lines, which tell of the connections that faults cut.
+// discardLogger drops the log lines of the HTTP servers, which report the connections that faults cut.
 type discardLogger struct{}
 
-// Printf drops a line.
+// Printf drops a log line.
 func (discardLogger) Printf(string, ...any) {}
--- a/internal/soak/network.go
+++ b/internal/soak/network.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// linkKind is a direction in which messages to or from a controller can be cut.
+// linkKind is a kind of messages to or from a controller that can be cut.
 type linkKind int
 
 const (
 	linkHeartbeats       linkKind = iota // agents' heartbeats to the controller
-	linkHeartbeatAnswers                 // its answers to them
-	linkUserAnswers                      // its answers to users
+	linkHeartbeatAnswers                 // the controller's responses to them
+	linkUserAnswers                      // the controller's responses to users
 	linkPeers                            // heartbeats from and to other controllers
 )
 
-// link is a direction at one controller.
+// link is one kind of messages at one controller.
 type link struct {
 	kind       linkKind
 	controller int
@@ -29,8 +29,8 @@
 	dialTimeout      = time.Second
 )
 
-// network is the cuts between the hosts of a run. Stand-ins ask it before they send; what one
-// controller sends another goes through a relay that asks.
+// network records which links of a run are cut. Stand-ins check it for each of their messages; the
+// controllers' connections to each other go through relays that check it.
 type network struct {
 	mu       sync.Mutex
 	cutUntil map[link]time.Time
@@ -38,14 +38,14 @@
 
 func newNetwork() *network { return &network{cutUntil: map[link]time.Time{}} }
 
-// cutFor cuts messages of a kind for some time.
+// cutFor cuts messages of a kind at a controller for a duration.
 func (n *network) cutFor(kind linkKind, controller int, duration time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cutUntil[link{kind, controller}] = time.Now().Add(duration)
 }
 
-// isCut reports whether messages of a kind are cut now.
+// isCut reports whether messages of a kind at a controller are cut now.
 func (n *network) isCut(kind linkKind, controller int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -59,18 +59,20 @@
 	clear(n.cutUntil)
 }
 
-// peerRelay forwards what one controller sends another, and cuts it when either is cut.
+// peerRelay forwards connections from one controller to another, and closes them while either's peer
+// link is cut.
 type peerRelay struct {
 	network  *network
 	from, to int
 	target   string
 }
 
-// relayPeers listens at an address for what one controller sends another, until the run is stopped.
+// relayPeers starts a relay at an address for connections from one controller to another. It runs
+// until the run is stopped.
 func (w *world) relayPeers(from, to int, address, target string) error {
 	listener, err := (&net.ListenConfig{}).Listen(w.ctx, "tcp4", address)
 	if err != nil {
-		return fmt.Errorf("listen for %s's peer: %w", memberName(from), err)
+		return fmt.Errorf("listen for peer connections of %s: %w", memberName(from), err)
 	}
 	relay := &peerRelay{network: w.network, from: from, to: to, target: target}
 	w.spawn(func() {
@@ -90,7 +92,8 @@
 	return r.network.isCut(linkPeers, r.from) || r.network.isCut(linkPeers, r.to)
 }
 
-// forward copies a connection to the target until either side, a cut or the run ends it.
+// forward copies data from a connection to the target until either side closes, the link is cut, or
+// the run is stopped.
 func (r *peerRelay) forward(ctx context.Context, conn net.Conn) {
 	defer closeWith(ctx, conn)()
 	if r.isCut() {
@@ -114,8 +117,8 @@
 	}
 }
 
-// closeWith closes a socket when the context ends, or before, when the returned function is called. An
-// error of closing is dropped: nothing of the socket is used any more.
+// closeWith closes a socket when the context ends, or before, when the returned function is called.
+// Errors of closing are ignored, since the socket is no longer used.
 func closeWith(ctx context.Context, socket interface{ Close() error }) (closeNow func()) {
 	stop := context.AfterFunc(ctx, func() { _ = socket.Close() })
 	return func() {
--- a/internal/soak/random.go
+++ b/internal/soak/random.go
@@ -8,10 +8,10 @@
 	"frostdock.example/frostdock/internal/kv"
 )
 
-// randomStream is the second half of the generator's seed; the first is the run's.
+// randomStream is the second half of the generator's seed; the first half is the run's seed.
 const randomStream = 23
 
-// lockedRand draws for many goroutines from one sequence.
+// lockedRand is a random number generator that goroutines can share. All draw from one sequence.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -28,26 +28,26 @@
 	return r.rng.IntN(n)
 }
 
-// chance draws whether something of a probability happens.
+// chance draws true with the given probability.
 func (r *lockedRand) chance(probability float64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64() < probability
 }
 
-// between draws a time from low to high.
+// between draws a duration from low to high.
 func (r *lockedRand) between(low, high time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return low + time.Duration(r.rng.Float64()*float64(high-low))
 }
 
-// shuffle puts events into an order that is drawn.
+// shuffle puts events into a random order.
 func (r *lockedRand) shuffle(events []kv.Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rng.Shuffle(len(events), func(i, j int) { events[i], events[j] = events[j], events[i] })
 }
 
-// pick draws one of some values.
+// pick draws one of the values.
 func pick[T any](rng *lockedRand, from ...T) T { return from[rng.intN(len(from))] }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// Times of the schedule: the first faults come early, and none begins so late that it has no time.
+// Times of the schedule. The first faults come early, and lastFaultMargin leaves time for the last.
 const (
 	minFirstFault, maxFirstFault       = 2 * time.Second, 4 * time.Second
 	minFaultPause, maxFaultPause       = time.Second, 6 * time.Second
 	minFaultDuration, maxFaultDuration = time.Second, 12 * time.Second
-	maxFaultOffset                     = 1500 * time.Millisecond // between faults that overlap
+	maxFaultOffset                     = 1500 * time.Millisecond // between the faults of a group
 	maxOverlappingFaults               = 3
 	lastFaultMargin                    = 2 * time.Second
 )
 
-// plannedFault is a fault with its moment in the run.
+// plannedFault is a fault with its start time in the run and its duration.
 type plannedFault struct {
 	at       time.Duration
 	fault    faultKind
 	duration time.Duration
 }
 
-// schedule is what comes when in a run. Given the same numbers it is the same.
+// schedule says when faults begin in a run. It depends only on the random numbers and the run time.
 type schedule struct {
 	faults          []plannedFault
 	limitsLoweredAt time.Duration
 }
 
-// drawSchedule draws faults for a time, of which up to three overlap, and the fall of the store's limits.
+// drawSchedule draws faults for the run time, in groups of up to three that overlap, and the time at
+// which the store's limits are lowered.
 func drawSchedule(rng *lockedRand, runTime time.Duration) schedule {
 	var drawn schedule
 	at := rng.between(minFirstFault, maxFirstFault)
@@ -42,7 +43,7 @@
 	return drawn
 }
 
-// playSchedule has the faults come at their moments. What lasts ends by itself; heal ends what is left.
+// playSchedule starts the faults at their times. Each fault ends by itself; heal ends those that are left.
 func (w *world) playSchedule(planned schedule) {
 	for _, next := range planned.faults {
 		w.after(next.at, func() {
@@ -53,14 +54,14 @@
 	w.after(planned.limitsLoweredAt, w.lowerStoreLimits)
 }
 
-// upgradeCheckInterval is how often it is looked whether the upgrade is over.
+// upgradeCheckInterval is how often lowerStoreLimits checks whether the upgrade is over.
 const upgradeCheckInterval = 100 * time.Millisecond
 
-// formatRaiseTime is how long after an upgrade the documents' format is raised, and those are
-// split that would be too large for the lower limits.
+// formatRaiseTime is the time that the controllers get after an upgrade to raise the documents' format
+// and to split the documents that are too large for the lower limits.
 const formatRaiseTime = 4 * time.Second
 
-// lowerStoreLimits has the store's announced limits come into force, once all controllers are ready for them.
+// lowerStoreLimits applies the store's announced limits once all controllers are ready for them.
 func (w *world) lowerStoreLimits() {
 	for !w.upgraded.Load() {
 		if !w.sleep(upgradeCheckInterval) {
@@ -74,7 +75,7 @@
 	w.store.lowerLimits()
 }
 
-// heal ends all faults that are at work.
+// heal ends all active faults.
 func (w *world) heal() {
 	w.network.heal()
 	w.store.setOutage(false)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,12 +11,13 @@
 	"time"
 )
 
-// TestSoak runs real processes among stand-ins while faults come; see the package. Every third
-// seed upgrades the version in production to this one.
+// TestSoak runs real controller processes with stand-ins while faults are injected; see the package
+// comment. Every third seed upgrades the controllers from the production version to this one.
 //
-// SOAK=1-50 plays other seeds, SOAK_S sets the seconds of faults, SOAK_WORKERS the machines,
-// SOAK_CALM_S how long all may take to end afterwards (a large fleet has many users, and the teams'
-// quotas do not grow with it), SOAK_AT_ONCE the runs at a time, SOAK_RACE=1 builds with the race detector.
+// SOAK=1-50 runs other seeds, SOAK_S sets the seconds of faults, SOAK_WORKERS the number of machines,
+// SOAK_CALM_S the seconds that all jobs may take to end afterwards (a large fleet has many users, and
+// the teams' quotas do not grow with it), SOAK_AT_ONCE the number of concurrent runs, SOAK_RACE=1
+// builds with the race detector.
 func TestSoak(t *testing.T) {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "frostdock")
@@ -27,7 +28,7 @@
 	build(t, repositoryRoot, binary, extra...)
 	production, ok := buildProduction(t, dir)
 	if !ok {
-		t.Log("not run: the upgrade from the version in production, whose history is missing here")
+		t.Log("not run: the upgrade from the production version, which is missing in this repository's history")
 	}
 	options := Options{
 		Binary: binary, Workers: envNumber(t, "SOAK_WORKERS", usualWorkers),
@@ -55,7 +56,7 @@
 	})
 }
 
-// soak plays one run and fails for all that was broken in it.
+// soak executes one run, and fails with all of its failures.
 func soak(t *testing.T, opts Options) {
 	t.Helper()
 	// Not t.TempDir: the directory is kept when the run fails.
@@ -72,8 +73,8 @@
 	if report == nil {
 		return
 	}
-	t.Logf("seed %d, %d machines, production first %v: %.0f s, %d jobs, %d answers, "+
-		"%d tasks started, %d of them of jobs called cancelled, within the time allowed; the host stood still for %v",
+	t.Logf("seed %d, %d machines, upgrade from production %v: %.0f s, %d jobs, %d responses, "+
+		"%d tasks started, %d of them after their job was reported as cancelled; the host was stalled for %v",
 		opts.Seed, opts.Workers, opts.PreviousBinary != "", time.Since(startedAt).Seconds(), report.Jobs, report.Answers,
 		report.TasksStarted, report.LateStarts, report.Stalled.Round(time.Millisecond))
 	broken := brokenLines(report)
@@ -84,7 +85,7 @@
 		return
 	}
 	if report.Stalled > maxJudgedStall && onlyTimedRulesBroken(report) {
-		t.Skipf("NOT JUDGED: the host stood still for %v, and only rules on time seem broken: %v; logs in %s", report.Stalled, broken, dir)
+		t.Skipf("NOT JUDGED: the host was stalled for %v, and only time-based checks failed: %v; logs in %s", report.Stalled, broken, dir)
 	}
 	for _, line := range broken {
 		t.Error(line)
@@ -92,7 +93,7 @@
 	logTimeline(t, opts.Seed, dir)
 }
 
-// brokenLines lists all that fails a run.
+// brokenLines lists everything that fails a run.
 func brokenLines(report *Report) []string {
 	var lines []string
 	for _, violation := range report.Violations {
@@ -100,26 +101,26 @@
 	}
 	lines = append(lines, report.Exits...)
 	for _, id := range report.Unfinished {
-		lines = append(lines, "not over at the end: "+id)
+		lines = append(lines, "job not over at the end: "+id)
 	}
 	return lines
 }
 
-// maxJudgedStall is the most that the host may have stood still in all for a run whose rules on time
-// are to be judged: the protocol's times have that much to spare.
+// maxJudgedStall is the longest total stall of the host for which violations of the timed rules count:
+// the protocol's deadlines have that much slack.
 const maxJudgedStall = 2 * time.Second
 
-// timedRules are the rules that a host which stands still breaks by itself.
+// timedRules are the rules that a stall of the host can break, without a fault of the controllers.
 var timedRules = []Rule{RuleRanCancelled, RuleOrphaned}
 
-// onlyTimedRulesBroken reports whether all that fails a run may come of a host that stood still.
+// onlyTimedRulesBroken reports whether a stall of the host may explain everything that fails a run.
 func onlyTimedRulesBroken(report *Report) bool {
 	isUntimed := func(violation Violation) bool { return !slices.Contains(timedRules, violation.Rule) }
 	return len(report.Exits) == 0 && !slices.ContainsFunc(report.Violations, isUntimed)
 }
 
-// scaleLimits lets the key-value store take more of a larger fleet, which has more users: a run asks
-// for no more than the deployment takes, since what is over in time depends on that.
+// scaleLimits raises the key-value store's rates for a larger fleet, which has more users. The load of
+// a run must stay within what the deployment can take, or else jobs would not end in time.
 func scaleLimits(machines int) {
 	factor := max(1, float64(machines)/usualWorkers)
 	for _, limits := range []*storeLimits{&currentLimits, &announcedLimits} {
@@ -128,7 +129,7 @@
 	}
 }
 
-// envNumber reads a variable, or gives the default.
+// envNumber returns the integer in an environment variable, or the default if it is not set.
 func envNumber(t *testing.T, name string, usual int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -142,13 +143,13 @@
 	return number
 }
 
-// envSeconds reads a variable of so many seconds, or gives the default.
+// envSeconds returns the duration in an environment variable in seconds, or the default if it is not set.
 func envSeconds(t *testing.T, name string, usual int) time.Duration {
 	t.Helper()
 	return time.Duration(envNumber(t, name, usual)) * time.Second
 }
 
-// seeds are those of SOAK, FROM-TO, or a few fixed ones.
+// seeds returns the range of seeds in SOAK, given as FROM-TO or as one seed, or a few fixed ones.
 func seeds(t *testing.T) (from, to int) {
 	t.Helper()
 	text := os.Getenv("SOAK")
--- a/internal/soak/stalls.go
+++ b/internal/soak/stalls.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// stallProbeInterval is how often the process looks whether it is run.
+	// stallProbeInterval is how often the process measures whether it is scheduled.
 	stallProbeInterval = 20 * time.Millisecond
 	// minStall is the shortest delay of a probe that counts as a stall of the host.
 	minStall = 300 * time.Millisecond
 )
 
-// stallWatch measures how long this process was not run though it was due: the same moments
-// are missing for every stand-in.
+// stallWatch measures how long the host did not schedule this process although it was due to run. All
+// stand-ins are stalled at the same times.
 type stallWatch struct{ stalled atomic.Int64 }
 
 // run measures until the run is stopped.
@@ -27,5 +27,5 @@
 	}
 }
 
-// total is how long the process was stalled so far.
+// total returns how long the process was stalled so far.
 func (s *stallWatch) total() time.Duration { return time.Duration(s.stalled.Load()) }
