--- a/internal/soak/store.go
+++ b/internal/soak/store.go
@@ -14,8 +14,8 @@
 	"frostdock.example/frostdock/internal/kv"
 )
 
-// fakeStore is the key-value store. Each controller has an address of its own there, so that it can
-// be refused or cut off alone.
+// fakeStore stands in for the key-value store. It has a separate address for each controller, so that
+// each can be refused or cut off alone.
 type fakeStore struct {
 	world   *world
 	servers []*httpServer // by controller
@@ -24,7 +24,7 @@
 	changed         chan struct{} // closed at the next change
 	revision        uint64
 	values          map[string]storedValue
-	log             []kv.Event // all changes, by revision
+	log             []kv.Event // all changes, ordered by revision
 	leases          map[uint64]*storeLease
 	lastLeaseID     uint64
 	limits          storeLimits
@@ -34,13 +34,13 @@
 	faults          storeFaults
 }
 
-// storeFaults are what is wrong with the store beside an outage; zero: nothing.
+// storeFaults are the faults injected into the store, other than an outage. The zero value means none.
 type storeFaults struct {
-	unavailableTo  [controllerCount]bool // controllers that alone are refused
+	unavailableTo  [controllerCount]bool // controllers whose requests are refused
 	requestsLost   [controllerCount]bool // controllers whose requests are lost
-	lateCommitRate float64               // share of transactions that are carried out late, without an answer
-	lostAnswerRate float64               // share of transactions that are carried out without an answer
-	maxDelay       time.Duration         // of answers
+	lateCommitRate float64               // share of transactions that are applied late, without a response
+	lostAnswerRate float64               // share of transactions that are applied without a response
+	maxDelay       time.Duration         // of responses
 }
 
 type storedValue struct {
@@ -54,7 +54,7 @@
 	expiresAt time.Time
 }
 
-// leaseCheckInterval is how often expired leases are looked for.
+// leaseCheckInterval is how often leases are checked for expiry.
 const leaseCheckInterval = 50 * time.Millisecond
 
 func newStore(w *world) (*fakeStore, error) {
@@ -85,7 +85,7 @@
 	return s.outage || s.faults.unavailableTo[client]
 }
 
-// setOutage begins or ends an outage; afterwards every lease has its full time again.
+// setOutage begins or ends an outage, and gives every lease its full TTL again.
 func (s *fakeStore) setOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +104,7 @@
 	s.notifyWatches()
 }
 
-// lowerLimits brings the announced limits into force.
+// lowerLimits applies the announced limits.
 func (s *fakeStore) lowerLimits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	s.notifyWatches()
 }
 
-// expireLeases ends leases that were not renewed; during an outage none can be.
+// expireLeases ends leases that were not renewed in time, but none during an outage, which prevents renewals.
 func (s *fakeStore) expireLeases() {
 	for s.world.sleep(leaseCheckInterval) {
 		s.mu.Lock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// endLease deletes a lease and what was written with it, each key with a revision of its own.
+// endLease deletes a lease and the keys written with it, each at a revision of its own.
 func (s *fakeStore) endLease(id uint64) {
 	delete(s.leases, id)
 	for key, stored := range s.values {
@@ -155,7 +155,7 @@
 	s.changed = make(chan struct{})
 }
 
-// changesSince is the latest change of each key after a revision.
+// changesSince returns the latest change of each key under a prefix after a revision.
 func (s *fakeStore) changesSince(prefix string, revision uint64) []kv.Event {
 	first, _ := slices.BinarySearchFunc(s.log, revision+1, func(change kv.Event, target uint64) int {
 		return cmp.Compare(change.ModRevision, target)
@@ -176,10 +176,10 @@
 	return changes
 }
 
-// changedKey is the key that an event is about: either of its two fields is empty.
+// changedKey returns the key of an event, which is in one of two fields while the other is empty.
 func changedKey(change kv.Event) string { return change.Set + change.Delete }
 
-// tokenBucket limits a rate, with bursts of one second's worth.
+// tokenBucket limits a rate, with bursts of up to one second's tokens.
 type tokenBucket struct {
 	level    float64
 	filledAt time.Time
--- a/internal/soak/store_http.go
+++ b/internal/soak/store_http.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	// lostRequestTime and lostAnswerTime are longer than a controller waits for the store.
+	// lostRequestTime and lostAnswerTime are how long such requests are held open: longer than a
+	// controller waits for the store.
 	lostRequestTime = 6 * time.Second
 	lostAnswerTime  = 3 * time.Second
-	// minCommitDelay and maxCommitDelay bound how late a transaction without an answer is carried out.
+	// minCommitDelay and maxCommitDelay bound the delay of a transaction that is applied late.
 	minCommitDelay, maxCommitDelay = 2 * time.Second, 8 * time.Second
-	// maxListPage keeps pages short, so that copies are read in several.
+	// maxListPage is the most keys in a page: few, so that controllers load their replicas in several pages.
 	maxListPage = 30
-	// minLeaseTTLMs is the shortest lease.
+	// minLeaseTTLMs is the shortest TTL of a lease, in milliseconds.
 	minLeaseTTLMs = 100
 )
 
-// handle answers one controller.
+// handle serves a request of one controller, subject to the store's faults.
 func (s *fakeStore) handle(ctx *fasthttp.RequestCtx, client int) {
 	s.mu.Lock()
 	lost, maxDelay := s.faults.requestsLost[client], s.faults.maxDelay
@@ -49,7 +50,7 @@
 	s.answer(ctx, path, client)
 }
 
-// answer answers at once, within the limits on requests.
+// answer serves a request without delay, within the limit on the request rate.
 func (s *fakeStore) answer(ctx *fasthttp.RequestCtx, path string, client int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +77,8 @@
 	}
 }
 
-// faultyCommit carries a transaction out late or without an answer, if the faults want it.
+// faultyCommit applies a transaction late or without a response if a fault is drawn for it, and
+// reports whether one was.
 func (s *fakeStore) faultyCommit(ctx *fasthttp.RequestCtx, client int) bool {
 	s.mu.Lock()
 	lateRate, lostRate, unavailable := s.faults.lateCommitRate, s.faults.lostAnswerRate, s.isUnavailable(client)
@@ -99,7 +101,8 @@
 	return true
 }
 
-// commitLate carries a transaction out that its author has given up, if the store takes it then.
+// commitLate applies a transaction that its sender has given up on, unless the store refuses the
+// sender by then.
 func (s *fakeStore) commitLate(body []byte, client int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +125,7 @@
 	Revision  uint64        `json:"ledgerRev"`
 }
 
-// list is the next page after a key.
+// list returns the next page after a key.
 func (s *fakeStore) list(prefix, since string) listBody {
 	page := listBody{Revision: s.revision, Items: []kv.KeyValue{}}
 	for _, key := range slices.Sorted(maps.Keys(s.values)) {
@@ -139,13 +142,13 @@
 	return page
 }
 
-// leaseBody asks for a lease, or tells the one that was given.
+// leaseBody is a request for a lease, or the response with the granted lease.
 type leaseBody struct {
 	ID    uint64 `json:"permit,omitempty"`
 	TTLMs int64  `json:"ttlMs,omitempty"`
 }
 
-// answerLease gives a lease, or ends or renews one; path is what follows the leases' own path.
+// answerLease grants, ends or renews a lease; path holds the path segments after /holds.
 func (s *fakeStore) answerLease(method string, path []string, body []byte) response {
 	if len(path) == 0 {
 		if method != http.MethodPost {
@@ -177,14 +180,14 @@
 	return response{http.StatusOK, leaseBody{ID: s.lastLeaseID}}
 }
 
-// watchBody is what has changed.
+// watchBody is the response to a watch: the changes, and the revision up to which it has them.
 type watchBody struct {
 	Revision uint64     `json:"ledgerRev"`
 	Events   []kv.Event `json:"news"`
 }
 
-// watch answers when something has changed, or the time that the controller gives is over. What it
-// tells is the latest of each key, in an order that is drawn: the protocol promises no other.
+// watch responds when a key has changed or the timeout in the request is over. It returns the latest
+// change of each key, in random order: the protocol promises no order.
 func (s *fakeStore) watch(ctx *fasthttp.RequestCtx, client int) {
 	query := ctx.QueryArgs()
 	prefix := string(query.Peek("under"))
@@ -204,8 +207,8 @@
 	}
 }
 
-// eventsSince is what a controller is told now, and a channel that is closed at the next change. To a
-// controller that is refused, nothing seems to have changed.
+// eventsSince returns the changes that a controller sees now, and a channel that is closed at the next
+// change. A controller whose requests are refused or lost sees no changes.
 func (s *fakeStore) eventsSince(prefix string, since uint64, client int) (watchBody, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,7 +218,7 @@
 	return watchBody{Revision: s.revision, Events: s.changesSince(prefix, since)}, s.changed
 }
 
-// awaitChange waits for a change, until a moment or the end of the run.
+// awaitChange waits for a change, at most until a given time or the end of the run.
 func (s *fakeStore) awaitChange(changed <-chan struct{}, until time.Time) {
 	timer := time.NewTimer(time.Until(until) + time.Millisecond)
 	defer timer.Stop()
--- a/internal/soak/store_txn.go
+++ b/internal/soak/store_txn.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxTxnBytes is the largest transaction that the store takes.
+	// maxTxnBytes is the size of the largest transaction that the store accepts.
 	maxTxnBytes = 64 << 10
 	// conditionsPerOperation is how many conditions a transaction may have per allowed operation.
 	conditionsPerOperation = 4
 )
 
-// revisionBody answers a transaction, or a question about a key that is not there.
+// revisionBody is the response to a transaction, or to a read of a key that does not exist.
 type revisionBody struct {
 	Revision   uint64   `json:"ledgerRev"`
 	FailedKeys []string `json:"failed,omitempty"`
 }
 
-// commit carries a transaction out if it is within the limits and its conditions are met.
+// commit applies a transaction if it is within the limits and its conditions are met.
 func (s *fakeStore) commit(body []byte) response {
 	var txn kv.Txn
 	if json.Unmarshal(body, &txn) != nil || len(body) > maxTxnBytes || !s.limits.allow(txn) {
@@ -42,7 +42,7 @@
 	return response{http.StatusOK, revisionBody{Revision: s.revision}}
 }
 
-// allow reports whether a transaction is small enough.
+// allow reports whether a transaction is within the limits on its size.
 func (l *storeLimits) allow(txn kv.Txn) bool {
 	if len(txn.Operations) > l.operations || len(txn.Conditions) > conditionsPerOperation*l.operations {
 		return false
@@ -50,7 +50,7 @@
 	return !slices.ContainsFunc(txn.Operations, func(operation kv.Operation) bool { return len(operation.Value) > l.valueBytes })
 }
 
-// failedConditions lists the keys that were changed since the transaction's author read them.
+// failedConditions lists the keys that were changed since the transaction's sender read them.
 func (s *fakeStore) failedConditions(txn kv.Txn) []string {
 	var failed []string
 	for _, condition := range txn.Conditions {
@@ -61,14 +61,14 @@
 	return failed
 }
 
-// leasesExist reports whether all leases that a transaction writes with are there.
+// leasesExist reports whether all leases that a transaction attaches to keys exist.
 func (s *fakeStore) leasesExist(txn kv.Txn) bool {
 	return !slices.ContainsFunc(txn.Operations, func(operation kv.Operation) bool {
 		return operation.LeaseID > 0 && s.leases[operation.LeaseID] == nil
 	})
 }
 
-// apply carries operations out at one new revision.
+// apply executes operations at one new revision.
 func (s *fakeStore) apply(operations []kv.Operation) {
 	s.revision++
 	for _, operation := range operations {
--- a/internal/soak/timeline_test.go
+++ b/internal/soak/timeline_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// timelineStamp is the time at the beginning of a merged line.
+// timelineStamp is the format of the time at the beginning of a merged line.
 const timelineStamp = "15:04:05.000000"
 
-// logTimeline merges the logs of a run, and logs its faults and where all else is.
+// logTimeline merges the logs of a run, and logs its faults and the directory with all files.
 func logTimeline(t *testing.T, seed uint64, dir string) {
 	t.Helper()
 	timeline, err := mergeLogs(dir)
@@ -24,7 +24,7 @@
 	t.Logf("logs, settings and the merged timeline are in %s", dir)
 }
 
-// mergeLogs writes all logs of a run in the order of their times, and returns the lines.
+// mergeLogs writes the lines of all logs of a run to timeline.txt, ordered by time, and returns them.
 func mergeLogs(dir string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
@@ -45,7 +45,8 @@
 	return lines, os.WriteFile(filepath.Join(dir, "timeline.txt"), []byte(strings.Join(lines, "\n")+"\n"), 0o600)
 }
 
-// timelineLine puts a log line's time and source first. A line without a time, as of a panic, stays as it is.
+// timelineLine puts a log line's time and source first. A line without a time, such as one of a panic,
+// is returned unchanged.
 func timelineLine(source, line string) string {
 	stamp, rest, _ := strings.Cut(strings.TrimPrefix(line, "time="), " ")
 	at, err := time.Parse(time.RFC3339Nano, stamp)
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// upgradeDelay is how long the version in production runs before it is replaced.
+// upgradeDelay is how long the production version runs before it is replaced.
 const upgradeDelay = 4 * time.Second
 
-// startRollingUpgrade replaces the version in production, one controller after the other.
+// startRollingUpgrade replaces the production version, one controller after the other.
 func (w *world) startRollingUpgrade() {
 	pause := w.rng.between(time.Second, 3*time.Second)
 	w.spawn(func() {
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// fakeUsers submit jobs at all controllers, repeat, ask and cancel, and tell the checker what they see.
+// fakeUsers simulates users, who submit, resubmit, poll and cancel jobs at all controllers. It reports
+// the responses to the checker.
 type fakeUsers struct {
 	world *world
 
 	mu        sync.Mutex
 	nextJob   int
 	jobs      map[string]*userJob
-	submitted []string // those that may be accepted, in order of their submission
+	submitted []string // IDs of the jobs that may be accepted, in order of their submission
 }
 
 const (
-	// recentJobs is how many of the latest jobs may be cancelled, repeated or needed by others.
+	// recentJobs is how many of the latest jobs may be cancelled, resubmitted or needed by others.
 	recentJobs = 25
-	// userCheckInterval is how often a user looks whether the job to be cancelled is accepted.
+	// userCheckInterval is how often cancel checks whether the job is accepted.
 	userCheckInterval = 50 * time.Millisecond
-	// finishCheckInterval is how often it is looked whether all jobs are over.
+	// finishCheckInterval is how often finish checks whether all jobs are over.
 	finishCheckInterval = 200 * time.Millisecond
-	// userRetryDelay is how soon a user repeats a request that got no answer.
+	// userRetryDelay is the delay before a user retries a request that did not succeed.
 	userRetryDelay = 500 * time.Millisecond
-	// minPollPause and maxPollPause bound how often users ask about a job.
+	// minPollPause and maxPollPause bound the pause between polls of a job.
 	minPollPause, maxPollPause = 700 * time.Millisecond, 1500 * time.Millisecond
-	// outcomePollPause is how much longer they wait when they know the outcome: they may ask again.
+	// outcomePollPause is the additional pause once the outcome is known, since users may poll again.
 	outcomePollPause = 3 * time.Second
 )
 
 func newUsers(w *world) *fakeUsers { return &fakeUsers{world: w, jobs: map[string]*userJob{}} }
 
-// job is a job that was submitted, or nil.
+// job returns a submitted job, or nil if there is none with this ID.
 func (u *fakeUsers) job(id string) *userJob {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.jobs[id]
 }
 
-// start has users at work for some time.
+// start runs the users' actions for a duration.
 func (u *fakeUsers) start(duration time.Duration) {
 	until := time.Now().Add(duration)
 	u.repeat(until, 150*time.Millisecond, 700*time.Millisecond, func() { u.submit(u.drawJob()) })
 	u.repeat(until, 300*time.Millisecond, 1500*time.Millisecond, func() {
-		if u.world.upgraded.Load() { // the version in production may not know dependencies
+		if u.world.upgraded.Load() { // the production version may not support dependencies
 			u.world.spawn(u.submitPipeline)
 		}
 	})
@@ -57,7 +58,7 @@
 	})
 }
 
-// repeat does something again and again until a moment, after pauses that are drawn.
+// repeat runs an action repeatedly until a given time, each time after a random pause.
 func (u *fakeUsers) repeat(until time.Time, minPause, maxPause time.Duration, action func()) {
 	u.world.spawn(func() {
 		for time.Now().Before(until) && u.world.sleep(u.thinkTime(minPause, maxPause)) {
@@ -66,12 +67,12 @@
 	})
 }
 
-// thinkTime draws a time between two of the users' doings. A larger fleet has more users.
+// thinkTime draws the pause between two user actions. It is shorter for a larger fleet, which has more users.
 func (u *fakeUsers) thinkTime(low, high time.Duration) time.Duration {
 	return u.world.rng.between(low, high) * usualWorkers / time.Duration(max(usualWorkers, u.world.opts.Workers))
 }
 
-// recentJob draws one of the latest jobs; empty: there is none.
+// recentJob draws the ID of one of the latest jobs, or returns "" if there is none.
 func (u *fakeUsers) recentJob() string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -81,7 +82,7 @@
 	return pick(u.world.rng, u.submitted[max(0, len(u.submitted)-recentJobs):]...)
 }
 
-// submit registers a job and sends it until it is accepted or refused, and asks about it from then on.
+// submit registers a job, sends it until it is accepted or rejected, and polls an accepted job from then on.
 func (u *fakeUsers) submit(job *userJob) {
 	job.body = newSubmission(job)
 	u.mu.Lock()
@@ -98,14 +99,14 @@
 	})
 }
 
-// sendUntilAnswered submits a job, again and again, and reports false when it is refused. It may be
-// that the run ends before.
+// sendUntilAnswered submits a job until it is accepted or rejected. It reports false if the job is
+// rejected, and true also if the run ends before.
 func (u *fakeUsers) sendUntilAnswered(job *userJob) bool {
 	for {
 		status, _ := u.request(SubmitRequest, job.facts.ID, job.body)
 		if isRejection(status) {
 			if job.facts.RejectReason == "" { // the run fails, since the job is never over
-				u.world.events.add("BROKEN %s is refused with %d", job.facts.ID, status)
+				u.world.events.add("BROKEN %s is rejected with status %d", job.facts.ID, status)
 			}
 			return false
 		}
@@ -123,7 +124,8 @@
 	}
 }
 
-// cancel asks to cancel a job, once it is accepted, until a user is told that it is over.
+// cancel requests the cancellation of a job once it is accepted, and retries until a response says that
+// the job is over.
 func (u *fakeUsers) cancel(id string) {
 	for !u.world.checker.Accepted(id) {
 		if !u.world.sleep(userCheckInterval) {
@@ -138,8 +140,8 @@
 	}
 }
 
-// finish cancels the services and waits until all jobs are over; it lists those that are not
-// in time.
+// finish cancels the services and waits until all jobs are over. It returns the jobs that are not over
+// within the timeout.
 func (u *fakeUsers) finish(timeout time.Duration) (unfinished []string) {
 	u.mu.Lock()
 	ids := slices.Clone(u.submitted)
@@ -153,7 +155,7 @@
 	for {
 		unfinished = u.unfinished(ids)
 		if len(unfinished) == 0 {
-			u.world.sleep(cancelDeadline + time.Second) // what was cancelled last must be gone as well
+			u.world.sleep(cancelDeadline + time.Second) // the tasks of the last cancelled job must be gone as well
 			u.world.checker.Finish()
 			return nil
 		}
--- a/internal/soak/users_jobs.go
+++ b/internal/soak/users_jobs.go
@@ -14,26 +14,26 @@
 	body    *submission
 }
 
-// Why jobs must not be accepted.
+// Reasons why a job must not be accepted.
 const (
 	fitsNoMachine RejectReason = "fits no machine"
-	lacksAField   RejectReason = "lacks a field"
+	lacksAField   RejectReason = "lacks a required field"
 )
 
-// Shares of jobs of a kind.
+// Shares of the kinds of jobs and pipelines.
 const (
 	serviceShare      = 0.12
 	fewTasksShare     = 0.4 // of job arrays
 	dependencyShare   = 0.2 // of job arrays
 	spotShare         = 0.5
-	cancelledPipeline = 0.5 // pipelines of which a job is cancelled
-	latePipelineEnd   = 0.3 // pipelines whose last job comes late
+	cancelledPipeline = 0.5 // of pipelines: a job of theirs is cancelled
+	latePipelineEnd   = 0.3 // of pipelines: their last job is submitted late
 )
 
 // Sizes of jobs.
 const (
 	fewTasks  = 3
-	sideTasks = 8 // of the jobs in the middle of a pipeline, at most
+	sideTasks = 8 // of each of the jobs in the middle of a pipeline
 	maxTasks  = 12
 	hugeCPUs  = 1000 // more than any machine has
 )
@@ -44,14 +44,14 @@
 	minPipelineRunTime, maxPipelineRunTime = 300 * time.Millisecond, 2 * time.Second
 )
 
-// pipelineCheckInterval is how often it is looked whether the jobs that the next one needs are accepted.
+// pipelineCheckInterval is how often awaitAccepted checks whether the jobs are accepted.
 const pipelineCheckInterval = 20 * time.Millisecond
 
-// submission is a job as the service takes it.
+// submission is the body of a request that submits a job.
 type submission struct {
 	ID                string   `json:"uid"`
 	Project           string   `json:"lot"`
-	Team              string   `json:"crew,omitempty"` // left out to be refused
+	Team              string   `json:"crew,omitempty"` // left out to provoke a rejection
 	Kind              string   `json:"cut"`
 	Grade             string   `json:"grade"`
 	Tasks             int      `json:"pieces"`
@@ -91,7 +91,7 @@
 	return body
 }
 
-// newJob draws a job of so many tasks.
+// newJob draws a job with the given number of tasks and run time.
 func (u *fakeUsers) newJob(tasks int, runTime time.Duration) *userJob {
 	u.mu.Lock()
 	u.nextJob++
@@ -107,7 +107,7 @@
 	}
 }
 
-// drawJob draws a job array or a service, now and then one that needs an earlier job.
+// drawJob draws a job array or a service. Some arrays need an earlier job.
 func (u *fakeUsers) drawJob() *userJob {
 	rng := u.world.rng
 	service := rng.chance(serviceShare)
@@ -125,7 +125,7 @@
 	return job
 }
 
-// drawDependency names an accepted job, which may be over or cancelled.
+// drawDependency returns the ID of an accepted recent job, which may be over or cancelled, or nil.
 func (u *fakeUsers) drawDependency() []string {
 	id := u.recentJob()
 	if id == "" || !u.world.checker.Accepted(id) || u.job(id).facts.Service || u.job(id).facts.RejectReason != "" {
@@ -134,8 +134,8 @@
 	return []string{id}
 }
 
-// drawPipeline draws jobs that need each other: one, two beside each other, one that joins them,
-// and a last one.
+// drawPipeline draws a pipeline of dependent jobs: one, two in parallel that need it, one that joins
+// them, and a last one.
 func (u *fakeUsers) drawPipeline() []*userJob {
 	rng := u.world.rng
 	job := func(most int) *userJob {
@@ -152,8 +152,8 @@
 	return []*userJob{first, left, right, join, last}
 }
 
-// submitPipeline submits a pipeline, each job as soon as those that it needs are accepted, and may
-// cancel one of them. The last may come when those that it needs are over.
+// submitPipeline submits a pipeline, each job as soon as its dependencies are accepted, and may cancel
+// one of them. The last job may be submitted late, when its dependencies are over.
 func (u *fakeUsers) submitPipeline() {
 	rng := u.world.rng
 	jobs := u.drawPipeline()
@@ -173,7 +173,7 @@
 	}
 }
 
-// awaitAccepted waits until jobs are accepted, and reports whether the run goes on.
+// awaitAccepted waits until all the jobs are accepted. It reports false if the run ends before.
 func (u *fakeUsers) awaitAccepted(ids []string) bool {
 	isOpen := func(id string) bool { return !u.world.checker.Accepted(id) }
 	for slices.ContainsFunc(ids, isOpen) {
@@ -184,7 +184,7 @@
 	return true
 }
 
-// sendUnusual asks about a job that is not there, repeats a submission, or submits a job that can't run.
+// sendUnusual polls an unknown job, repeats a submission, or submits a job that must be rejected.
 func (u *fakeUsers) sendUnusual() {
 	switch u.world.rng.intN(4) {
 	case 0:
--- a/internal/soak/users_requests.go
+++ b/internal/soak/users_requests.go
@@ -8,13 +8,13 @@
 const (
 	submissionsPath = "/submissions"
 	pollTimeout     = 2 * time.Second
-	changeTimeout   = 5 * time.Second // of requests that change something
+	changeTimeout   = 5 * time.Second // of submissions and cancellations
 )
 
-// isCancelled reports whether an answer to a cancellation tells that the job is over.
+// isCancelled reports whether this status of a response to a cancellation means that the job is over.
 func isCancelled(status int) bool { return status == http.StatusOK }
 
-// endpoint is how a request is sent.
+// endpoint returns the method, path and timeout of a request about a job.
 func (k RequestKind) endpoint(id string) (method, path string, timeout time.Duration) {
 	switch k {
 	case PollRequest:
@@ -26,7 +26,7 @@
 	}
 }
 
-// request sends a request to a controller that is ready, and tells the checker of the answer.
+// request sends a request to a ready controller and reports the response to the checker.
 func (u *fakeUsers) request(kind RequestKind, id string, body any) (status int, stage Stage) {
 	controller := u.readyController()
 	if controller == nil {
@@ -48,7 +48,7 @@
 	return status, answer.Stage
 }
 
-// readyController draws one of those that a load balancer would choose; nil: there is none.
+// readyController draws a controller that a load balancer would choose, or returns nil if there is none.
 func (u *fakeUsers) readyController() *controllerProcess {
 	var ready []*controllerProcess
 	for _, process := range u.world.controllers {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// Options are the size of a run.
+// Options are the parameters of a run.
 type Options struct {
 	Seed           uint64
-	Binary         string        // the controller to be tested
-	PreviousBinary string        // the version in production, which is upgraded to Binary; empty: none
+	Binary         string        // the controller under test
+	PreviousBinary string        // the production version, which is upgraded to Binary; empty: no upgrade
 	Workers        int           // machines that are up at the start
-	FaultTime      time.Duration // how long faults come
-	SettleTime     time.Duration // how long everything may take to end afterwards
+	FaultTime      time.Duration // how long faults are injected
+	SettleTime     time.Duration // how long all jobs may take to end afterwards
 	Dir            string        // for settings and logs
-	Instance       int           // distinguishes runs at the same time, for their addresses
+	Instance       int           // distinguishes the addresses of concurrent runs
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Observations
 	Unfinished []string      // jobs that were not over at the end
-	Exits      []string      // controllers that ended by themselves, crashed or complained
-	Stalled    time.Duration // how long the host gave this process no time, in all
+	Exits      []string      // crashes of controllers and fatal lines in their logs
+	Stalled    time.Duration // total time in which the host did not schedule this process
 }
 
-// world is one run: the controllers, their surroundings, and what is done to them.
+// world is the state of one run: the controllers, their stand-ins, and the faults.
 type world struct {
 	*background
 	opts        Options
@@ -47,7 +47,7 @@
 	duplicatePercent atomic.Int64
 }
 
-// Run plays one run and reports what was broken. It returns when all processes have ended.
+// Run executes one run and reports its violations and failures. It returns when all processes have ended.
 func Run(ctx context.Context, opts Options) (report *Report, err error) {
 	events, err := newEventLog(filepath.Join(opts.Dir, "events.log"))
 	if err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// play has users work while faults come, ends the faults, and waits until all jobs are over.
+// play runs the users' actions and the faults, ends the faults, and waits until all jobs are over.
 func (w *world) play() *Report {
 	stalls := &stallWatch{}
 	w.spawn(func() { stalls.run(w.background) })
@@ -144,7 +144,7 @@
 	return errors.Join(errs...)
 }
 
-// exits lists what controllers did that they must not: ends by themselves and complaints.
+// exits lists the crashes of all controllers and the fatal lines in their logs.
 func (w *world) exits() []string {
 	var failures []string
 	for _, process := range w.controllers {
