--- a/internal/soak/agent_heartbeats.go
+++ b/internal/soak/agent_heartbeats.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// heartbeat reports the machine's full state. Its tasks are in random order, since the protocol requires none.
+// heartbeat returns the machine's full state, with its tasks in no particular order: the protocol requires none.
 func (a *fakeAgent) heartbeat() agent.Heartbeat {
 	a.sequence++
 	heartbeat := agent.Heartbeat{
@@ -55,8 +55,8 @@
 	return heartbeat
 }
 
-// heartbeatAnswer is a controller's response: commands, or a redirect to the leader.
-type heartbeatAnswer struct {
+// heartbeatResponse is a controller's response: commands, or a redirect to the leader.
+type heartbeatResponse struct {
 	agent.HeartbeatResponse
 	agent.Redirect
 }
@@ -65,7 +65,7 @@
 func (a *fakeAgent) sendHeartbeat(outgoing outgoingHeartbeat) {
 	sentAt := time.Now()
 	a.maybeDuplicate(outgoing.body)
-	status, answer := a.exchange(outgoing)
+	status, response := a.exchange(outgoing)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
@@ -74,11 +74,11 @@
 	switch {
 	case a.removed || a.faults.isHung(now):
 	case status != http.StatusOK:
-		a.chooseController(status, answer.LeaderAddr, outgoing.controllerIndex)
-	case a.epoch == outgoing.body.Epoch && answer.FencingToken >= a.fencingToken:
-		a.raiseToken(answer.FencingToken)
+		a.chooseController(status, response.LeaderAddr, outgoing.controllerIndex)
+	case a.epoch == outgoing.body.Epoch && response.FencingToken >= a.fencingToken:
+		a.raiseToken(response.FencingToken)
 		a.leaseRenewedAt = sentAt
-		a.execute(answer.Commands)
+		a.execute(response.Commands)
 	}
 }
 
@@ -96,17 +96,17 @@
 }
 
 // exchange sends a heartbeat subject to the active faults and returns the response, if it gets through.
-func (a *fakeAgent) exchange(outgoing outgoingHeartbeat) (status int, answer heartbeatAnswer) {
+func (a *fakeAgent) exchange(outgoing outgoingHeartbeat) (status int, response heartbeatResponse) {
 	target := outgoing.controllerIndex
 	if outgoing.outboundLost || a.world.network.isCut(linkHeartbeats, target) {
 		a.world.sleep(lostHeartbeatTime)
-		return noAnswer, answer
+		return noResponse, response
 	}
-	status = a.world.controllers[target].post(heartbeatPath, outgoing.body, heartbeatTimeout, &answer)
-	if outgoing.inboundLost || a.world.network.isCut(linkHeartbeatAnswers, target) {
-		return noAnswer, answer
+	status = a.world.controllers[target].post(heartbeatPath, outgoing.body, heartbeatTimeout, &response)
+	if outgoing.inboundLost || a.world.network.isCut(linkHeartbeatResponses, target) {
+		return noResponse, response
 	}
-	return status, answer
+	return status, response
 }
 
 // chooseController selects the receiver of the next heartbeat: the leader that the response names, or
--- a/internal/soak/agent_http.go
+++ b/internal/soak/agent_http.go
@@ -36,7 +36,7 @@
 			ctx.SetStatusCode(http.StatusBadRequest)
 			return
 		}
-		status = a.obey(request)
+		status = a.handleCommands(request)
 	}
 	respond(ctx, response{status, a.heartbeat()})
 }
@@ -65,8 +65,8 @@
 	}
 }
 
-// obey executes commands, unless they have an older fencing token or are for another epoch.
-func (a *fakeAgent) obey(request agent.CommandRequest) (status int) {
+// handleCommands executes commands, unless they have an older fencing token or are for another epoch.
+func (a *fakeAgent) handleCommands(request agent.CommandRequest) (status int) {
 	if request.FencingToken < a.fencingToken || request.Epoch != a.epoch {
 		return http.StatusConflict
 	}
--- a/internal/soak/agent_tasks.go
+++ b/internal/soak/agent_tasks.go
@@ -12,7 +12,7 @@
 type agentTask struct {
 	id      string
 	jobID   string
-	num     int
+	index   int
 	attempt uint64
 	state   agent.TaskState
 	cause   agent.Cause
@@ -48,7 +48,7 @@
 	case agent.Running:
 		if !job.facts.Service {
 			a.endTask(task, agent.CauseDone)
-			a.world.checker.Completed(task.jobID, task.num)
+			a.world.checker.Completed(task.jobID, task.index)
 		}
 	case agent.Checkpointing:
 		a.endTask(task, agent.CauseStopped)
@@ -60,48 +60,48 @@
 // the stored result and completes at once.
 func (a *fakeAgent) beginTask(task *agentTask, now time.Time, runTime time.Duration) {
 	task.state, a.changed = agent.Running, true
-	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.num)
+	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.index)
 	a.world.events.add("task %s attempt %d starts on %s", task.id, task.attempt, a.listed.Name)
 	task.dueAt = now.Add(runTime)
-	if a.world.checker.IsCompleted(task.jobID, task.num) {
+	if a.world.checker.IsCompleted(task.jobID, task.index) {
 		task.dueAt = now
 	}
 }
 
 func (a *fakeAgent) endTask(task *agentTask, cause agent.Cause) {
-	a.noteStopped(task)
+	a.reportStopped(task)
 	task.state, task.cause, a.changed = agent.Ended, cause, true
 }
 
 // dropTasks ends all tasks and removes them, so that no heartbeat reports their end.
 func (a *fakeAgent) dropTasks() {
 	for id, task := range a.tasks {
-		a.noteStopped(task)
+		a.reportStopped(task)
 		delete(a.tasks, id)
 	}
 }
 
-func (a *fakeAgent) noteStopped(task *agentTask) {
+func (a *fakeAgent) reportStopped(task *agentTask) {
 	if task.isOnMachine() {
-		a.world.checker.TaskStopped(a.listed.Name, task.jobID, task.num)
+		a.world.checker.TaskStopped(a.listed.Name, task.jobID, task.index)
 	}
 }
 
 func (a *fakeAgent) execute(commands []agent.Command) {
 	for _, command := range commands {
 		task := a.tasks[command.Task]
-		same := task != nil && task.attempt == command.Attempt
+		sameAttempt := task != nil && task.attempt == command.Attempt
 		switch command.Action {
 		case agent.Start:
-			if !same {
+			if !sameAttempt {
 				a.startTask(command, task)
 			}
 		case agent.Stop:
-			if same && task.state != agent.Ended {
+			if sameAttempt && task.state != agent.Ended {
 				a.endTask(task, agent.CauseStopped)
 			}
 		case agent.Remove:
-			if same && task.state == agent.Ended {
+			if sameAttempt && task.state == agent.Ended {
 				delete(a.tasks, command.Task)
 				a.changed = true
 			}
@@ -115,13 +115,13 @@
 		return
 	}
 	jobID, digits, _ := strings.Cut(command.Task, "/")
-	num, err := strconv.Atoi(digits)
+	index, err := strconv.Atoi(digits)
 	if err != nil {
 		return
 	}
-	task := &agentTask{id: command.Task, jobID: jobID, num: num, attempt: command.Attempt, state: agent.Pulling}
+	task := &agentTask{id: command.Task, jobID: jobID, index: index, attempt: command.Attempt, state: agent.Pulling}
 	task.dueAt = time.Now().Add(a.world.rng.between(minPullTime, maxPullTime))
-	if cause := a.refusalCause(jobID, num); cause != "" {
+	if cause := a.refusalCause(jobID, index); cause != "" {
 		task.state, task.cause = agent.Ended, cause
 	}
 	a.tasks[command.Task] = task
@@ -129,10 +129,10 @@
 }
 
 // refusalCause returns why a task can't start on the machine, or "" if it can.
-func (a *fakeAgent) refusalCause(jobID string, num int) agent.Cause {
+func (a *fakeAgent) refusalCause(jobID string, index int) agent.Cause {
 	job := a.world.users.job(jobID)
 	switch {
-	case job == nil || num >= job.facts.Tasks:
+	case job == nil || index >= job.facts.Tasks:
 		return causeNoSuchTask
 	case a.usedCPUs()+job.facts.CPUs > machineCPUs+cpuRounding:
 		return causeNoCapacity
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -57,9 +57,9 @@
 type Observations struct {
 	Violations   []Violation
 	Jobs         int
-	Answers      int // responses to users
+	Responses    int // responses to users
 	TasksStarted int
-	LateStarts   int // of these, starts after a user was told that the job is cancelled
+	LateStarts   int // of TasksStarted, those after a user was told that the job is cancelled
 }
 
 // JobFacts is what the checker needs to know about a job.
@@ -102,7 +102,7 @@
 	}
 }
 
-func (c *Checker) violate(rule Rule, format string, args ...any) {
+func (c *Checker) reportViolation(rule Rule, format string, args ...any) {
 	violation := Violation{At: c.clock(), Rule: rule, Detail: fmt.Sprintf(format, args...)}
 	c.observations.Violations = append(c.observations.Violations, violation)
 	c.onViolation(violation)
--- a/internal/soak/checker_answers.go
+++ b/internal/soak/checker_answers.go
@@ -59,8 +59,9 @@
 	outcome  Stage
 }
 
-// BeforeRequest is called just before a request about a job is sent. Its result is passed to Answered:
-// responses can overtake each other, so each is checked against what was known before its request.
+// BeforeRequest is called just before a request about a job is sent. Its result is passed to
+// ResponseReceived: responses can overtake each other, so each is checked against what was known before
+// its request.
 func (c *Checker) BeforeRequest(id string) KnownBefore {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,34 +72,34 @@
 	return known
 }
 
-// Answered is called with each response to a user.
-func (c *Checker) Answered(kind RequestKind, id string, status int, stage Stage, known KnownBefore) {
+// ResponseReceived is called with each response to a user.
+func (c *Checker) ResponseReceived(kind RequestKind, id string, status int, stage Stage, known KnownBefore) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.observations.Answers++
+	c.observations.Responses++
 	job := c.jobs[id]
 	switch {
 	case job == nil && isSuccess(status):
-		c.violate(RuleInvented, "%s was never submitted, but is reported as %q", id, stage)
+		c.reportViolation(RuleInvented, "%s was never submitted, but is reported as %q", id, stage)
 	case job == nil:
 	case isSuccess(status):
 		c.stageReported(job, stage, known)
 	case status == http.StatusNotFound && known.accepted:
-		c.violate(RuleForgotten, "%s was accepted, but a %s request gets 404", id, kind)
+		c.reportViolation(RuleForgotten, "%s was accepted, but a %s request gets 404", id, kind)
 	case isRejection(status) && kind == SubmitRequest && known.accepted:
-		c.violate(RuleForgotten, "%s was accepted, but a repeated submission gets %d", id, status)
+		c.reportViolation(RuleForgotten, "%s was accepted, but a repeated submission gets %d", id, status)
 	}
 }
 
 func (c *Checker) stageReported(job *jobHistory, stage Stage, known KnownBefore) {
 	if job.RejectReason != "" {
-		c.violate(RuleAcceptedBad, "%s was accepted, although it %s", job.ID, job.RejectReason)
+		c.reportViolation(RuleAcceptedBad, "%s was accepted, although it %s", job.ID, job.RejectReason)
 	}
 	if !job.accepted {
 		job.accepted, job.acceptedAt = true, c.clock()
 	}
 	if known.outcome != "" && stage != known.outcome {
-		c.violate(RuleWentBack, "%s was reported as %s and is now reported as %s", job.ID, known.outcome, stage)
+		c.reportViolation(RuleWentBack, "%s was reported as %s and is now reported as %s", job.ID, known.outcome, stage)
 	}
 	switch stage {
 	case StageDone:
@@ -108,7 +109,7 @@
 	case StagePending, StageRunning:
 		c.checkOpen(job, stage, known)
 	default:
-		c.violate(RuleMalformed, "%s is reported with the unknown stage %q", job.ID, stage)
+		c.reportViolation(RuleMalformed, "%s is reported with the unknown stage %q", job.ID, stage)
 	}
 	if stage.isOutcome() && job.outcome == "" {
 		job.outcome = stage
@@ -117,13 +118,13 @@
 
 func (c *Checker) checkDone(job *jobHistory) {
 	if len(job.completed) < job.Tasks {
-		c.violate(RuleNotDone, "%s is reported as done with %d of %d tasks completed", job.ID, len(job.completed), job.Tasks)
+		c.reportViolation(RuleNotDone, "%s is reported as done with %d of %d tasks completed", job.ID, len(job.completed), job.Tasks)
 	}
 }
 
 func (c *Checker) checkCancelled(job *jobHistory) {
 	if !c.mayBeCancelled(job) {
-		c.violate(RuleWentBack, "%s is reported as cancelled, but no user cancelled it or a job that it needs", job.ID)
+		c.reportViolation(RuleWentBack, "%s is reported as cancelled, but no user cancelled it or a job that it needs", job.ID)
 	}
 	if !job.cancelled {
 		job.cancelled, job.cancelledAt = true, c.clock()
@@ -135,7 +136,7 @@
 func (c *Checker) checkOpen(job *jobHistory, stage Stage, known KnownBefore) {
 	cancelledAt, cancelled := c.dependencyCancelledAt(job)
 	if cancelled && known.at > max(cancelledAt, job.acceptedAt)+c.cancelDeadline {
-		c.violate(RuleOrphaned, "%s is reported as %s to a request sent %.2f s after a user was told that a job that it needs is cancelled",
+		c.reportViolation(RuleOrphaned, "%s is reported as %s to a request sent %.2f s after a user was told that a job that it needs is cancelled",
 			job.ID, stage, (known.at - cancelledAt).Seconds())
 	}
 }
--- a/internal/soak/checker_deadlines.go
+++ b/internal/soak/checker_deadlines.go
@@ -36,7 +36,7 @@
 		at, cancelled := c.cancelledAt(job)
 		if cancelled && c.clock() > at+c.cancelDeadline {
 			job.deadlineReported = true
-			c.violate(RuleRanCancelled, "%s has tasks on %v %.2f s after a user was told that it is cancelled", id, machinesOf(job), (c.clock() - at).Seconds())
+			c.reportViolation(RuleRanCancelled, "%s has tasks on %v %.2f s after a user was told that it is cancelled", id, machinesOf(job), (c.clock() - at).Seconds())
 		}
 	}
 }
@@ -47,11 +47,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.observations.TasksStarted == 0 {
-		c.violate(RuleNothingRan, "no task was started in the whole run")
+		c.reportViolation(RuleNothingRan, "no task was started in the whole run")
 	}
 	for _, id := range slices.Sorted(maps.Keys(c.jobs)) {
 		if job := c.jobs[id]; job.outcome != "" && len(job.machines) > 0 {
-			c.violate(RuleOrphaned, "%s is %s, but still has tasks on %v", id, job.outcome, machinesOf(job))
+			c.reportViolation(RuleOrphaned, "%s is %s, but still has tasks on %v", id, job.outcome, machinesOf(job))
 		}
 	}
 }
--- a/internal/soak/checker_test.go
+++ b/internal/soak/checker_test.go
@@ -24,33 +24,33 @@
 	return h
 }
 
-func (h *history) answer(kind RequestKind, id string, status int, stage Stage) *history {
-	h.checker.Answered(kind, id, status, stage, h.checker.BeforeRequest(id))
+func (h *history) respond(kind RequestKind, id string, status int, stage Stage) *history {
+	h.checker.ResponseReceived(kind, id, status, stage, h.checker.BeforeRequest(id))
 	return h
 }
 
 func (h *history) accept(id string) *history {
-	return h.answer(SubmitRequest, id, http.StatusCreated, StagePending)
+	return h.respond(SubmitRequest, id, http.StatusCreated, StagePending)
 }
 
 func (h *history) cancel(id string) *history {
 	h.checker.CancelRequested(id)
-	return h.answer(CancelRequest, id, http.StatusOK, StageCancelled)
+	return h.respond(CancelRequest, id, http.StatusOK, StageCancelled)
 }
 
-func (h *history) started(id string, num int, machine string) *history {
-	h.checker.TaskStarted(machine, "north", false, id, num)
+func (h *history) started(id string, index int, machine string) *history {
+	h.checker.TaskStarted(machine, "north", false, id, index)
 	return h
 }
 
-func (h *history) stopped(id string, num int, machine string) *history {
-	h.checker.TaskStopped(machine, id, num)
+func (h *history) stopped(id string, index int, machine string) *history {
+	h.checker.TaskStopped(machine, id, index)
 	return h
 }
 
-func (h *history) complete(id string, num int, machine string) *history {
-	h.stopped(id, num, machine)
-	h.checker.Completed(id, num)
+func (h *history) complete(id string, index int, machine string) *history {
+	h.stopped(id, index, machine)
+	h.checker.Completed(id, index)
 	return h
 }
 
@@ -65,7 +65,7 @@
 type checkerCase struct {
 	name string
 	rule Rule // as it is printed; empty: none is broken
-	play func(h *history)
+	run  func(h *history)
 }
 
 // testChecker runs each history against a checker of its own.
@@ -75,7 +75,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := &history{checker: NewChecker(limit, map[string]float64{"red": 4})}
 			h.checker.clock = func() time.Duration { return h.at }
-			tc.play(h)
+			tc.run(h)
 			violations := h.checker.Observations().Violations
 			caught := slices.ContainsFunc(violations, func(violation Violation) bool { return violation.Rule == tc.rule })
 			if tc.rule == "" && len(violations) > 0 || tc.rule != "" && !caught {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestCheckerPlacement tests that the rules on tasks on machines report a history that breaks them, and
-// accept one that only just keeps them.
+// TestCheckerPlacement tests that the rules on task placement catch a history that breaks them, and pass
+// one that only just keeps them.
 func TestCheckerPlacement(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"twice", "ran_twice", func(h *history) { h.job(JobFacts{ID: "a"}).started("a", 0, "m").started("a", 0, "n") }},
@@ -110,8 +110,8 @@
 	})
 }
 
-// TestCheckerCancellation tests that the rules on tasks after a cancellation report a history that breaks
-// them, and accept one that only just keeps them.
+// TestCheckerCancellation tests that the rules on tasks after a cancellation catch a history that breaks
+// them, and pass one that only just keeps them.
 func TestCheckerCancellation(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"goes on after cancellation", "ran_cancelled", func(h *history) {
@@ -140,8 +140,8 @@
 	})
 }
 
-// TestCheckerDependencies tests that the rules on jobs with dependencies report a history that breaks
-// them, and accept one that only just keeps them.
+// TestCheckerDependencies tests that the rules on jobs with dependencies catch a history that breaks
+// them, and pass one that only just keeps them.
 func TestCheckerDependencies(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"starts before what it needs", "too_early", func(h *history) {
@@ -152,20 +152,20 @@
 		}},
 		{"called pending after what it needs was cancelled", "orphaned", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("a").wait(late).answer(PollRequest, "b", http.StatusOK, StagePending)
+			h.cancel("a").wait(late).respond(PollRequest, "b", http.StatusOK, StagePending)
 		}},
 		{"called pending through another", "orphaned", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
 			h.job(JobFacts{ID: "c", Needs: []string{"b"}}).accept("c")
-			h.cancel("a").wait(late).answer(PollRequest, "c", http.StatusOK, StageRunning)
+			h.cancel("a").wait(late).respond(PollRequest, "c", http.StatusOK, StageRunning)
 		}},
 		{"called pending in time", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("a").wait(early).answer(PollRequest, "b", http.StatusOK, StagePending).answer(PollRequest, "b", http.StatusOK, StageCancelled)
+			h.cancel("a").wait(early).respond(PollRequest, "b", http.StatusOK, StagePending).respond(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
 		{"cancelled with what it needs", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("a").answer(PollRequest, "b", http.StatusOK, StageCancelled)
+			h.cancel("a").respond(PollRequest, "b", http.StatusOK, StageCancelled)
 		}},
 		{"starts before one of two that it needs", "too_early", func(h *history) {
 			h.job(JobFacts{ID: "a"}).job(JobFacts{ID: "b", Tasks: 2}).job(JobFacts{ID: "c", Needs: []string{"a", "b"}})
@@ -177,52 +177,52 @@
 		}},
 		{"called pending after what needs it was cancelled", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").job(JobFacts{ID: "b", Needs: []string{"a"}}).accept("b")
-			h.cancel("b").wait(late).answer(PollRequest, "a", http.StatusOK, StagePending)
+			h.cancel("b").wait(late).respond(PollRequest, "a", http.StatusOK, StagePending)
 		}},
 	})
 }
 
-// TestCheckerAnswers tests that the rules on responses to users report a history that breaks them, and
-// accept one that only just keeps them.
+// TestCheckerAnswers tests that the rules on responses to users catch a history that breaks them, and
+// pass one that only just keeps them.
 func TestCheckerAnswers(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"accepted and 404", "forgotten", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusNotFound, "")
+			h.job(JobFacts{ID: "a"}).accept("a").respond(PollRequest, "a", http.StatusNotFound, "")
 		}},
 		{"404 before it is accepted", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).answer(PollRequest, "a", http.StatusNotFound, "").accept("a")
+			h.job(JobFacts{ID: "a"}).respond(PollRequest, "a", http.StatusNotFound, "").accept("a")
 		}},
 		{"repeat refused", "forgotten", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
+			h.job(JobFacts{ID: "a"}).accept("a").respond(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
 		}},
 		{"refused at first", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
+			h.job(JobFacts{ID: "a"}).respond(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
 		}},
-		{"of nobody", "invented", func(h *history) { h.answer(PollRequest, "x", http.StatusOK, StagePending) }},
-		{"of nobody, 404", "", func(h *history) { h.answer(PollRequest, "x", http.StatusNotFound, "") }},
+		{"of nobody", "invented", func(h *history) { h.respond(PollRequest, "x", http.StatusOK, StagePending) }},
+		{"of nobody, 404", "", func(h *history) { h.respond(PollRequest, "x", http.StatusNotFound, "") }},
 		{"done too soon", "not_done", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusOK, StageDone)
+			h.job(JobFacts{ID: "a"}).accept("a").respond(PollRequest, "a", http.StatusOK, StageDone)
 		}},
 		{"done", "", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m").answer(PollRequest, "a", http.StatusOK, StageDone)
+			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m").respond(PollRequest, "a", http.StatusOK, StageDone)
 		}},
 		{"done and pending", "went_back", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a").started("a", 0, "m").complete("a", 0, "m")
-			h.answer(PollRequest, "a", http.StatusOK, StageDone).answer(PollRequest, "a", http.StatusOK, StagePending)
+			h.respond(PollRequest, "a", http.StatusOK, StageDone).respond(PollRequest, "a", http.StatusOK, StagePending)
 		}},
 		{"cancelled by nobody", "went_back", func(h *history) {
-			h.job(JobFacts{ID: "a"}).accept("a").answer(PollRequest, "a", http.StatusOK, StageCancelled)
+			h.job(JobFacts{ID: "a"}).accept("a").respond(PollRequest, "a", http.StatusOK, StageCancelled)
 		}},
 		{"overtaken answer", "", func(h *history) {
 			h.job(JobFacts{ID: "a"}).accept("a")
 			known := h.checker.BeforeRequest("a")
-			h.cancel("a").checker.Answered(PollRequest, "a", http.StatusOK, StagePending, known)
+			h.cancel("a").checker.ResponseReceived(PollRequest, "a", http.StatusOK, StagePending, known)
 		}},
 		{"accepted though it can't run", "accepted_bad", func(h *history) { h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).accept("a") }},
 		{"refused since it can't run", "", func(h *history) {
-			h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).answer(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
+			h.job(JobFacts{ID: "a", RejectReason: "fits no machine"}).respond(SubmitRequest, "a", http.StatusUnprocessableEntity, "")
 		}},
-		{"no stage", "malformed", func(h *history) { h.job(JobFacts{ID: "a"}).answer(SubmitRequest, "a", http.StatusCreated, "") }},
+		{"no stage", "malformed", func(h *history) { h.job(JobFacts{ID: "a"}).respond(SubmitRequest, "a", http.StatusCreated, "") }},
 	})
 }
 
--- a/internal/soak/controller.go
+++ b/internal/soak/controller.go
@@ -106,12 +106,12 @@
 	if p.killRequested || p.world.isStopped() {
 		return
 	}
-	p.noteCrash("%s exited by itself: %v", p.name, err)
+	p.recordCrash("%s exited by itself: %v", p.name, err)
 	p.world.after(crashRestartDelay, p.startAgain)
 }
 
-// noteCrash records a failure of the process, which fails the run.
-func (p *controllerProcess) noteCrash(format string, args ...any) {
+// recordCrash records a failure of the process, which fails the run.
+func (p *controllerProcess) recordCrash(format string, args ...any) {
 	line := fmt.Sprintf(format, args...)
 	p.crashes = append(p.crashes, line)
 	p.world.events.add("BROKEN %s", line)
@@ -122,7 +122,7 @@
 	if err := p.start(); err != nil {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.noteCrash("%v", err)
+		p.recordCrash("%v", err)
 	}
 }
 
@@ -195,7 +195,7 @@
 	p.mu.Lock()
 	found := slices.Clone(p.crashes)
 	p.mu.Unlock()
-	return append(found, p.complaints(maxFailures-len(found))...)
+	return append(found, p.fatalLogLines(maxFailures-len(found))...)
 }
 
 // probe polls the controller's readiness, as a load balancer does.
--- a/internal/soak/controller_client.go
+++ b/internal/soak/controller_client.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// noAnswer is the status of a request without a response.
-	noAnswer = 0
+	// noResponse is the status of a request without a response.
+	noResponse = 0
 
 	probeInterval = 300 * time.Millisecond
 	probeTimeout  = time.Second
@@ -26,12 +26,12 @@
 }
 
 // post sends a POST request; see call.
-func (p *controllerProcess) post(path string, body any, timeout time.Duration, answer any) int {
-	return p.call(http.MethodPost, path, body, timeout, answer)
+func (p *controllerProcess) post(path string, body any, timeout time.Duration, result any) int {
+	return p.call(http.MethodPost, path, body, timeout, result)
 }
 
-// call sends a request, decodes the response body into answer unless that is nil, and returns the status.
-func (p *controllerProcess) call(method, path string, body any, timeout time.Duration, answer any) int {
+// call sends a request, decodes the response body into result unless that is nil, and returns the status.
+func (p *controllerProcess) call(method, path string, body any, timeout time.Duration, result any) int {
 	request, reply := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(reply)
@@ -45,11 +45,11 @@
 		request.SetBody(raw)
 	}
 	if p.client.DoTimeout(request, reply, timeout) != nil {
-		return noAnswer
+		return noResponse
 	}
-	if answer != nil && len(reply.Body()) > 0 {
+	if result != nil && len(reply.Body()) > 0 {
 		// A body that is not JSON leaves the result empty: the checker reports an empty stage.
-		_ = json.Unmarshal(reply.Body(), answer)
+		_ = json.Unmarshal(reply.Body(), result)
 	}
 	return reply.StatusCode()
 }
--- a/internal/soak/controller_log.go
+++ b/internal/soak/controller_log.go
@@ -16,11 +16,11 @@
 	maxLogLineBytes = 1 << 20
 )
 
-// fatalLogLines are texts that a log must not contain: crashes, data races and broken invariants.
-var fatalLogLines = []string{"panic: ", "fatal error: ", "DATA RACE", "invariant violated"}
+// fatalLogPatterns are texts that a log must not contain: crashes, data races and broken invariants.
+var fatalLogPatterns = []string{"panic: ", "fatal error: ", "DATA RACE", "invariant violated"}
 
-// complaints lists the first fatal lines in the log, up to limit, and the error if the log can't be read.
-func (p *controllerProcess) complaints(limit int) []string {
+// fatalLogLines lists the first fatal lines in the log, up to limit, and the error if the log can't be read.
+func (p *controllerProcess) fatalLogLines(limit int) []string {
 	found, err := findLines(p.logFile.Name(), limit, isFatal)
 	for i, line := range found {
 		found[i] = p.name + ": " + line
@@ -32,7 +32,7 @@
 }
 
 func isFatal(line string) bool {
-	return slices.ContainsFunc(fatalLogLines, func(fatal string) bool { return strings.Contains(line, fatal) })
+	return slices.ContainsFunc(fatalLogPatterns, func(fatal string) bool { return strings.Contains(line, fatal) })
 }
 
 // findLines returns the first lines of a file that match, up to a limit.
--- a/internal/soak/deployment.go
+++ b/internal/soak/deployment.go
@@ -47,9 +47,9 @@
 	announcedLimits = storeLimits{operationsPerSecond: 40, requestsPerSecond: 400, valueBytes: 2 << 10, operations: 6}
 )
 
-// usualWorkers is the number of machines for which the store's limits and the pauses between
+// baseWorkers is the number of machines for which the store's limits and the pauses between
 // submissions are set. A larger fleet has more users, so rates rise and pauses shrink in proportion.
-const usualWorkers = 20
+const baseWorkers = 20
 
 // Host numbers of a run, from which address derives IP addresses. Each is the first of its kind.
 const (
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -8,7 +8,7 @@
 	begin func(w *world, duration time.Duration)
 }
 
-// faultKinds are all kinds of faults. A seed draws them by index, so their order must not change.
+// faultKinds are all kinds of faults. A seed draws them by index, so a new order changes a seed's faults.
 var faultKinds = []faultKind{
 	{"a controller is killed", (*world).killController},
 	{"a controller is killed twice", (*world).killControllerTwice},
@@ -21,12 +21,12 @@
 	{"a controller loses the key-value store and its peers", (*world).isolateController},
 	{"a controller loses its peers", (*world).cutPeers},
 	{"heartbeats do not reach a controller", (*world).cutHeartbeats},
-	{"answers to heartbeats are lost", (*world).cutHeartbeatAnswers},
-	{"answers to users are lost", (*world).cutUserAnswers},
+	{"responses to heartbeats are lost", (*world).cutHeartbeatResponses},
+	{"responses to users are lost", (*world).cutUserResponses},
 	{"transactions are applied late", (*world).commitLate},
-	{"answers to transactions are lost", (*world).loseCommitAnswers},
+	{"responses to transactions are lost", (*world).loseCommitResponses},
 	{"the key-value store is slow", (*world).slowStore},
-	{"heartbeats are duplicated, late", (*world).duplicateHeartbeats},
+	{"heartbeats are duplicated with a delay", (*world).duplicateHeartbeats},
 	{"commands are delayed", (*world).delayCommands},
 	{"machines hang and jobs are cancelled", (*world).hangMachines},
 	{"machines are unreachable inbound", (*world).loseInbound},
@@ -66,13 +66,13 @@
 	w.network.cutFor(linkHeartbeats, w.randomController().index, duration)
 }
 
-func (w *world) cutHeartbeatAnswers(duration time.Duration) {
-	w.network.cutFor(linkHeartbeatAnswers, w.randomController().index, duration)
+func (w *world) cutHeartbeatResponses(duration time.Duration) {
+	w.network.cutFor(linkHeartbeatResponses, w.randomController().index, duration)
 }
 
-// cutUserAnswers lasts half as long as the drawn duration, unlike the other faults.
-func (w *world) cutUserAnswers(duration time.Duration) {
-	w.network.cutFor(linkUserAnswers, w.randomController().index, duration/2)
+// cutUserResponses lasts half as long as the drawn duration, unlike the other faults.
+func (w *world) cutUserResponses(duration time.Duration) {
+	w.network.cutFor(linkUserResponses, w.randomController().index, duration/2)
 }
 
 const duplicatedHeartbeatPercent = 30
--- a/internal/soak/faults_store.go
+++ b/internal/soak/faults_store.go
@@ -50,10 +50,10 @@
 		func(faults *storeFaults) { faults.lateCommitRate = 0 })
 }
 
-func (w *world) loseCommitAnswers(duration time.Duration) {
+func (w *world) loseCommitResponses(duration time.Duration) {
 	w.storeFaultDuring(duration,
-		func(faults *storeFaults) { faults.lostAnswerRate = storeFaultRate },
-		func(faults *storeFaults) { faults.lostAnswerRate = 0 })
+		func(faults *storeFaults) { faults.lostResponseRate = storeFaultRate },
+		func(faults *storeFaults) { faults.lostResponseRate = 0 })
 }
 
 func (w *world) slowStore(duration time.Duration) {
--- a/internal/soak/httpserver.go
+++ b/internal/soak/httpserver.go
@@ -66,12 +66,12 @@
 	body   any
 }
 
-func respond(ctx *fasthttp.RequestCtx, answer response) {
-	ctx.SetStatusCode(answer.status)
-	if answer.body == nil {
+func respond(ctx *fasthttp.RequestCtx, resp response) {
+	ctx.SetStatusCode(resp.status)
+	if resp.body == nil {
 		return
 	}
-	raw, err := json.Marshal(answer.body)
+	raw, err := json.Marshal(resp.body)
 	if err != nil {
 		ctx.SetStatusCode(http.StatusInternalServerError)
 		return
--- a/internal/soak/network.go
+++ b/internal/soak/network.go
@@ -12,10 +12,10 @@
 type linkKind int
 
 const (
-	linkHeartbeats       linkKind = iota // agents' heartbeats to the controller
-	linkHeartbeatAnswers                 // the controller's responses to them
-	linkUserAnswers                      // the controller's responses to users
-	linkPeers                            // heartbeats from and to other controllers
+	linkHeartbeats         linkKind = iota // agents' heartbeats to the controller
+	linkHeartbeatResponses                 // the controller's responses to them
+	linkUserResponses                      // the controller's responses to users
+	linkPeers                              // heartbeats from and to other controllers
 )
 
 // link is one kind of messages at one controller.
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -43,8 +43,8 @@
 	return drawn
 }
 
-// playSchedule starts the faults at their times. Each fault ends by itself; heal ends those that are left.
-func (w *world) playSchedule(planned schedule) {
+// startSchedule starts the faults at their times. Each fault ends by itself; heal ends those that are left.
+func (w *world) startSchedule(planned schedule) {
 	for _, next := range planned.faults {
 		w.after(next.at, func() {
 			w.events.add("fault: %s for %v", next.fault.name, next.duration.Round(time.Millisecond))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -31,7 +31,7 @@
 		t.Log("not run: the upgrade from the production version, which is missing in this repository's history")
 	}
 	options := Options{
-		Binary: binary, Workers: envNumber(t, "SOAK_WORKERS", usualWorkers),
+		Binary: binary, Workers: envNumber(t, "SOAK_WORKERS", baseWorkers),
 		FaultTime: envSeconds(t, "SOAK_S", 25), SettleTime: envSeconds(t, "SOAK_CALM_S", 75),
 	}
 	scaleLimits(options.Workers)
@@ -56,7 +56,7 @@
 	})
 }
 
-// soak executes one run, and fails with all of its failures.
+// soak executes one run and reports its failures as test errors.
 func soak(t *testing.T, opts Options) {
 	t.Helper()
 	// Not t.TempDir: the directory is kept when the run fails.
@@ -75,31 +75,31 @@
 	}
 	t.Logf("seed %d, %d machines, upgrade from production %v: %.0f s, %d jobs, %d responses, "+
 		"%d tasks started, %d of them after their job was reported as cancelled; the host was stalled for %v",
-		opts.Seed, opts.Workers, opts.PreviousBinary != "", time.Since(startedAt).Seconds(), report.Jobs, report.Answers,
+		opts.Seed, opts.Workers, opts.PreviousBinary != "", time.Since(startedAt).Seconds(), report.Jobs, report.Responses,
 		report.TasksStarted, report.LateStarts, report.Stalled.Round(time.Millisecond))
-	broken := brokenLines(report)
-	if len(broken) == 0 {
+	failures := failureLines(report)
+	if len(failures) == 0 {
 		if err := os.RemoveAll(dir); err != nil {
 			t.Error(err)
 		}
 		return
 	}
 	if report.Stalled > maxJudgedStall && onlyTimedRulesBroken(report) {
-		t.Skipf("NOT JUDGED: the host was stalled for %v, and only time-based checks failed: %v; logs in %s", report.Stalled, broken, dir)
+		t.Skipf("NOT JUDGED: the host was stalled for %v, and only time-based checks failed: %v; logs in %s", report.Stalled, failures, dir)
 	}
-	for _, line := range broken {
+	for _, line := range failures {
 		t.Error(line)
 	}
 	logTimeline(t, opts.Seed, dir)
 }
 
-// brokenLines lists everything that fails a run.
-func brokenLines(report *Report) []string {
+// failureLines lists everything that fails a run.
+func failureLines(report *Report) []string {
 	var lines []string
 	for _, violation := range report.Violations {
 		lines = append(lines, violation.String())
 	}
-	lines = append(lines, report.Exits...)
+	lines = append(lines, report.ControllerFailures...)
 	for _, id := range report.Unfinished {
 		lines = append(lines, "job not over at the end: "+id)
 	}
@@ -116,13 +116,13 @@
 // onlyTimedRulesBroken reports whether a stall of the host may explain everything that fails a run.
 func onlyTimedRulesBroken(report *Report) bool {
 	isUntimed := func(violation Violation) bool { return !slices.Contains(timedRules, violation.Rule) }
-	return len(report.Exits) == 0 && !slices.ContainsFunc(report.Violations, isUntimed)
+	return len(report.ControllerFailures) == 0 && !slices.ContainsFunc(report.Violations, isUntimed)
 }
 
 // scaleLimits raises the key-value store's rates for a larger fleet, which has more users. The load of
 // a run must stay within what the deployment can take, or else jobs would not end in time.
 func scaleLimits(machines int) {
-	factor := max(1, float64(machines)/usualWorkers)
+	factor := max(1, float64(machines)/baseWorkers)
 	for _, limits := range []*storeLimits{&currentLimits, &announcedLimits} {
 		limits.operationsPerSecond *= factor
 		limits.requestsPerSecond *= factor
@@ -130,11 +130,11 @@
 }
 
 // envNumber returns the integer in an environment variable, or the default if it is not set.
-func envNumber(t *testing.T, name string, usual int) int {
+func envNumber(t *testing.T, name string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return usual
+		return defaultValue
 	}
 	number, err := strconv.Atoi(text)
 	if err != nil {
@@ -144,9 +144,9 @@
 }
 
 // envSeconds returns the duration in an environment variable in seconds, or the default if it is not set.
-func envSeconds(t *testing.T, name string, usual int) time.Duration {
+func envSeconds(t *testing.T, name string, defaultValue int) time.Duration {
 	t.Helper()
-	return time.Duration(envNumber(t, name, usual)) * time.Second
+	return time.Duration(envNumber(t, name, defaultValue)) * time.Second
 }
 
 // seeds returns the range of seeds in SOAK, given as FROM-TO or as one seed, or a few fixed ones.
--- a/internal/soak/store.go
+++ b/internal/soak/store.go
@@ -36,11 +36,11 @@
 
 // storeFaults are the faults injected into the store, other than an outage. The zero value means none.
 type storeFaults struct {
-	unavailableTo  [controllerCount]bool // controllers whose requests are refused
-	requestsLost   [controllerCount]bool // controllers whose requests are lost
-	lateCommitRate float64               // share of transactions that are applied late, without a response
-	lostAnswerRate float64               // share of transactions that are applied without a response
-	maxDelay       time.Duration         // of responses
+	unavailableTo    [controllerCount]bool // controllers whose requests are refused
+	requestsLost     [controllerCount]bool // controllers whose requests are lost
+	lateCommitRate   float64               // share of transactions that are applied late, without a response
+	lostResponseRate float64               // share of transactions that are applied without a response
+	maxDelay         time.Duration         // of responses
 }
 
 type storedValue struct {
--- a/internal/soak/store_http.go
+++ b/internal/soak/store_http.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// lostRequestTime and lostAnswerTime are how long such requests are held open: longer than a
-	// controller waits for the store.
-	lostRequestTime = 6 * time.Second
-	lostAnswerTime  = 3 * time.Second
+	// lostRequestTime and lostResponseTime are how long a request that is lost, or whose response is lost,
+	// is held open: longer than a controller waits for the store.
+	lostRequestTime  = 6 * time.Second
+	lostResponseTime = 3 * time.Second
 	// minCommitDelay and maxCommitDelay bound the delay of a transaction that is applied late.
 	minCommitDelay, maxCommitDelay = 2 * time.Second, 8 * time.Second
 	// maxListPage is the most keys in a page: few, so that controllers load their replicas in several pages.
@@ -47,11 +47,11 @@
 	if path == "/txn" && s.faultyCommit(ctx, client) {
 		return
 	}
-	s.answer(ctx, path, client)
+	s.serveRequest(ctx, path, client)
 }
 
-// answer serves a request without delay, within the limit on the request rate.
-func (s *fakeStore) answer(ctx *fasthttp.RequestCtx, path string, client int) {
+// serveRequest serves a request without delay, within the limit on the request rate.
+func (s *fakeStore) serveRequest(ctx *fasthttp.RequestCtx, path string, client int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.isUnavailable(client) {
@@ -71,7 +71,7 @@
 		respond(ctx, s.commit(ctx.PostBody()))
 	case strings.HasPrefix(path, "/holds"):
 		parts := strings.Split(strings.Trim(path, "/"), "/")
-		respond(ctx, s.answerLease(string(ctx.Method()), parts[1:], ctx.PostBody()))
+		respond(ctx, s.serveLease(string(ctx.Method()), parts[1:], ctx.PostBody()))
 	default:
 		ctx.SetStatusCode(http.StatusNotFound)
 	}
@@ -81,7 +81,7 @@
 // reports whether one was.
 func (s *fakeStore) faultyCommit(ctx *fasthttp.RequestCtx, client int) bool {
 	s.mu.Lock()
-	lateRate, lostRate, unavailable := s.faults.lateCommitRate, s.faults.lostAnswerRate, s.isUnavailable(client)
+	lateRate, lostRate, unavailable := s.faults.lateCommitRate, s.faults.lostResponseRate, s.isUnavailable(client)
 	s.mu.Unlock()
 	if unavailable {
 		return false
@@ -97,7 +97,7 @@
 	default:
 		return false
 	}
-	s.world.loseRequest(ctx, lostAnswerTime)
+	s.world.loseRequest(ctx, lostResponseTime)
 	return true
 }
 
@@ -148,8 +148,8 @@
 	TTLMs int64  `json:"ttlMs,omitempty"`
 }
 
-// answerLease grants, ends or renews a lease; path holds the path segments after /holds.
-func (s *fakeStore) answerLease(method string, path []string, body []byte) response {
+// serveLease grants, ends or renews a lease; path holds the path segments after /holds.
+func (s *fakeStore) serveLease(method string, path []string, body []byte) response {
 	if len(path) == 0 {
 		if method != http.MethodPost {
 			return response{status: http.StatusBadRequest}
--- a/internal/soak/users.go
+++ b/internal/soak/users.go
@@ -50,7 +50,7 @@
 			u.world.spawn(u.submitPipeline)
 		}
 	})
-	u.repeat(until, 200*time.Millisecond, time.Second, u.sendUnusual)
+	u.repeat(until, 200*time.Millisecond, time.Second, u.sendUnusualRequest)
 	u.repeat(until, 300*time.Millisecond, 1500*time.Millisecond, func() {
 		if id := u.recentJob(); id != "" {
 			u.world.spawn(func() { u.cancel(id) })
@@ -69,7 +69,7 @@
 
 // thinkTime draws the pause between two user actions. It is shorter for a larger fleet, which has more users.
 func (u *fakeUsers) thinkTime(low, high time.Duration) time.Duration {
-	return u.world.rng.between(low, high) * usualWorkers / time.Duration(max(usualWorkers, u.world.opts.Workers))
+	return u.world.rng.between(low, high) * baseWorkers / time.Duration(max(baseWorkers, u.world.opts.Workers))
 }
 
 // recentJob draws the ID of one of the latest jobs, or returns "" if there is none.
--- a/internal/soak/users_jobs.go
+++ b/internal/soak/users_jobs.go
@@ -17,25 +17,25 @@
 // Reasons why a job must not be accepted.
 const (
 	fitsNoMachine RejectReason = "fits no machine"
-	lacksAField   RejectReason = "lacks a required field"
+	lacksField    RejectReason = "lacks a required field"
 )
 
 // Shares of the kinds of jobs and pipelines.
 const (
-	serviceShare      = 0.12
-	fewTasksShare     = 0.4 // of job arrays
-	dependencyShare   = 0.2 // of job arrays
-	spotShare         = 0.5
-	cancelledPipeline = 0.5 // of pipelines: a job of theirs is cancelled
-	latePipelineEnd   = 0.3 // of pipelines: their last job is submitted late
+	serviceShare           = 0.12
+	smallJobShare          = 0.4 // of job arrays
+	dependencyShare        = 0.2 // of job arrays
+	spotShare              = 0.5
+	cancelledPipelineShare = 0.5 // of pipelines: one of their jobs is cancelled
+	lateLastJobShare       = 0.3 // of pipelines: their last job is submitted late
 )
 
 // Sizes of jobs.
 const (
-	fewTasks  = 3
-	sideTasks = 8 // of each of the jobs in the middle of a pipeline
-	maxTasks  = 12
-	hugeCPUs  = 1000 // more than any machine has
+	maxSmallJobTasks = 3
+	maxMiddleTasks   = 8 // of each of the jobs in the middle of a pipeline
+	maxTasks         = 12
+	hugeCPUs         = 1000 // more than any machine has
 )
 
 // Run times of jobs.
@@ -85,7 +85,7 @@
 	if facts.Zone != "" {
 		body.Zone = &facts.Zone
 	}
-	if facts.RejectReason == lacksAField {
+	if facts.RejectReason == lacksField {
 		body.Team = ""
 	}
 	return body
@@ -112,8 +112,8 @@
 	rng := u.world.rng
 	service := rng.chance(serviceShare)
 	tasks := 1 + rng.intN(maxTasks)
-	if service || rng.chance(fewTasksShare) {
-		tasks = 1 + rng.intN(fewTasks)
+	if service || rng.chance(smallJobShare) {
+		tasks = 1 + rng.intN(maxSmallJobTasks)
 	}
 	job := u.newJob(tasks, rng.between(minRunTime, maxRunTime))
 	job.facts.Service = service
@@ -141,11 +141,11 @@
 	job := func(most int) *userJob {
 		return u.newJob(1+rng.intN(most), rng.between(minPipelineRunTime, maxPipelineRunTime))
 	}
-	first := job(fewTasks)
+	first := job(maxSmallJobTasks)
 	first.facts.Needs = u.drawDependency()
-	left, right := job(sideTasks), job(sideTasks)
+	left, right := job(maxMiddleTasks), job(maxMiddleTasks)
 	left.facts.Needs, right.facts.Needs = []string{first.facts.ID}, []string{first.facts.ID}
-	join := job(fewTasks)
+	join := job(maxSmallJobTasks)
 	join.facts.Needs = []string{left.facts.ID, right.facts.ID}
 	last := u.newJob(1, rng.between(minPipelineRunTime, maxPipelineRunTime))
 	last.facts.Needs = []string{join.facts.ID, first.facts.ID}
@@ -158,12 +158,12 @@
 	rng := u.world.rng
 	jobs := u.drawPipeline()
 	last := len(jobs) - 1
-	if rng.chance(cancelledPipeline) {
+	if rng.chance(cancelledPipelineShare) {
 		cancelled := pick(rng, jobs[:last]...).facts.ID
 		u.world.after(rng.between(0, 6*time.Second), func() { u.cancel(cancelled) })
 	}
 	for i, job := range jobs {
-		if i == last && rng.chance(latePipelineEnd) && !u.world.sleep(rng.between(time.Second, 8*time.Second)) {
+		if i == last && rng.chance(lateLastJobShare) && !u.world.sleep(rng.between(time.Second, 8*time.Second)) {
 			return
 		}
 		if !u.awaitAccepted(job.facts.Needs) {
@@ -175,8 +175,8 @@
 
 // awaitAccepted waits until all the jobs are accepted. It reports false if the run ends before.
 func (u *fakeUsers) awaitAccepted(ids []string) bool {
-	isOpen := func(id string) bool { return !u.world.checker.Accepted(id) }
-	for slices.ContainsFunc(ids, isOpen) {
+	isNotAccepted := func(id string) bool { return !u.world.checker.Accepted(id) }
+	for slices.ContainsFunc(ids, isNotAccepted) {
 		if !u.world.sleep(pipelineCheckInterval) {
 			return false
 		}
@@ -184,8 +184,8 @@
 	return true
 }
 
-// sendUnusual polls an unknown job, repeats a submission, or submits a job that must be rejected.
-func (u *fakeUsers) sendUnusual() {
+// sendUnusualRequest polls an unknown job, repeats a submission, or submits a job that must be rejected.
+func (u *fakeUsers) sendUnusualRequest() {
 	switch u.world.rng.intN(4) {
 	case 0:
 		u.request(PollRequest, fmt.Sprintf("j-9%05d", u.world.rng.intN(1000)), nil)
@@ -199,7 +199,7 @@
 		u.submit(job)
 	case 3:
 		job := u.newJob(1, time.Second)
-		job.facts.RejectReason = lacksAField
+		job.facts.RejectReason = lacksField
 		u.submit(job)
 	}
 }
--- a/internal/soak/users_requests.go
+++ b/internal/soak/users_requests.go
@@ -30,22 +30,22 @@
 func (u *fakeUsers) request(kind RequestKind, id string, body any) (status int, stage Stage) {
 	controller := u.readyController()
 	if controller == nil {
-		return noAnswer, ""
+		return noResponse, ""
 	}
 	method, path, timeout := kind.endpoint(id)
 	known := u.world.checker.BeforeRequest(id)
-	var answer struct {
+	var result struct {
 		Stage Stage `json:"stage"`
 	}
-	status = controller.call(method, path, body, timeout, &answer)
-	if status == noAnswer || u.world.network.isCut(linkUserAnswers, controller.index) {
-		return noAnswer, ""
+	status = controller.call(method, path, body, timeout, &result)
+	if status == noResponse || u.world.network.isCut(linkUserResponses, controller.index) {
+		return noResponse, ""
 	}
-	u.world.checker.Answered(kind, id, status, answer.Stage, known)
+	u.world.checker.ResponseReceived(kind, id, status, result.Stage, known)
 	if isSuccess(status) && kind != PollRequest {
-		u.world.events.add("%s of %s at %s: %s", kind, id, controller.name, answer.Stage)
+		u.world.events.add("%s of %s at %s: %s", kind, id, controller.name, result.Stage)
 	}
-	return status, answer.Stage
+	return status, result.Stage
 }
 
 // readyController draws a controller that a load balancer would choose, or returns nil if there is none.
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -24,12 +24,12 @@
 // Report is the result of a run.
 type Report struct {
 	Observations
-	Unfinished []string      // jobs that were not over at the end
-	Exits      []string      // crashes of controllers and fatal lines in their logs
-	Stalled    time.Duration // total time in which the host did not schedule this process
+	Unfinished         []string      // jobs that were not over at the end
+	ControllerFailures []string      // crashes of controllers and fatal lines in their logs
+	Stalled            time.Duration // total time in which the host did not schedule this process
 }
 
-// world is the state of one run: the controllers, their stand-ins, and the faults.
+// world is the state of one run: the controllers, the stand-ins around them, and the faults.
 type world struct {
 	*background
 	opts        Options
@@ -59,7 +59,7 @@
 	if err := w.start(); err != nil {
 		return nil, err
 	}
-	return w.play(), nil
+	return w.run(), nil
 }
 
 func newWorld(ctx context.Context, opts Options, events *eventLog) *world {
@@ -103,8 +103,8 @@
 	return nil
 }
 
-// play runs the users' actions and the faults, ends the faults, and waits until all jobs are over.
-func (w *world) play() *Report {
+// run executes the users' actions and the faults, ends the faults, and waits until all jobs are over.
+func (w *world) run() *Report {
 	stalls := &stallWatch{}
 	w.spawn(func() { stalls.run(w.background) })
 	w.spawn(func() { w.checker.watchDeadlines(w.background) })
@@ -115,15 +115,15 @@
 		w.upgraded.Store(true)
 	}
 	w.users.start(time.Until(end))
-	w.playSchedule(drawSchedule(w.rng, time.Until(end)))
+	w.startSchedule(drawSchedule(w.rng, time.Until(end)))
 	w.sleep(time.Until(end))
 	w.heal()
 	unfinished := w.users.finish(w.opts.SettleTime)
 	return &Report{
-		Observations: w.checker.Observations(),
-		Unfinished:   unfinished,
-		Exits:        w.exits(),
-		Stalled:      stalls.total(),
+		Observations:       w.checker.Observations(),
+		Unfinished:         unfinished,
+		ControllerFailures: w.controllerFailures(),
+		Stalled:            stalls.total(),
 	}
 }
 
@@ -144,8 +144,8 @@
 	return errors.Join(errs...)
 }
 
-// exits lists the crashes of all controllers and the fatal lines in their logs.
-func (w *world) exits() []string {
+// controllerFailures lists the crashes of all controllers and the fatal lines in their logs.
+func (w *world) controllerFailures() []string {
 	var failures []string
 	for _, process := range w.controllers {
 		failures = append(failures, process.failures()...)
