--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -57,7 +57,7 @@
 type Observations struct {
 	Violations   []Violation
 	Jobs         int
-	Responses    int // responses to users
+	Responses    int // to users
 	TasksStarted int
 	LateStarts   int // of TasksStarted, those after a user was told that the job is cancelled
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -74,7 +74,7 @@
 		return
 	}
 	t.Logf("seed %d, %d machines, upgrade from production %v: %.0f s, %d jobs, %d responses, "+
-		"%d tasks started, %d of them after their job was reported as cancelled; the host was stalled for %v",
+		"%d tasks started, %d of them after their job was reported as cancelled, within the time allowed; the host was stalled for %v",
 		opts.Seed, opts.Workers, opts.PreviousBinary != "", time.Since(startedAt).Seconds(), report.Jobs, report.Responses,
 		report.TasksStarted, report.LateStarts, report.Stalled.Round(time.Millisecond))
 	failures := failureLines(report)
