--- a/internal/soak/agent_tasks.go
+++ b/internal/soak/agent_tasks.go
@@ -8,18 +8,18 @@
 	"frostdock.example/frostdock/internal/agent"
 )
 
-// agentTask is a task on a machine.
+// agentTask is an attempt of a task on a machine.
 type agentTask struct {
 	id      string
 	jobID   string
-	num     int
+	index   int
 	attempt uint64
 	state   agent.TaskState
 	cause   agent.Cause
-	dueAt   time.Time // when its image is there, or it completes
+	dueAt   time.Time // when its image is pulled, or when it completes
 }
 
-// isOnMachine reports whether the task counts as on the machine by the protocol's rules.
+// isOnMachine reports whether the protocol counts the task as being on the machine.
 func (t *agentTask) isOnMachine() bool {
 	return t.state == agent.Running || t.state == agent.Checkpointing
 }
@@ -30,13 +30,13 @@
 	causeNoCapacity = "no_room"
 )
 
-// minPullTime and maxPullTime bound how long an image takes.
+// minPullTime and maxPullTime bound the time to pull an image.
 const minPullTime, maxPullTime = 20 * time.Millisecond, 300 * time.Millisecond
 
 // cpuRounding is the rounding error allowed in a machine's sum of CPUs.
 const cpuRounding = 1e-9
 
-// advance moves a task on if its time has come.
+// advance moves a task to its next state once dueAt is reached.
 func (a *fakeAgent) advance(task *agentTask, now time.Time) {
 	if now.Before(task.dueAt) || task.state == agent.Ended {
 		return
@@ -48,7 +48,7 @@
 	case agent.Running:
 		if !job.facts.Service {
 			a.endTask(task, agent.CauseDone)
-			a.world.checker.Completed(task.jobID, task.num)
+			a.world.checker.Completed(task.jobID, task.index)
 		}
 	case agent.Checkpointing:
 		a.endTask(task, agent.CauseStopped)
@@ -56,52 +56,52 @@
 	}
 }
 
-// beginTask runs a task whose image is there. One that has completed before finds its result and
-// completes at once.
+// beginTask runs a task whose image is pulled. If an earlier attempt has completed, the task finds
+// the stored result and completes at once.
 func (a *fakeAgent) beginTask(task *agentTask, now time.Time, runTime time.Duration) {
 	task.state, a.changed = agent.Running, true
-	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.num)
+	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.index)
 	a.world.events.add("task %s attempt %d starts on %s", task.id, task.attempt, a.listed.Name)
 	task.dueAt = now.Add(runTime)
-	if a.world.checker.IsCompleted(task.jobID, task.num) {
+	if a.world.checker.IsCompleted(task.jobID, task.index) {
 		task.dueAt = now
 	}
 }
 
 func (a *fakeAgent) endTask(task *agentTask, cause agent.Cause) {
-	a.noteStopped(task)
+	a.reportStopped(task)
 	task.state, task.cause, a.changed = agent.Ended, cause, true
 }
 
-// dropTasks ends all tasks without a trace.
+// dropTasks ends all tasks and removes them, so that no heartbeat reports their end.
 func (a *fakeAgent) dropTasks() {
 	for id, task := range a.tasks {
-		a.noteStopped(task)
+		a.reportStopped(task)
 		delete(a.tasks, id)
 	}
 }
 
-func (a *fakeAgent) noteStopped(task *agentTask) {
+func (a *fakeAgent) reportStopped(task *agentTask) {
 	if task.isOnMachine() {
-		a.world.checker.TaskStopped(a.listed.Name, task.jobID, task.num)
+		a.world.checker.TaskStopped(a.listed.Name, task.jobID, task.index)
 	}
 }
 
 func (a *fakeAgent) execute(commands []agent.Command) {
 	for _, command := range commands {
 		task := a.tasks[command.Task]
-		same := task != nil && task.attempt == command.Attempt
+		sameAttempt := task != nil && task.attempt == command.Attempt
 		switch command.Action {
 		case agent.Start:
-			if !same {
+			if !sameAttempt {
 				a.startTask(command, task)
 			}
 		case agent.Stop:
-			if same && task.state != agent.Ended {
+			if sameAttempt && task.state != agent.Ended {
 				a.endTask(task, agent.CauseStopped)
 			}
 		case agent.Remove:
-			if same && task.state == agent.Ended {
+			if sameAttempt && task.state == agent.Ended {
 				delete(a.tasks, command.Task)
 				a.changed = true
 			}
@@ -109,30 +109,30 @@
 	}
 }
 
-// startTask obeys a start, unless another attempt of the task is there.
+// startTask executes a start command, unless another attempt of the task has not ended yet.
 func (a *fakeAgent) startTask(command agent.Command, previous *agentTask) {
 	if previous != nil && previous.state != agent.Ended {
 		return
 	}
 	jobID, digits, _ := strings.Cut(command.Task, "/")
-	num, err := strconv.Atoi(digits)
+	index, err := strconv.Atoi(digits)
 	if err != nil {
 		return
 	}
-	task := &agentTask{id: command.Task, jobID: jobID, num: num, attempt: command.Attempt, state: agent.Pulling}
+	task := &agentTask{id: command.Task, jobID: jobID, index: index, attempt: command.Attempt, state: agent.Pulling}
 	task.dueAt = time.Now().Add(a.world.rng.between(minPullTime, maxPullTime))
-	if cause := a.refusalCause(jobID, num); cause != "" {
+	if cause := a.refusalCause(jobID, index); cause != "" {
 		task.state, task.cause = agent.Ended, cause
 	}
 	a.tasks[command.Task] = task
 	a.changed = true
 }
 
-// refusalCause is why a task can't start here; empty: it can.
-func (a *fakeAgent) refusalCause(jobID string, num int) agent.Cause {
+// refusalCause returns why a task can't start on the machine, or "" if it can.
+func (a *fakeAgent) refusalCause(jobID string, index int) agent.Cause {
 	job := a.world.users.job(jobID)
 	switch {
-	case job == nil || num >= job.facts.Tasks:
+	case job == nil || index >= job.facts.Tasks:
 		return causeNoSuchTask
 	case a.usedCPUs()+job.facts.CPUs > machineCPUs+cpuRounding:
 		return causeNoCapacity
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// faultKind is one kind of fault. Begin returns soon, or when the fault is over.
+// faultKind is one kind of fault. begin starts the fault, and returns soon or when the fault is over.
 type faultKind struct {
 	name  string
 	begin func(w *world, duration time.Duration)
 }
 
-// faultKinds are all kinds. Their order is part of what a seed fixes.
+// faultKinds are all kinds of faults. A seed draws them by index, so a new order changes a seed's faults.
 var faultKinds = []faultKind{
 	{"a controller is killed", (*world).killController},
 	{"a controller is killed twice", (*world).killControllerTwice},
 	{"all controllers are killed", (*world).killAllControllers},
-	{"leaders change in series", (*world).killControllersInSeries},
+	{"controllers are killed in series", (*world).killControllersInSeries},
 	{"a controller is paused", (*world).pauseController},
 	{"a controller is refused by the key-value store", (*world).refuseController},
 	{"a controller is refused by the key-value store, then all", (*world).refuseControllerThenAll},
 	{"the key-value store is down", (*world).outage},
-	{"a controller loses key-value store and peers", (*world).isolateController},
+	{"a controller loses the key-value store and its peers", (*world).isolateController},
 	{"a controller loses its peers", (*world).cutPeers},
 	{"heartbeats do not reach a controller", (*world).cutHeartbeats},
-	{"answers to heartbeats are lost", (*world).cutHeartbeatAnswers},
-	{"answers to users are lost", (*world).cutUserAnswers},
-	{"transactions come late", (*world).commitLate},
-	{"answers to transactions are lost", (*world).loseCommitAnswers},
+	{"responses to heartbeats are lost", (*world).cutHeartbeatResponses},
+	{"responses to users are lost", (*world).cutUserResponses},
+	{"transactions are applied late", (*world).commitLate},
+	{"responses to transactions are lost", (*world).loseCommitResponses},
 	{"the key-value store is slow", (*world).slowStore},
-	{"heartbeats come again, late", (*world).duplicateHeartbeats},
-	{"commands come late", (*world).delayCommands},
+	{"heartbeats are duplicated with a delay", (*world).duplicateHeartbeats},
+	{"commands are delayed", (*world).delayCommands},
 	{"machines hang and jobs are cancelled", (*world).hangMachines},
 	{"machines are unreachable inbound", (*world).loseInbound},
 	{"machines are unreachable outbound", (*world).loseOutbound},
 	{"machines crash", (*world).crashMachines},
 	{"machines reboot", (*world).rebootMachines},
 	{"the cloud is down", (*world).cloudOutage},
-	{"jobs are cancelled in numbers", (*world).cancelManyJobs},
+	{"many jobs are cancelled", (*world).cancelManyJobs},
 }
 
-// during begins something and ends it after some time. The end is left out if the run is stopped before.
+// during calls begin, and calls end after the duration unless the run is stopped before.
 func (w *world) during(duration time.Duration, begin, end func()) {
 	begin()
 	w.after(duration, end)
 }
 
-// cancelRecent has users cancel some of the latest jobs within moments.
+// cancelRecent has users cancel up to count of the latest jobs, each after a random delay of at most 300 ms.
 func (w *world) cancelRecent(count int) {
 	for range count {
 		if id := w.users.recentJob(); id != "" {
@@ -66,13 +66,13 @@
 	w.network.cutFor(linkHeartbeats, w.randomController().index, duration)
 }
 
-func (w *world) cutHeartbeatAnswers(duration time.Duration) {
-	w.network.cutFor(linkHeartbeatAnswers, w.randomController().index, duration)
+func (w *world) cutHeartbeatResponses(duration time.Duration) {
+	w.network.cutFor(linkHeartbeatResponses, w.randomController().index, duration)
 }
 
-// cutUserAnswers lasts half as long as the other faults.
-func (w *world) cutUserAnswers(duration time.Duration) {
-	w.network.cutFor(linkUserAnswers, w.randomController().index, duration/2)
+// cutUserResponses lasts half as long as the drawn duration, unlike the other faults.
+func (w *world) cutUserResponses(duration time.Duration) {
+	w.network.cutFor(linkUserResponses, w.randomController().index, duration/2)
 }
 
 const duplicatedHeartbeatPercent = 30
--- a/internal/soak/faults_store.go
+++ b/internal/soak/faults_store.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// storeFaultRate is the share of transactions that a fault of the store hits.
+// storeFaultRate is the share of transactions that a fault of the store affects.
 const storeFaultRate = 0.3
 
-// lostRequestsShare is how often a controller's requests are lost in place of refused.
+// lostRequestsShare is the probability that a controller's requests are lost instead of refused.
 const lostRequestsShare = 0.4
 
-// slowStoreDelay is the longest delay of a slow store's answers.
+// slowStoreDelay is the longest delay of a slow store's responses.
 const slowStoreDelay = 600 * time.Millisecond
 
 func (w *world) outage(duration time.Duration) {
 	w.during(duration, func() { w.store.setOutage(true) }, func() { w.store.setOutage(false) })
 }
 
-// refuseRequests has the store refuse one controller, or lose its requests.
+// refuseRequests has the store refuse the requests of one controller, or lose them.
 func (w *world) refuseRequests(process *controllerProcess, duration time.Duration) {
 	lost := w.rng.chance(lostRequestsShare)
 	set := func(unavailable, lost bool) {
@@ -50,10 +50,10 @@
 		func(faults *storeFaults) { faults.lateCommitRate = 0 })
 }
 
-func (w *world) loseCommitAnswers(duration time.Duration) {
+func (w *world) loseCommitResponses(duration time.Duration) {
 	w.storeFaultDuring(duration,
-		func(faults *storeFaults) { faults.lostAnswerRate = storeFaultRate },
-		func(faults *storeFaults) { faults.lostAnswerRate = 0 })
+		func(faults *storeFaults) { faults.lostResponseRate = storeFaultRate },
+		func(faults *storeFaults) { faults.lostResponseRate = 0 })
 }
 
 func (w *world) slowStore(duration time.Duration) {
--- a/internal/soak/users_requests.go
+++ b/internal/soak/users_requests.go
@@ -8,13 +8,13 @@
 const (
 	submissionsPath = "/submissions"
 	pollTimeout     = 2 * time.Second
-	changeTimeout   = 5 * time.Second // of requests that change something
+	changeTimeout   = 5 * time.Second // of submissions and cancellations
 )
 
-// isCancelled reports whether an answer to a cancellation tells that the job is over.
+// isCancelled reports whether this status of a response to a cancellation means that the job is over.
 func isCancelled(status int) bool { return status == http.StatusOK }
 
-// endpoint is how a request is sent.
+// endpoint returns the method, path and timeout of a request about a job.
 func (k RequestKind) endpoint(id string) (method, path string, timeout time.Duration) {
 	switch k {
 	case PollRequest:
@@ -26,29 +26,29 @@
 	}
 }
 
-// request sends a request to a controller that is ready, and tells the checker of the answer.
+// request sends a request to a ready controller and reports the response to the checker.
 func (u *fakeUsers) request(kind RequestKind, id string, body any) (status int, stage Stage) {
 	controller := u.readyController()
 	if controller == nil {
-		return noAnswer, ""
+		return noResponse, ""
 	}
 	method, path, timeout := kind.endpoint(id)
 	known := u.world.checker.BeforeRequest(id)
-	var answer struct {
+	var result struct {
 		Stage Stage `json:"stage"`
 	}
-	status = controller.call(method, path, body, timeout, &answer)
-	if status == noAnswer || u.world.network.isCut(linkUserAnswers, controller.index) {
-		return noAnswer, ""
+	status = controller.call(method, path, body, timeout, &result)
+	if status == noResponse || u.world.network.isCut(linkUserResponses, controller.index) {
+		return noResponse, ""
 	}
-	u.world.checker.Answered(kind, id, status, answer.Stage, known)
+	u.world.checker.ResponseReceived(kind, id, status, result.Stage, known)
 	if isSuccess(status) && kind != PollRequest {
-		u.world.events.add("%s of %s at %s: %s", kind, id, controller.name, answer.Stage)
+		u.world.events.add("%s of %s at %s: %s", kind, id, controller.name, result.Stage)
 	}
-	return status, answer.Stage
+	return status, result.Stage
 }
 
-// readyController draws one of those that a load balancer would choose; nil: there is none.
+// readyController draws a controller that a load balancer would choose, or returns nil if there is none.
 func (u *fakeUsers) readyController() *controllerProcess {
 	var ready []*controllerProcess
 	for _, process := range u.world.controllers {
