--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -8,7 +8,7 @@
 const (
 	firstEpoch          = 1
 	agentTickPeriod     = 100 * units.Millisecond
-	minHeartbeatSpacing = 500 * units.Millisecond // between one heartbeat and the next, when something has changed
+	minHeartbeatSpacing = 500 * units.Millisecond // from one heartbeat to the next, if a change triggers the next
 )
 
 // fakeAgent is one machine's agent: it sends heartbeats, carries commands out, and drops all tasks
@@ -25,18 +25,18 @@
 	leaseRenewedAt         units.Micros // when the last answered heartbeat was sent
 
 	tasks  map[string]*task // by id
-	images map[string]bool  // those that are on the machine
+	images map[string]bool  // images that are on the machine
 
 	controllerIndex int // which controller gets the next heartbeat
 	inFlight        bool
 	sentAt          units.Micros
 	nextHeartbeat   units.Micros
-	changed         bool // something happened that controllers don't know yet
+	changed         bool // the state has changed since the last heartbeat
 
 	hungUntil       units.Micros
-	delayedCommands []func() // those that came while it hung
+	delayedCommands []func() // commands that arrived while the machine hung
 	failsTasks      bool
-	slowdown        float64 // how many times longer tasks take
+	slowdown        float64 // factor by which new tasks take longer
 	spotNotice      *float64
 }
 
@@ -60,23 +60,23 @@
 	w.every(agentTickPeriod, worker.tick)
 }
 
-// removeWorker ends a machine with all that is on it.
+// removeWorker removes a machine and all its tasks.
 func (w *World) removeWorker(name string) {
 	worker := w.workers[name]
 	if worker == nil || !worker.running {
 		return
 	}
-	worker.dropAll()
+	worker.dropTasks()
 	worker.running = false
 	delete(w.workers, name)
 }
 
 func (a *fakeAgent) lease() units.Micros { return a.world.settings.Lease() }
 
-// hangs reports whether the machine stands still.
+// hangs reports whether the machine hangs now.
 func (a *fakeAgent) hangs() bool { return a.world.now < a.hungUntil }
 
-// hang makes the machine stand still; its tasks make no progress meanwhile.
+// hang stops the agent and its tasks for a duration: tasks make no progress meanwhile.
 func (a *fakeAgent) hang(duration units.Micros) {
 	a.hungUntil = a.world.now + duration
 	for _, t := range a.tasks {
@@ -85,18 +85,18 @@
 	}
 }
 
-// failTasks makes the machine fail all tasks for a while.
+// failTasks makes the machine fail all tasks for a duration.
 func (a *fakeAgent) failTasks(duration units.Micros) {
 	a.failsTasks = true
 	a.world.after(duration, func() { a.failsTasks = false })
 }
 
-// slowDown makes tasks that start from now on take longer.
+// slowDown makes tasks that start from now on take longer by a factor.
 func (a *fakeAgent) slowDown(factor float64) { a.slowdown = factor }
 
-// reboot restarts the machine at once; it knows nothing of its life before.
+// reboot restarts the machine at once, without tasks and with epoch, sequence and token reset.
 func (a *fakeAgent) reboot() {
-	a.dropAll()
+	a.dropTasks()
 	a.epoch, a.sequence, a.token = firstEpoch, 0, 0
 	a.leaseRenewedAt, a.changed = a.world.now, true
 }
@@ -111,7 +111,7 @@
 	if !a.running {
 		return
 	}
-	a.checkLease() // also while it hangs: it may go on within its lease only
+	a.checkLease() // also while the machine hangs: its tasks may resume only within the lease
 	if a.hangs() {
 		return
 	}
@@ -126,12 +126,13 @@
 	}
 }
 
-// checkLease begins a new epoch, without any task, when the last answered heartbeat is too old.
+// checkLease drops all tasks and begins a new epoch if the lease since the last answered heartbeat has
+// expired.
 func (a *fakeAgent) checkLease() {
 	if a.world.now-a.leaseRenewedAt <= a.lease() {
 		return
 	}
-	a.dropAll()
+	a.dropTasks()
 	a.epoch++
 	a.leaseRenewedAt = a.world.now
 	a.changed = true
--- a/internal/simulator/agent_calls.go
+++ b/internal/simulator/agent_calls.go
@@ -7,29 +7,31 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// What a controller process does with calls of agents that are more than it may have under way.
+// Limits on a controller process's calls to agents, for commands and for inspections separately. Each
+// kind has sockets/socketsPerSlot slots, but at least minCallSlots; a call waits for a free slot for up
+// to its maximum wait.
 const (
-	minCallSlots      = 8
-	socketsPerSlot    = 16
-	maxCommandWaiting = units.Second
-	maxInspectWaiting = 5 * units.Second
+	minCallSlots   = 8
+	socketsPerSlot = 16
+	maxCommandWait = units.Second
+	maxInspectWait = 5 * units.Second
 )
 
-// agentCalls are the calls of agents of one kind, commands or inspections, that a process has under way and
-// those that wait for their turn. One that cannot leave in time is not sent.
+// agentCalls are a process's calls to agents of one kind, commands or inspections: those in flight and
+// those that wait for a free slot. One that gets no slot in time is not sent.
 type agentCalls struct {
-	process *controllerProcess
-	world   *World
-	slots   int
-	maxWait units.Micros
-	running int
-	waiting []*waitingCall
+	process  *controllerProcess
+	world    *World
+	slots    int
+	maxWait  units.Micros
+	inFlight int
+	waiting  []*waitingCall
 }
 
-// waitingCall is a call that waits for its turn.
+// waitingCall is a call that waits for a free slot.
 type waitingCall struct {
-	since units.Micros
-	begin func(waited units.Micros)
+	queuedAt units.Micros
+	begin    func(waited units.Micros)
 }
 
 func newAgentCalls(p *controllerProcess, maxWait units.Micros) *agentCalls {
@@ -37,7 +39,7 @@
 	return &agentCalls{process: p, world: p.world, slots: max(minCallSlots, sockets/socketsPerSlot), maxWait: maxWait}
 }
 
-// call makes a call when its turn has come; done is called once.
+// call makes a call as soon as a slot is free; done is called once, also if the call is not sent.
 func (c *agentCalls) call(caller string, request controller.AgentCall, done func(controller.AgentResult)) {
 	leaveBefore := c.world.now + c.maxWait
 	if request.LeaveBefore > 0 {
@@ -47,9 +49,9 @@
 		done(controller.AgentResult{CallID: request.CallID, NotSent: true, Waited: waited})
 	}
 	begin := func(waited units.Micros) {
-		c.running++
+		c.inFlight++
 		c.world.callAgent(caller, request, func(result controller.AgentResult) {
-			c.running--
+			c.inFlight--
 			result.Waited = waited
 			done(result)
 			c.beginNext()
@@ -58,33 +60,34 @@
 	switch {
 	case c.world.now >= leaveBefore:
 		notSent(0)
-	case c.running < c.slots:
+	case c.inFlight < c.slots:
 		begin(0)
 	default:
 		c.wait(&waitingCall{c.world.now, begin}, leaveBefore, notSent)
 	}
 }
 
-// drop forgets what waits, since the process has ended.
+// drop discards the waiting calls, since the process has ended.
 func (c *agentCalls) drop() { c.waiting = nil }
 
-// wait lets a call wait for its turn until it may not leave any more.
+// wait queues a call for a free slot until leaveBefore; then the call is reported as not sent.
 func (c *agentCalls) wait(call *waitingCall, leaveBefore units.Micros, notSent func(waited units.Micros)) {
 	c.waiting = append(c.waiting, call)
 	c.world.at(leaveBefore, func() {
 		if i := slices.Index(c.waiting, call); i >= 0 {
 			c.waiting = slices.Delete(c.waiting, i, i+1)
-			notSent(c.world.now - call.since)
+			notSent(c.world.now - call.queuedAt)
 		}
 	})
 }
 
-// beginNext begins the call that has waited longest, unless the process stands still: then the call comes back.
+// beginNext begins the call that has waited longest, unless the process is paused: then the call keeps
+// waiting and may be reported as not sent.
 func (c *agentCalls) beginNext() {
-	if len(c.waiting) == 0 || c.running >= c.slots || c.world.now < c.process.pausedUntil {
+	if len(c.waiting) == 0 || c.inFlight >= c.slots || c.world.now < c.process.pausedUntil {
 		return
 	}
 	next := c.waiting[0]
 	c.waiting = c.waiting[1:]
-	next.begin(c.world.now - next.since)
+	next.begin(c.world.now - next.queuedAt)
 }
--- a/internal/simulator/agent_commands.go
+++ b/internal/simulator/agent_commands.go
@@ -17,10 +17,10 @@
 
 const (
 	commandTimeout = 2 * units.Second
-	fitTolerance   = 1e-9 // of rounding errors when resources are added up
+	fitTolerance   = 1e-9 // for rounding errors in sums of resources
 )
 
-// execute carries out commands that were sent at a time.
+// execute carries out commands that were sent at sentAt.
 func (a *fakeAgent) execute(commands []agent.Command, sentAt units.Micros) {
 	for i := range commands {
 		command := &commands[i]
@@ -40,7 +40,7 @@
 	}
 }
 
-// start begins an attempt, once.
+// start begins an attempt once; a repeated command has no effect.
 func (a *fakeAgent) start(command *agent.Command, jobID string, number int, sentAt units.Micros) {
 	previous := a.tasks[command.Task]
 	if previous != nil && previous.attempt == command.Attempt {
@@ -65,7 +65,7 @@
 	a.tasks[t.id()] = t
 }
 
-// fetchTime is how long the job's image takes to be there.
+// fetchTime returns how long fetching the job's image takes; 0 if the machine has the image.
 func (a *fakeAgent) fetchTime(job *userJob) units.Micros {
 	if a.images[job.spec.Image] {
 		return 0
@@ -73,7 +73,7 @@
 	return units.FromSeconds(job.spec.ImageGB / a.machineType.FetchGBPerSecond)
 }
 
-// freeCapacity is what the tasks that have not ended leave of the machine.
+// freeCapacity returns the machine's capacity minus what its tasks that have not ended request.
 func (a *fakeAgent) freeCapacity() resources {
 	free := resources{cpus: a.machineType.CPUs, gpus: a.machineType.GPUs, memGB: a.machineType.MemGB}
 	for _, t := range a.sortedTasks() {
@@ -84,7 +84,8 @@
 	return free
 }
 
-// stop ends an attempt, after a checkpoint if it makes any and the grace period leaves it the time.
+// stop ends an attempt, after a checkpoint if its job makes checkpoints and the grace period is long
+// enough.
 func (a *fakeAgent) stop(command *agent.Command) {
 	t := a.tasks[command.Task]
 	if t == nil || t.attempt != command.Attempt || t.state == agent.Ended {
@@ -100,7 +101,7 @@
 	}
 }
 
-// removeEnded forgets an attempt that has ended.
+// removeEnded deletes an attempt that has ended.
 func (a *fakeAgent) removeEnded(command *agent.Command) {
 	t := a.tasks[command.Task]
 	if t != nil && t.attempt == command.Attempt && t.state == agent.Ended {
@@ -109,8 +110,8 @@
 	}
 }
 
-// callAgent carries a direct command, or a question, to a machine. One that arrives while the machine
-// hangs is carried out when it goes on.
+// callAgent sends direct commands or an inspection to a machine. One that arrives while the machine
+// hangs is served when the machine resumes.
 func (w *World) callAgent(caller string, request controller.AgentCall, done func(controller.AgentResult)) {
 	machine, _, _ := strings.Cut(request.Address, ":")
 	sentAt := w.now
@@ -134,8 +135,8 @@
 	})
 }
 
-// serve carries out a direct command and answers with the machine's state. Commands of a superseded
-// leader, and those for an epoch that is over, are ignored.
+// serve carries out direct commands and returns the machine's state. Commands of a superseded leader,
+// and those for an earlier epoch, are ignored.
 func (a *fakeAgent) serve(request *controller.AgentCall, sentAt units.Micros) controller.AgentResult {
 	a.checkLease()
 	commands := request.Commands
--- a/internal/simulator/agent_heartbeat.go
+++ b/internal/simulator/agent_heartbeat.go
@@ -12,7 +12,7 @@
 
 const heartbeatTimeout = 4 * units.Second
 
-// heartbeat tells the machine's present state under the next sequence number.
+// heartbeat returns the machine's present state with the next sequence number.
 func (a *fakeAgent) heartbeat() agent.Heartbeat {
 	a.sequence++
 	heartbeat := agent.Heartbeat{
@@ -52,14 +52,15 @@
 	}, func(reply controller.Reply, ok bool) { a.heartbeatAnswered(reply, ok, epoch, sentAt) })
 }
 
-// requestHeartbeat gives the controller a worker heartbeat.
+// requestHeartbeat passes a worker heartbeat to the controller.
 func (p *controllerProcess) requestHeartbeat(heartbeat agent.Heartbeat, answer func(controller.Reply)) {
 	p.request(func(requestID uint64) controller.Message {
 		return controller.HeartbeatRequest{RequestID: requestID, Heartbeat: heartbeat}
 	}, answer)
 }
 
-// maybeDuplicate sends a copy of a heartbeat late, to any controller. Nobody waits for its answer.
+// maybeDuplicate sends late copies of some heartbeats, each to a random controller. Answers to copies
+// are ignored.
 func (a *fakeAgent) maybeDuplicate(heartbeat agent.Heartbeat) {
 	w := a.world
 	if w.network.duplicateRate <= 0 || w.rng.Float64() >= w.network.duplicateRate {
@@ -70,8 +71,8 @@
 	w.after(delay, func() { target.requestHeartbeat(heartbeat, func(controller.Reply) {}) })
 }
 
-// heartbeatAnswered renews the lease and carries the answer's commands out, unless the answer is for
-// an epoch that is over or comes from a leader that has been superseded.
+// heartbeatAnswered renews the lease and carries out the answer's commands, unless the answer is for
+// an earlier epoch or comes from a superseded leader.
 func (a *fakeAgent) heartbeatAnswered(reply controller.Reply, ok bool, epoch uint64, sentAt units.Micros) {
 	a.inFlight = false
 	if !a.running || a.hangs() {
@@ -84,7 +85,7 @@
 	}
 	response, ok := reply.Body.(agent.HeartbeatResponse)
 	if !ok {
-		panic(fmt.Sprintf("a worker heartbeat is answered with a %T", reply.Body))
+		panic(fmt.Sprintf("reply to a worker heartbeat has a body of type %T, want agent.HeartbeatResponse", reply.Body))
 	}
 	if a.epoch != epoch || response.FencingToken < a.token {
 		return
@@ -94,7 +95,8 @@
 	a.execute(response.Commands, a.world.now)
 }
 
-// raiseToken keeps the highest fencing token; controllers hear of it soon, but not of each.
+// raiseToken keeps the highest fencing token. A raise triggers an early heartbeat, at most once in half
+// a lease.
 func (a *fakeAgent) raiseToken(token uint64) {
 	if token <= a.token {
 		return
@@ -106,7 +108,8 @@
 	}
 }
 
-// chooseController turns to the controller that a redirect names, else to the next one.
+// chooseController selects the controller for the next heartbeat: the one that a redirect names, else
+// the next one in order.
 func (a *fakeAgent) chooseController(reply controller.Reply) {
 	processes := a.world.processes
 	redirect, ok := reply.Body.(agent.Redirect)
--- a/internal/simulator/agent_tasks.go
+++ b/internal/simulator/agent_tasks.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// failAfter is how long a task runs that fails.
+// failAfter is how long a failing task runs.
 const failAfter = 2 * units.Second
 
 // task is an attempt of a task on a machine.
@@ -21,14 +21,14 @@
 	checkpointed bool
 	imageReadyAt units.Micros // when its image has been fetched
 	startedAt    units.Micros
-	endsAt       units.Micros // when it completes, or its checkpoint does
+	endsAt       units.Micros // when the task, or its checkpoint, completes
 }
 
 func taskID(jobID string, number int) string { return jobID + "/" + strconv.Itoa(number) }
 
 func (t *task) id() string { return taskID(t.jobID, t.number) }
 
-// runs reports whether the task's program is alive.
+// runs reports whether the task's program is running, also while it saves a checkpoint.
 func (t *task) runs() bool { return t.state == agent.Running || t.state == agent.Checkpointing }
 
 func (a *fakeAgent) sortedTasks() []*task {
@@ -40,15 +40,15 @@
 	return sorted
 }
 
-// dropAll ends all tasks; the machine forgets them.
-func (a *fakeAgent) dropAll() {
+// dropTasks ends all tasks and deletes them from the machine.
+func (a *fakeAgent) dropTasks() {
 	for _, t := range a.sortedTasks() {
 		a.stopProgram(t)
 		delete(a.tasks, t.id())
 	}
 }
 
-// endTask ends a task; the machine keeps its outcome until a controller has it removed.
+// endTask ends a task. The machine keeps its outcome until a controller commands its removal.
 func (a *fakeAgent) endTask(t *task, cause agent.Cause) {
 	a.stopProgram(t)
 	t.state, t.cause = agent.Ended, cause
@@ -68,7 +68,7 @@
 	}
 }
 
-// anyTaskDue reports whether some task's time may have come: most ticks have none.
+// anyTaskDue reports whether any task may change its state now: in most ticks none does.
 func (a *fakeAgent) anyTaskDue() bool {
 	now := a.world.now
 	for _, t := range a.tasks {
@@ -79,7 +79,7 @@
 	return false
 }
 
-// advanceTasks moves every task on whose time has come.
+// advanceTasks moves every task that is due to its next state.
 func (a *fakeAgent) advanceTasks() {
 	if !a.anyTaskDue() {
 		return
@@ -92,12 +92,12 @@
 			a.advanceRunning(t)
 		case agent.Checkpointing:
 			a.advanceCheckpointing(t)
-		case agent.Ended: // it stays until a controller has it removed
+		case agent.Ended: // stays until a controller commands its removal
 		}
 	}
 }
 
-// advancePulling starts a task whose image is there.
+// advancePulling starts a task whose image has been fetched.
 func (a *fakeAgent) advancePulling(t *task) {
 	now := a.world.now
 	if now < t.imageReadyAt {
@@ -111,7 +111,7 @@
 	t.startedAt = now
 	switch {
 	case a.world.checker.isCompleted(t.jobID, t.number):
-		t.endsAt = now // the result of the first run is kept
+		t.endsAt = now // the result of the first run is kept: this one ends at once
 	case a.failsTasks || job.failing:
 		t.endsAt = now + failAfter
 	default:
@@ -119,7 +119,8 @@
 	}
 }
 
-// advanceRunning ends a task of an array whose time is over, and any on a machine that fails them.
+// advanceRunning ends an array task whose run time is over, and any task that has run for failAfter on a
+// machine that fails all tasks.
 func (a *fakeAgent) advanceRunning(t *task) {
 	now := a.world.now
 	job := a.world.users.job(t.jobID)
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,30 +1,32 @@
-// Package simulator is a test program: it plays a small region in simulated time. The controllers
-// are real (package controller); the network, the key-value store, the cloud, the worker agents and
-// the users are stand-ins, written from the protocol.
+// Package simulator runs a small region in simulated time, for tests. The controllers are the real
+// ones (package controller); the network, the key-value store, the cloud, the worker agents and the
+// users are fakes, written from the protocol.
 //
-// It owns the simulated clock, the order of all events and the one source of random numbers, so a
-// run depends on its scenario and seed alone: nothing here reads a real clock, starts a goroutine or
-// lets the order of a map decide anything.
+// The package owns the simulated clock, the order of all events and the one random number generator,
+// so a run is determined by its scenario and seed: no code here reads a real clock, starts a goroutine
+// or depends on the iteration order of a map.
 //
-// A Checker watches every rule of the protocol throughout a run. It is told what agents do and what
-// users hear, never what controllers believe, and it shares no code with them: a mistake in the
-// controllers' rules can't hide itself here.
+// A Checker verifies every rule of the protocol throughout a run. It sees what agents do and what
+// users are answered, never the state of controllers, and it shares no code with them, so that a
+// mistake in the controllers' rules cannot mask itself.
 //
 // The files, by concern:
 //
-//   - world.go, events.go: the region and its event loop
+//   - world.go, events.go, resources.go: the region and its event loop
 //   - network.go: delays, losses, network partitions
-//   - process.go, previous_version.go: controller processes, also of the previous version
+//   - process.go, agent_calls.go, previous_version.go: controller processes, their calls to agents, and
+//     the previous version
 //   - store.go, store_txn.go, store_watch.go: the key-value store
 //   - agent.go, agent_tasks.go, agent_heartbeat.go, agent_commands.go: the worker agents
 //   - cloud.go, users.go, users_invalid.go: the cloud and the users
 //   - checker.go, checker_tasks.go, checker_answers.go, checker_service.go: the rules
-//   - waiting_check.go: which jobs wait beside free capacity
-//   - scenario.go: a run from its begin to its verdict
+//   - waiting_check.go: finds jobs that wait although a machine has free capacity for them
+//   - scenario.go: running a scenario and collecting its problems
 //   - parser.go, parser_arguments.go, parser_steps.go, parser_expectations.go: the text format, which
 //     testdata/README.md describes
-//   - steps.go, faults.go, machine_faults.go, expectations.go: what a scenario can do and expect
-//   - trace.go: the digest of all that controllers send
+//   - steps.go, faults.go, machine_faults.go, expectations.go: the steps, faults and expectations of
+//     scenarios
+//   - trace.go: the digest of everything that controllers send
 //
 // Nothing outside tests uses the package.
 package simulator
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -9,7 +9,7 @@
 // event is an action at a moment of simulated time.
 type event struct {
 	at       units.Micros
-	sequence int // orders the events of one moment as they were scheduled
+	sequence int // events of one moment run in the order in which they were scheduled
 	action   func()
 }
 
@@ -40,7 +40,7 @@
 // next removes the next event.
 func (q *eventQueue) next() event { return heap.Pop(q).(event) } //nolint:forcetypeassert // Push takes nothing else
 
-// at schedules an action; one for a time that has passed runs next.
+// at schedules an action; one for a time in the past runs at the present moment.
 func (w *World) at(when units.Micros, action func()) {
 	w.scheduled++
 	heap.Push(&w.queue, event{max(when, w.now), w.scheduled, action})
@@ -52,7 +52,7 @@
 	w.after(period, func() { action(); w.every(period, action) })
 }
 
-// run plays all events until the given time.
+// run executes all events until the given time, inclusive.
 func (w *World) run(until units.Micros) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		next := w.queue.next()
--- a/internal/simulator/previous_version.go
+++ b/internal/simulator/previous_version.go
@@ -9,11 +9,11 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// A controller of the previous version drops from a document what it does not know, when it reads the
-// document and when it writes it anew. It is simulated by a present controller whose documents lose what
-// is new in both directions.
+// A controller of the previous version drops unknown fields when it reads a document and when it writes
+// the document back. It is simulated by a controller of the present version, whose documents lose the new
+// fields in both directions.
 
-// previousVersionCall is a call as the previous version would make it.
+// previousVersionCall returns a call as the previous version would make it.
 func previousVersionCall(call controller.StoreCall) controller.StoreCall {
 	if call.Request.Kind != kv.Transact || call.Request.Txn == nil {
 		return call
@@ -30,7 +30,7 @@
 	return call
 }
 
-// previousVersionResult is an answer as the previous version reads it.
+// previousVersionResult returns a result as the previous version would read it.
 func previousVersionResult(result controller.StoreResult) controller.StoreResult {
 	if result.Response.Key != "" {
 		result.Response.Value = previousVersionDocument(result.Response.Key, result.Response.Value)
@@ -51,7 +51,7 @@
 	return result
 }
 
-// previousVersionDocument is a document without what the previous version does not know.
+// previousVersionDocument returns a document without the fields that the previous version does not know.
 func previousVersionDocument(key string, value json.RawMessage) json.RawMessage {
 	switch {
 	case strings.HasPrefix(key, schema.RegistrationPrefix):
@@ -71,7 +71,7 @@
 	return value
 }
 
-// rewriteDocument drops something from a document. One that can't be read stays as it is.
+// rewriteDocument applies drop to a document. One that can't be decoded is returned unchanged.
 func rewriteDocument[T any](value json.RawMessage, drop func(*T)) json.RawMessage {
 	var doc T
 	if json.Unmarshal(value, &doc) != nil {
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -15,19 +15,19 @@
 
 const (
 	tickPeriod = 25 * units.Millisecond
-	stepDelay  = units.Micros(200)  // messages that arrive within it are handled by one step
-	wallOffset = units.Micros(1e15) // the time of day is ahead of the simulated time by it
+	stepDelay  = units.Micros(200)  // messages that arrive within this time are handled by one step
+	wallOffset = units.Micros(1e15) // wall-clock time minus simulated time
 
-	// The load balancer's rules for controllers.
+	// Health checks of controllers by the load balancer.
 	probePeriod        = units.Second
 	probeTimeout       = units.Second
-	probesToEject      = 2
-	probesToReadmit    = 2
-	readmissionBackoff = 3 * units.Second
+	probesToEject      = 2                // failed ones in a row
+	probesToReadmit    = 2                // passed ones in a row
+	readmissionBackoff = 3 * units.Second // from ejection to the earliest readmission
 )
 
-// controllerProcess is one process of the service and what the load balancer knows of it. Across a
-// crash it stays the same, with another incarnation of the controller.
+// controllerProcess is one process of the service and its health as seen by the load balancer. It
+// persists across crashes; each start runs a new incarnation of the controller.
 type controllerProcess struct {
 	world           *World
 	name            string
@@ -35,7 +35,7 @@
 	controller      *controller.Controller
 	incarnation     int
 	running         bool
-	previousVersion bool // it runs the previous version
+	previousVersion bool // the process runs the previous version
 	pausedUntil     units.Micros
 
 	commands    *agentCalls
@@ -43,17 +43,17 @@
 
 	inbox          []controller.Message
 	stepScheduled  bool
-	pendingReplies map[uint64]func(controller.Reply) // by request: who waits for the answer
+	pendingReplies map[uint64]func(controller.Reply) // callbacks for the replies, by request id
 	lastRequest    uint64
 
-	healthy      bool // the load balancer sends it requests
+	healthy      bool // the load balancer sends requests to the process
 	everHealthy  bool
 	passedProbes int // in a row
 	failedProbes int // in a row
 	readmitAt    units.Micros
 }
 
-// addProcess starts a controller.
+// addProcess adds a controller process to the region and starts it.
 func (w *World) addProcess(cfg *config.Config, previousVersion bool) {
 	process := &controllerProcess{world: w, name: cfg.Member, cfg: cfg, previousVersion: previousVersion}
 	w.processes = append(w.processes, process)
@@ -66,19 +66,19 @@
 	p.incarnation++
 	p.running = true
 	cfg := p.cfg
-	if p.previousVersion { // it does not know of announced limits
+	if p.previousVersion { // the previous version does not know announced limits
 		previousConfig := *p.cfg
 		previousConfig.Settings.KVStore.Next = nil
 		cfg = &previousConfig
 	}
 	p.controller = controller.New(cfg, policy.Default(), p.logger(), fmt.Sprintf("%s%04d", p.name, p.incarnation))
 	p.inbox, p.stepScheduled = nil, false
-	p.commands = newAgentCalls(p, maxCommandWaiting)
-	p.inspections = newAgentCalls(p, maxInspectWaiting)
+	p.commands = newAgentCalls(p, maxCommandWait)
+	p.inspections = newAgentCalls(p, maxInspectWait)
 	p.pendingReplies = map[uint64]func(controller.Reply){}
 }
 
-// crash ends the process with all that it knows.
+// crash ends the process; its state in memory is lost.
 func (p *controllerProcess) crash() {
 	p.running, p.pausedUntil = false, 0
 	p.incarnation++
@@ -87,19 +87,19 @@
 	p.inspections.drop()
 }
 
-// restartAfter crashes the process and starts it again after a while.
+// restartAfter crashes the process and starts it again after downtime.
 func (p *controllerProcess) restartAfter(downtime units.Micros) {
 	p.crash()
 	p.world.after(downtime, p.start)
 }
 
-// upgrade gives the process the present version, which it runs from its next start on.
+// upgrade makes the process run the present version from its next start on.
 func (p *controllerProcess) upgrade() { p.previousVersion = false }
 
-// pause makes the process stand still: it takes no step and loses nothing.
+// pause suspends the process: it takes no steps, and loses neither state nor messages.
 func (p *controllerProcess) pause(duration units.Micros) { p.pausedUntil = p.world.now + duration }
 
-// request sends a request to the process; answer is called if it replies.
+// request passes a request to the controller; answer is called if the controller replies.
 func (p *controllerProcess) request(message func(requestID uint64) controller.Message, answer func(controller.Reply)) {
 	if !p.running {
 		return
@@ -123,7 +123,7 @@
 	})
 }
 
-// step gives the controller its messages and carries out the effects.
+// step passes the queued messages to the controller and carries out the resulting effects.
 func (p *controllerProcess) step() {
 	if !p.running || p.world.now < p.pausedUntil {
 		return
@@ -136,7 +136,7 @@
 	}
 }
 
-// perform carries out one effect. Its result reaches only the incarnation that asked for it.
+// perform carries out one effect. Its result is passed only to the incarnation that requested it.
 func (p *controllerProcess) perform(effect controller.Effect) {
 	w := p.world
 	w.trace.record(w.now, p.name, effect)
@@ -184,7 +184,7 @@
 	})
 }
 
-// broadcast sends a heartbeat to the other controllers; those that don't run miss it.
+// broadcast sends a heartbeat to the other controllers; those that are down or partitioned miss it.
 func (p *controllerProcess) broadcast(heartbeat controller.BroadcastHeartbeat) {
 	w := p.world
 	for _, other := range w.processes {
@@ -199,16 +199,17 @@
 	}
 }
 
-// probe asks for the controller's health as the load balancer does.
+// probe sends the load balancer's health check to the controller.
 func (p *controllerProcess) probe() {
 	call(p.world, usersHost, p.name, probeTimeout, func(answer func(controller.Reply)) {
 		p.request(func(requestID uint64) controller.Message { return controller.ReadyRequest{RequestID: requestID} }, answer)
-	}, func(reply controller.Reply, ok bool) { p.probed(ok && reply.Status == http.StatusOK) })
+	}, func(reply controller.Reply, ok bool) { p.recordProbe(ok && reply.Status == http.StatusOK) })
 }
 
-// probed notes the outcome of a probe: some failed ones in a row eject the controller, and some
-// passed ones after a backoff readmit it.
-func (p *controllerProcess) probed(passed bool) {
+// recordProbe records the outcome of a probe: probesToEject failed ones in a row eject the controller,
+// and probesToReadmit passed ones in a row readmit it after the backoff. A controller that was never
+// healthy is admitted at its first passed probe.
+func (p *controllerProcess) recordProbe(passed bool) {
 	if !passed {
 		p.passedProbes, p.failedProbes = 0, p.failedProbes+1
 		if p.failedProbes >= probesToEject && p.healthy {
@@ -222,7 +223,7 @@
 	}
 }
 
-// logger returns the controller's logger. SCENARIO_LOG=debug makes it tell more.
+// logger returns the controller's logger. SCENARIO_LOG=debug enables debug messages.
 func (p *controllerProcess) logger() *slog.Logger {
 	level := slog.LevelInfo
 	if os.Getenv("SCENARIO_LOG") == "debug" {
@@ -231,7 +232,7 @@
 	return slog.New(slog.NewTextHandler(logWriter{p.world}, &slog.HandlerOptions{Level: level, ReplaceAttr: dropTime}))
 }
 
-// dropTime removes the real time from log lines, so that a run's log is always the same.
+// dropTime removes the real time from log lines, so that the log of a run is reproducible.
 func dropTime(_ []string, attr slog.Attr) slog.Attr {
 	if attr.Key == slog.TimeKey {
 		return slog.Attr{}
@@ -239,11 +240,11 @@
 	return attr
 }
 
-// logWriter puts the simulated time before each line of a controller's log, and passes on the
-// breaches of invariants that a controller finds in itself.
+// logWriter prefixes each line of a controller's log with the simulated time, and reports invariant
+// violations that a controller logs to the checker.
 type logWriter struct{ world *World }
 
-// Write takes one log line.
+// Write writes one log line.
 func (l logWriter) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte("invariant violated")) {
 		l.world.checker.violate(RuleInvariant, "%s", bytes.TrimSpace(line))
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	startOfTime = units.Second // when a run begins: zero means "never" in many places
-	rngStream   = 42           // the second half of the generator's seed
+	startOfTime = units.Second // when a run begins; later than zero, which means "never" in many places
+	rngStream   = 42           // second half of the generator's seed; the first is the scenario's
 )
 
-// World is the region: it owns simulated time, random numbers and everything that lives in it.
+// World is the simulated region: its clock, its random number generator and everything in it.
 type World struct {
 	now       units.Micros
 	queue     eventQueue
-	scheduled int // events that were ever scheduled
+	scheduled int // number of events scheduled so far
 	rng       *rand.Rand
-	log       io.Writer // of the controllers; nil: not kept
+	log       io.Writer // receives the log of the controllers; nil: discarded
 	trace     *Trace
 
 	settings    config.Settings
@@ -27,7 +27,7 @@
 	store       *fakeStore
 	cloud       *fakeCloud
 	workers     map[string]*fakeAgent
-	workerNames []string // in order of creation, also of those that are gone
+	workerNames []string // in order of creation, including removed machines
 	users       *fakeUsers
 	checker     *Checker
 
@@ -56,7 +56,8 @@
 	return w
 }
 
-// findWorker finds a machine by name, or the one with the most tasks; nil: there is none.
+// findWorker returns the agent of the named machine or, for busiestMachine, the one with the most
+// tasks. It returns nil if there is none.
 func (w *World) findWorker(name string) *fakeAgent {
 	if name != busiestMachine {
 		return w.workers[name]
@@ -70,7 +71,7 @@
 	return busiest
 }
 
-// presentWorkers lists the agents of machines that are there, in order of creation.
+// presentWorkers returns the agents of all machines that have not been removed, in order of creation.
 func (w *World) presentWorkers() []*fakeAgent {
 	var present []*fakeAgent
 	for _, name := range w.workerNames {
@@ -81,7 +82,7 @@
 	return present
 }
 
-// randomWorkers draws so many machines.
+// randomWorkers draws count machines, or all if there are fewer.
 func (w *World) randomWorkers(count int) []*fakeAgent {
 	present := w.presentWorkers()
 	w.rng.Shuffle(len(present), func(i, j int) { present[i], present[j] = present[j], present[i] })
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// zoneOf is the zone that a machine or controller is in; empty: the host belongs to the region.
+// zoneOf returns the zone of a machine or controller; empty: the host is in no zone.
 func (w *World) zoneOf(host string) string {
 	if worker := w.workers[host]; worker != nil {
 		return worker.listed.Zone
