--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -14,25 +14,25 @@
 	cloudTimeout          = 5 * units.Second
 	snapshotPeriod        = units.Second
 	keptSnapshots         = 60
-	listDelay             = 8 * units.Second // how old the list of machines is
-	staleListRate         = 0.1              // chance that it is twice as old
-	failureDetectionDelay = 30 * units.Second
-	maxRentalCount        = 50
+	listLag               = 8 * units.Second  // age of the list of machines that is returned
+	staleListRate         = 0.1               // probability that the list is twice as old
+	failureDetectionDelay = 30 * units.Second // from a crash until the list shows it
+	maxRentalCount        = 50                // machines in one rental
 )
 
-// fakeCloud rents machines out. Its list of them is some seconds old.
+// fakeCloud rents out machines. The list of machines that it returns is some seconds old.
 type fakeCloud struct {
 	world        *World
 	machineTypes []cloud.MachineType
-	available    map[offer]int       // machines still to be had
-	rentals      map[string][]string // machines by the name of their rental: a repeat gets the same ones
+	available    map[offer]int       // machines that can still be rented
+	rentals      map[string][]string // machine names by rental name: a repeated request gets the same machines
 	machines     map[string]*machine
 	nextMachine  int
-	snapshots    []snapshot // the last ones
+	snapshots    []snapshot // the last keptSnapshots
 	down         bool
 
-	bootFactor      float64 // how many times longer machines take to come up
-	bootFailureRate float64 // chance that a machine never comes up
+	bootFactor      float64 // factor by which booting takes longer
+	bootFailureRate float64 // probability that a machine never boots
 }
 
 type machine struct {
@@ -60,7 +60,7 @@
 	return c
 }
 
-// startOutage makes the cloud unavailable for a while.
+// startOutage makes the cloud refuse all requests for a duration.
 func (c *fakeCloud) startOutage(duration units.Micros) {
 	c.down = true
 	c.world.after(duration, func() { c.down = false })
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// recordSnapshot remembers the list, which is shown later.
+// recordSnapshot records the present list of machines, which staleList returns later.
 func (c *fakeCloud) recordSnapshot() {
 	taken := snapshot{at: c.world.now}
 	for _, current := range c.machines {
@@ -90,7 +90,7 @@
 	}
 }
 
-// call serves a controller's request across the network.
+// call sends a controller's request to the cloud over the network.
 func (c *fakeCloud) call(caller string, request controller.CloudCall, done func(controller.CloudResult)) {
 	call(c.world, caller, cloudHost, cloudTimeout, func(answer func(controller.CloudResult)) {
 		answer(c.serve(&request))
@@ -123,22 +123,22 @@
 	return result
 }
 
-// staleList is the list of machines as it was a while ago.
+// staleList returns the list of machines as it was listLag ago, or twice as long ago.
 func (c *fakeCloud) staleList() []cloud.ListedMachine {
-	at := c.world.now - listDelay
+	at := c.world.now - listLag
 	if c.world.rng.Float64() < staleListRate {
-		at -= listDelay
+		at -= listLag
 	}
-	var shown snapshot
+	var visible snapshot
 	for _, taken := range c.snapshots {
 		if taken.at <= at {
-			shown = taken
+			visible = taken
 		}
 	}
-	return shown.machines
+	return visible.machines
 }
 
-// rent creates machines, as many of those asked for as there are.
+// rent creates the requested machines, or as many of them as are available.
 func (c *fakeCloud) rent(request cloud.RentalRequest) (names []string, status cloud.Status) {
 	if names, ok := c.rentals[request.Name]; ok {
 		return names, cloud.StatusOK
@@ -162,7 +162,7 @@
 	return names, cloud.StatusOK
 }
 
-// create adds a machine to the list; it has not booted yet.
+// create adds a machine, which has not booted yet, to the list and returns its name.
 func (c *fakeCloud) create(kind offer) string {
 	name := fmt.Sprintf("n-%06d", c.nextMachine)
 	c.nextMachine++
@@ -171,7 +171,7 @@
 	return name
 }
 
-// boot lets a machine come up after a while, or never.
+// boot schedules the end of a machine's boot; if the boot fails, it never comes.
 func (c *fakeCloud) boot(name string, machineType *cloud.MachineType) {
 	if c.world.rng.Float64() < c.bootFailureRate {
 		return
@@ -180,7 +180,7 @@
 	c.world.after(duration, func() { c.bootCompleted(name) })
 }
 
-// bootCompleted starts the agent of a machine that has not been removed meanwhile.
+// bootCompleted marks a machine as running and starts its agent, unless the machine has been removed.
 func (c *fakeCloud) bootCompleted(name string) {
 	booted := c.machines[name]
 	if booted == nil {
@@ -190,7 +190,7 @@
 	c.world.addWorker(name, booted.listed, c.machineType(booted.listed.Type))
 }
 
-// remove takes a machine away at once, with all that is on it.
+// remove deletes a machine and all its tasks at once.
 func (c *fakeCloud) remove(name string) {
 	if removed := c.machines[name]; removed != nil {
 		c.available[offer{removed.listed.Type, removed.listed.Zone, removed.listed.Spot}]++
@@ -199,7 +199,7 @@
 	c.world.removeWorker(name)
 }
 
-// crash stops a machine; the list shows it as running for a while.
+// crash stops a machine; the list shows it as running for another failureDetectionDelay.
 func (c *fakeCloud) crash(name string) {
 	c.world.removeWorker(name)
 	c.world.after(failureDetectionDelay, func() {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -6,7 +6,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// crashControllers crashes controllers and starts them again.
+// crashControllers crashes controllers and starts them again after downtime.
 type crashControllers struct {
 	names    []string
 	downtime units.Micros
@@ -16,17 +16,17 @@
 	for _, name := range f.names {
 		process := w.findProcess(name)
 		if process == nil {
-			return fmt.Errorf("no node %q", name)
+			return fmt.Errorf("no controller %q", name)
 		}
 		process.restartAfter(f.downtime)
 	}
 	return nil
 }
 
-// restartInTurn crashes all controllers, one after the other.
+// restartInTurn crashes and restarts all controllers, one after the other.
 type restartInTurn struct {
 	interval, downtime units.Micros
-	upgrade            bool // they come back with the present version
+	upgrade            bool // they restart with the present version
 }
 
 func (f restartInTurn) apply(w *World) error {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// pauseController makes a controller stand still.
+// pauseController suspends a controller, which loses neither state nor messages.
 type pauseController struct {
 	name     string
 	duration units.Micros
@@ -50,13 +50,13 @@
 func (f pauseController) apply(w *World) error {
 	process := w.findProcess(f.name)
 	if process == nil {
-		return fmt.Errorf("no node %q", f.name)
+		return fmt.Errorf("no controller %q", f.name)
 	}
 	process.pause(f.duration)
 	return nil
 }
 
-// partitionHosts interrupts the way between two kinds of host.
+// partitionHosts partitions two groups of hosts from each other.
 type partitionHosts struct {
 	host, peer string // patterns
 	mode       partitionMode
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// partitionRandomMachines cuts some machines off from everything.
+// partitionRandomMachines partitions some random machines from all hosts.
 type partitionRandomMachines struct {
 	count    int
 	mode     partitionMode
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// partitionZone cuts a zone off from everything that is not in it.
+// partitionZone partitions a zone from all hosts outside it.
 type partitionZone struct {
 	zone     string
 	mode     partitionMode
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// delayAnswers delays answers to worker heartbeats; direct commands are as fast as ever.
+// delayAnswers delays answers to worker heartbeats; direct commands are not delayed.
 type delayAnswers struct{ most, duration units.Micros }
 
 func (f delayAnswers) apply(w *World) error {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// duplicateHeartbeats repeats some worker heartbeats, up to well over a lease later.
+// duplicateHeartbeats sends copies of some worker heartbeats, up to well over a lease late.
 type duplicateHeartbeats struct {
 	rate     float64
 	duration units.Micros
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// storeOutage makes the key-value store unavailable to all.
+// storeOutage makes the key-value store unavailable to all controllers.
 type storeOutage struct{ duration units.Micros }
 
 func (f storeOutage) apply(w *World) error {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// lateCommits leaves some transactions without an answer and commits them seconds later.
+// lateCommits leaves some transactions unanswered and commits them seconds later.
 type lateCommits struct {
 	rate     float64
 	duration units.Micros
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// slowStore makes the key-value store take longer.
+// slowStore delays requests to the key-value store.
 type slowStore struct{ averageDelay, duration units.Micros }
 
 func (f slowStore) apply(w *World) error {
@@ -153,15 +153,15 @@
 	return nil
 }
 
-// mixChanges makes answers of watches tell only the newest change of each key, in any order.
+// mixChanges makes watches return only the newest change of each key, in random order.
 type mixChanges struct{ duration units.Micros }
 
 func (f mixChanges) apply(w *World) error {
-	w.store.mixChanges(f.duration)
+	w.store.coalesceChanges(f.duration)
 	return nil
 }
 
-// loseWatches makes a controller's watches tell nothing; all else is answered.
+// loseWatches leaves a controller's watches unanswered; its other requests are answered.
 type loseWatches struct {
 	name     string
 	duration units.Micros
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// cloudOutage makes the cloud unavailable.
+// cloudOutage makes the cloud refuse all requests.
 type cloudOutage struct{ duration units.Micros }
 
 func (f cloudOutage) apply(w *World) error {
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// cancelAtEnd has users cancel some jobs at the moment of their end.
+// cancelAtEnd makes users cancel some jobs at the moment of their completion.
 type cancelAtEnd struct {
 	rate     float64
 	duration units.Micros
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// invalidRequests has users send what no user should send.
+// invalidRequests makes users send requests that no user should send.
 type invalidRequests struct{ duration units.Micros }
 
 func (f invalidRequests) apply(w *World) error {
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -6,26 +6,26 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// busiestMachine names the machine with the most tasks in a scenario.
+// busiestMachine is the name by which a scenario refers to the machine with the most tasks.
 const busiestMachine = "busiest"
 
-// machineFault is what can happen to one machine.
+// machineFault is a fault of one machine.
 type machineFault interface {
-	strike(w *World, worker *fakeAgent)
+	applyTo(w *World, worker *fakeAgent)
 }
 
-// faultyMachines strikes some machines with a fault.
+// faultyMachines applies a fault to some machines.
 type faultyMachines struct {
-	name   string // of one machine, or the busiest
-	random bool   // instead of it: some that are drawn
-	count  int    // of these
+	name   string // of one machine, or busiestMachine
+	random bool   // apply the fault to random machines instead
+	count  int    // number of random machines
 	fault  machineFault
 }
 
 func (f faultyMachines) apply(w *World) error {
 	if f.random {
 		for _, worker := range w.randomWorkers(f.count) {
-			f.fault.strike(w, worker)
+			f.fault.applyTo(w, worker)
 		}
 		return nil
 	}
@@ -33,44 +33,45 @@
 	if worker == nil {
 		return fmt.Errorf("no machine %q", f.name)
 	}
-	f.fault.strike(w, worker)
+	f.fault.applyTo(w, worker)
 	return nil
 }
 
-// crashMachine ends a machine; the cloud notices it later.
+// crashMachine crashes a machine; the cloud lists it as failed later.
 type crashMachine struct{}
 
-func (crashMachine) strike(w *World, worker *fakeAgent) { w.cloud.crash(worker.name) }
+func (crashMachine) applyTo(w *World, worker *fakeAgent) { w.cloud.crash(worker.name) }
 
-// hangMachine makes a machine stand still with all that is on it.
+// hangMachine makes a machine and its tasks hang.
 type hangMachine struct{ duration units.Micros }
 
-func (f hangMachine) strike(_ *World, worker *fakeAgent) { worker.hang(f.duration) }
+func (f hangMachine) applyTo(_ *World, worker *fakeAgent) { worker.hang(f.duration) }
 
 // failTasks makes a machine fail all tasks.
 type failTasks struct{ duration units.Micros }
 
-func (f failTasks) strike(_ *World, worker *fakeAgent) { worker.failTasks(f.duration) }
+func (f failTasks) applyTo(_ *World, worker *fakeAgent) { worker.failTasks(f.duration) }
 
-// slowTasks makes tasks take longer on a machine.
+// slowTasks makes new tasks on a machine take longer.
 type slowTasks struct{ factor float64 }
 
-func (f slowTasks) strike(_ *World, worker *fakeAgent) { worker.slowDown(f.factor) }
+func (f slowTasks) applyTo(_ *World, worker *fakeAgent) { worker.slowDown(f.factor) }
 
-// rebootMachine restarts a machine: it is back at once, with nothing on it and its counts begun anew.
+// rebootMachine restarts a machine: it is back at once, without tasks and with its counters reset.
 type rebootMachine struct{}
 
-func (rebootMachine) strike(_ *World, worker *fakeAgent) { worker.reboot() }
+func (rebootMachine) applyTo(_ *World, worker *fakeAgent) { worker.reboot() }
 
-// reclaimMachine has the cloud take a machine away.
+// reclaimMachine makes the cloud remove a machine without notice.
 type reclaimMachine struct{}
 
-func (reclaimMachine) strike(w *World, worker *fakeAgent) { w.cloud.remove(worker.name) }
+func (reclaimMachine) applyTo(w *World, worker *fakeAgent) { w.cloud.remove(worker.name) }
 
-// interruptSpot has the cloud give notice, and take the machine away when it has passed.
+// interruptSpot makes the cloud send an interruption notice, and remove the machine when the notice
+// period has passed.
 type interruptSpot struct{ notice units.Micros }
 
-func (f interruptSpot) strike(w *World, worker *fakeAgent) {
+func (f interruptSpot) applyTo(w *World, worker *fakeAgent) {
 	worker.receiveNotice(f.notice)
 	w.after(f.notice, func() { w.cloud.remove(worker.name) })
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -8,25 +8,25 @@
 
 // Hosts that are neither controllers nor machines.
 const (
-	storeHost = "state"
-	cloudHost = "cloud"
-	usersHost = "users"
-	anyHost   = "*" // as a pattern
+	storeHost    = "state"
+	cloudHost    = "cloud"
+	usersHost    = "users"
+	hostWildcard = "*" // at the end of a host pattern: any suffix
 )
 
 const (
 	defaultLatency = 4 * units.Millisecond
-	spikeRate      = 0.005 // chance that a trip takes much longer
+	spikeRate      = 0.005 // probability that a message takes up to maxSpike longer
 	maxSpike       = 300 * units.Millisecond
-	maxLateSeconds = 30 // a request that is carried out late comes up to so much later
+	maxLateSeconds = 30 // a late request arrives after 1 s plus up to this many seconds
 )
 
-// network is what the network does to messages.
+// network holds the delays, losses and partitions that apply to messages.
 type network struct {
 	latency        units.Micros
-	lossRate       float64      // chance that an answer is lost; half of it: a request is carried out late
-	duplicateRate  float64      // chance that a copy of a worker heartbeat comes late, to any controller
-	maxAnswerDelay units.Micros // the most that an answer to a worker heartbeat is delayed
+	lossRate       float64      // probability that an answer is lost; with half of it, a request arrives late
+	duplicateRate  float64      // probability that a late copy of a worker heartbeat is sent to a random controller
+	maxAnswerDelay units.Micros // maximum extra delay of an answer to a worker heartbeat; 0: none
 	partitions     []*networkPartition
 }
 
@@ -35,14 +35,14 @@
 
 const (
 	dropMessages        partitionMode = iota
-	delayRequests                     // requests are carried out after it, answers are lost
-	dropInbound                       // only what the peer sends to the host is lost
-	dropInboundRequests               // only the peer's requests are lost: it answers what it is asked
+	delayRequests                     // requests arrive after the partition, answers are lost
+	dropInbound                       // only messages from the peer to the host are lost
+	dropInboundRequests               // only requests from the peer to the host are lost, not answers
 )
 
-// networkPartition is an interruption between some hosts.
+// networkPartition interrupts messages between some hosts.
 type networkPartition struct {
-	crosses func(from, to string) bool // whether a message passes from the host's side to the peer's
+	crosses func(from, to string) bool // reports whether a message goes from the host's side to the peer's
 	mode    partitionMode
 	until   units.Micros
 }
@@ -59,19 +59,19 @@
 	}
 }
 
-// partitionHosts interrupts the way between two kinds of host.
+// partitionHosts partitions two groups of hosts, each given by a pattern, from each other.
 func (w *World) partitionHosts(hostPattern, peerPattern string, mode partitionMode, duration units.Micros) {
 	w.addPartition(mode, duration, func(from, to string) bool {
 		return matchesHost(hostPattern, from) && matchesHost(peerPattern, to)
 	})
 }
 
-// partitionMachines cuts some machines off from everything.
+// partitionMachines partitions machines from all hosts, including each other.
 func (w *World) partitionMachines(machines map[string]bool, mode partitionMode, duration units.Micros) {
 	w.addPartition(mode, duration, func(from, to string) bool { return machines[from] || machines[to] })
 }
 
-// partitionZone cuts a zone off from everything that is not in it.
+// partitionZone partitions a zone from all hosts outside it.
 func (w *World) partitionZone(zone string, mode partitionMode, duration units.Micros) {
 	w.addPartition(mode, duration, func(from, to string) bool { return (w.zoneOf(from) == zone) != (w.zoneOf(to) == zone) })
 }
@@ -80,8 +80,8 @@
 	w.network.partitions = append(w.network.partitions, &networkPartition{crosses: crosses, mode: mode, until: w.now + duration})
 }
 
-// partitionBetween finds what interrupts a request or an answer from one host to another; nil:
-// nothing does.
+// partitionBetween returns a partition that interrupts a request or an answer from one host to another,
+// or nil if there is none.
 func (w *World) partitionBetween(from, to string, answer bool) *networkPartition {
 	for _, partition := range w.network.partitions {
 		if w.now < partition.until && partition.interrupts(from, to, answer) {
@@ -91,15 +91,15 @@
 	return nil
 }
 
-// matchesHost reports whether a pattern names a host; a star at its end stands for any rest.
+// matchesHost reports whether a host matches a pattern; a * at the end matches any suffix.
 func matchesHost(pattern, host string) bool {
-	if prefix, ok := strings.CutSuffix(pattern, anyHost); ok {
+	if prefix, ok := strings.CutSuffix(pattern, hostWildcard); ok {
 		return strings.HasPrefix(host, prefix)
 	}
 	return pattern == host
 }
 
-// networkDelay draws the time of one trip through the network.
+// networkDelay draws the time that one message takes through the network.
 func (w *World) networkDelay() units.Micros {
 	latency := w.network.latency
 	delay := latency/2 + units.Micros(w.rng.Int64N(int64(latency)))
@@ -109,7 +109,7 @@
 	return delay
 }
 
-// answerDelay draws how much longer an answer to a host takes than usual.
+// answerDelay draws the extra delay of an answer to a host; only machines have one.
 func (w *World) answerDelay(host string) units.Micros {
 	if w.network.maxAnswerDelay == 0 || w.workers[host] == nil {
 		return 0
@@ -117,21 +117,21 @@
 	return units.Micros(w.rng.Int64N(int64(w.network.maxAnswerDelay)))
 }
 
-// delayAnswers delays answers to worker heartbeats for a while.
-func (w *World) delayAnswers(most, duration units.Micros) {
-	w.network.maxAnswerDelay = most
+// delayAnswers delays answers to worker heartbeats by up to maxDelay, for a duration.
+func (w *World) delayAnswers(maxDelay, duration units.Micros) {
+	w.network.maxAnswerDelay = maxDelay
 	w.after(duration, func() { w.network.maxAnswerDelay = 0 })
 }
 
-// duplicateHeartbeats repeats worker heartbeats late for a while.
+// duplicateHeartbeats sends late copies of worker heartbeats at a rate, for a duration.
 func (w *World) duplicateHeartbeats(rate float64, duration units.Micros) {
 	w.network.duplicateRate = rate
 	w.after(duration, func() { w.network.duplicateRate = 0 })
 }
 
-// call sends a request from one host to another. serve runs there and passes its answer to the
-// function that it is given; received runs here with that answer, or with ok false after the
-// timeout. Requests may be lost, or delayed and carried out though nobody waits for them any more.
+// call sends a request from one host to another. serve runs at the receiver and passes its response to
+// answer; received runs at the sender with that response, or with ok false after the timeout. Requests
+// may be lost, or delayed and served after the sender has given up.
 func call[T any](w *World, from, to string, timeout units.Micros, serve func(answer func(T)), received func(response T, ok bool)) {
 	finished := false
 	finish := func(response T, ok bool) {
@@ -158,7 +158,7 @@
 	w.after(w.networkDelay(), deliver)
 }
 
-// deliver carries a request out at its target, unless a network partition drops or delays it.
+// deliver serves a request at its receiver, unless a network partition drops or delays the request.
 func (w *World) deliver(from, to string, serve func()) {
 	partition := w.partitionBetween(from, to, false)
 	switch {
--- a/internal/simulator/steps.go
+++ b/internal/simulator/steps.go
@@ -8,26 +8,26 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// step is something that a scenario does to the region at a moment of it. Steps are values: a
+// step is an action of a scenario on the region. Steps are values that a run does not modify, so that a
 // scenario can be run again.
 type step interface {
-	// apply does it. It fails if what the step names isn't there.
+	// apply performs the step. It fails if a job, machine or controller that the step names does not exist.
 	apply(w *World) error
 }
 
-// What cancelRunning does.
+// Limits of cancelRunning.
 const (
-	minSecondsToCancel = 10 // jobs with less to run are left alone
-	cancelSpread       = units.Second / 5
+	minSecondsToCancel = 10               // jobs with a shorter run time are not cancelled
+	cancelSpread       = units.Second / 5 // cancellations are spread over this time
 	maxHungMachines    = 8
 )
 
-// submitJobs has users submit jobs that differ in their ids only.
+// submitJobs makes users submit jobs that differ only in their ids.
 type submitJobs struct {
 	firstNumber, count int
 	spec               schema.Job
-	failing            bool // with a mistake: they fail everywhere
-	ignoresNeeds       bool // at once, though the jobs that they need are not known to be accepted
+	failing            bool // their program has a bug: their tasks fail on every machine
+	ignoresNeeds       bool // they are submitted at once, before their dependencies are known to be accepted
 }
 
 func (s submitJobs) apply(w *World) error {
@@ -40,18 +40,18 @@
 	return nil
 }
 
-// cancelJob has a user cancel a job until that is confirmed.
+// cancelJob makes a user cancel a job, with retries until that is confirmed.
 type cancelJob struct{ id string }
 
 func (s cancelJob) apply(w *World) error {
 	if w.users.find(s.id) == nil {
-		return fmt.Errorf("no job %q", s.id)
+		return fmt.Errorf("no submitted job %q", s.id)
 	}
 	w.users.cancel(s.id)
 	return nil
 }
 
-// resubmitJob has a user submit a known job again.
+// resubmitJob makes a user submit a known job again.
 type resubmitJob struct {
 	id        string
 	malformed bool
@@ -59,14 +59,14 @@
 
 func (s resubmitJob) apply(w *World) error {
 	if w.users.find(s.id) == nil {
-		return fmt.Errorf("no job %q", s.id)
+		return fmt.Errorf("no submitted job %q", s.id)
 	}
-	w.users.repeat(s.id, s.malformed)
+	w.users.resubmit(s.id, s.malformed)
 	return nil
 }
 
-// cancelRunning has users cancel arrays that run and have long to go, within a fifth of a second;
-// some of their machines hang for a while.
+// cancelRunning makes users cancel running arrays with a long run time, within a fifth of a second; some
+// of their machines hang for a duration.
 type cancelRunning struct {
 	count int
 	hang  units.Micros
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// applyNextLimits puts the announced limits of the key-value store into force.
+// applyNextLimits makes the announced limits of the key-value store take effect.
 type applyNextLimits struct{}
 
 func (applyNextLimits) apply(w *World) error {
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -16,7 +16,7 @@
 
 const (
 	storeTimeout      = 1500 * units.Millisecond
-	watchGrace        = 5 * units.Second // a watch's timeout, beyond how long it waits
+	watchGrace        = 5 * units.Second // from the end of a watch's waiting time to its timeout
 	leaseExpiryPeriod = 50 * units.Millisecond
 	listPageSize      = 20 // small, so that paging is exercised
 	bytesPerKB        = 1024
@@ -30,24 +30,24 @@
 	leases    map[uint64]*storeLease
 	lastLease uint64
 
-	log           []kv.Event // the last changes, for watches
-	historyLength int        // how many of them are kept
-	compactedRev  uint64     // up to this revision they are not kept any more
+	log           []kv.Event // latest changes, for watches
+	historyLength int        // how many changes the log keeps
+	compactedRev  uint64     // the log no longer has changes up to this revision
 	watches       []*watch
 
 	limits        config.KVLimits
 	requestBudget tokenBucket
 	writeBudget   tokenBucket
 
-	txnsBeforeGate map[*kv.Txn]bool // those that were first sent before the format was raised
-	oversizedTxns  int              // how often one of the others broke a limit of sizes
+	txnsBeforeFormatRaise map[*kv.Txn]bool // transactions first sent before the format was raised
+	oversizedTxns         int              // how often one of the other transactions exceeded a size limit
 
 	down             bool
 	unavailableUntil map[string]units.Micros // by controller
 	watchesLostUntil map[string]units.Micros // by controller
-	lateCommitRate   float64                 // chance that a transaction gets no answer and is committed late
-	averageDelay     units.Micros            // how much longer than usual each answer takes
-	mixedUntil       units.Micros            // answers of watches tell the newest change of each key, in any order
+	lateCommitRate   float64                 // probability that a transaction gets no answer and is committed late
+	averageDelay     units.Micros            // average extra delay of a request
+	coalesceUntil    units.Micros            // until then watches return only the newest change of each key, in random order
 }
 
 type storedValue struct {
@@ -61,7 +61,7 @@
 	expiresAt units.Micros
 }
 
-// tokenBucket limits a rate; it keeps what a second leaves unused for the next.
+// tokenBucket limits a rate, in tokens a second; it holds at most what accrues in a second.
 type tokenBucket struct {
 	rate, level float64
 	updatedAt   units.Micros
@@ -79,28 +79,28 @@
 
 func newStore(w *World, limits config.KVLimits, historyLength int) *fakeStore {
 	s := &fakeStore{
-		world:            w,
-		keys:             map[string]*storedValue{},
-		leases:           map[uint64]*storeLease{},
-		historyLength:    historyLength,
-		txnsBeforeGate:   map[*kv.Txn]bool{},
-		requestBudget:    tokenBucket{rate: limits.RPS},
-		unavailableUntil: map[string]units.Micros{},
-		watchesLostUntil: map[string]units.Micros{},
+		world:                 w,
+		keys:                  map[string]*storedValue{},
+		leases:                map[uint64]*storeLease{},
+		historyLength:         historyLength,
+		txnsBeforeFormatRaise: map[*kv.Txn]bool{},
+		requestBudget:         tokenBucket{rate: limits.RPS},
+		unavailableUntil:      map[string]units.Micros{},
+		watchesLostUntil:      map[string]units.Micros{},
 	}
 	s.setLimits(limits)
 	w.every(leaseExpiryPeriod, s.expireLeases)
 	return s
 }
 
-// setLimits puts limits of sizes and writes into force.
+// setLimits applies the limits on sizes and writes.
 func (s *fakeStore) setLimits(limits config.KVLimits) {
 	s.limits = limits
 	s.writeBudget.rate = limits.WriteRPS
 }
 
-// startOutage makes the store unavailable to all for a while. Afterwards each lease has its full time
-// again.
+// startOutage makes the store unavailable to all controllers for a duration. At its end each lease is
+// renewed for its full TTL.
 func (s *fakeStore) startOutage(duration units.Micros) {
 	s.down = true
 	s.world.after(duration, func() {
@@ -112,26 +112,27 @@
 	})
 }
 
-// refuse makes the store unavailable to one controller for a while.
+// refuse makes the store unavailable to one controller for a duration.
 func (s *fakeStore) refuse(caller string, duration units.Micros) {
 	s.unavailableUntil[caller] = s.world.now + duration
 }
 
-// loseWatches makes a controller's watches tell nothing for a while.
+// loseWatches leaves a controller's watches unanswered for a duration.
 func (s *fakeStore) loseWatches(caller string, duration units.Micros) {
 	s.watchesLostUntil[caller] = s.world.now + duration
 }
 
-// mixChanges makes answers of watches tell only the newest change of each key, in any order, for a while.
-func (s *fakeStore) mixChanges(duration units.Micros) { s.mixedUntil = s.world.now + duration }
+// coalesceChanges makes watches return only the newest change of each key, in random order, for a
+// duration.
+func (s *fakeStore) coalesceChanges(duration units.Micros) { s.coalesceUntil = s.world.now + duration }
 
-// commitLate leaves some transactions without an answer for a while, and commits them seconds later.
+// commitLate begins a fault during which some transactions get no answer and are committed seconds later.
 func (s *fakeStore) commitLate(rate float64, duration units.Micros) {
 	s.lateCommitRate = rate
 	s.world.after(duration, func() { s.lateCommitRate = 0 })
 }
 
-// slowDown makes all answers take longer for a while.
+// slowDown delays all requests by averageDelay on average, for a duration.
 func (s *fakeStore) slowDown(averageDelay, duration units.Micros) {
 	s.averageDelay = averageDelay
 	s.world.after(duration, func() { s.averageDelay = 0 })
@@ -141,10 +142,10 @@
 	return s.down || s.world.now < s.unavailableUntil[caller]
 }
 
-// sortedKeys lists all keys.
+// sortedKeys returns all keys in order.
 func (s *fakeStore) sortedKeys() []string { return slices.Sorted(maps.Keys(s.keys)) }
 
-// textUnder is all values under a prefix, decompressed.
+// textUnder returns all values under a prefix, decompressed and concatenated.
 func (s *fakeStore) textUnder(prefix string) string {
 	var text strings.Builder
 	for _, key := range s.sortedKeys() {
@@ -155,11 +156,11 @@
 	return text.String()
 }
 
-// call serves a controller's request across the network.
+// call sends a controller's request to the store over the network.
 func (s *fakeStore) call(caller string, storeCall controller.StoreCall, done func(controller.StoreResult)) {
 	request := &storeCall.Request
 	if request.Kind == kv.Transact && !s.formatRaised() {
-		s.txnsBeforeGate[request.Txn] = true
+		s.txnsBeforeFormatRaise[request.Txn] = true
 	}
 	timeout := storeTimeout
 	if request.Kind == kv.Watch {
@@ -221,7 +222,7 @@
 	return kv.Response{Status: kv.StatusOK, Key: key, Value: stored.value, ModRevision: stored.revision}
 }
 
-// list answers with one page of the keys under a prefix.
+// list returns one page of the keys under a prefix.
 func (s *fakeStore) list(request *kv.Request) kv.Response {
 	var keys []string
 	for key := range s.keys {
@@ -255,7 +256,7 @@
 	return kv.Response{Status: kv.StatusOK}
 }
 
-// expireLeases ends leases whose time is over, with their keys; none during an outage.
+// expireLeases deletes expired leases and their keys; none expires during an outage.
 func (s *fakeStore) expireLeases() {
 	if s.down {
 		return
@@ -263,14 +264,14 @@
 	for id := uint64(1); id <= s.lastLease; id++ {
 		if lease := s.leases[id]; lease != nil && s.world.now >= lease.expiresAt {
 			delete(s.leases, id)
-			s.deleteKeysOf(id)
+			s.deleteLeaseKeys(id)
 		}
 	}
 	s.notifyWatches()
 }
 
-// deleteKeysOf removes the keys that were stored under a lease.
-func (s *fakeStore) deleteKeysOf(lease uint64) {
+// deleteLeaseKeys removes the keys that were stored under a lease.
+func (s *fakeStore) deleteLeaseKeys(lease uint64) {
 	var keys []string
 	for key, stored := range s.keys {
 		if stored.lease == lease {
--- a/internal/simulator/store_txn.go
+++ b/internal/simulator/store_txn.go
@@ -7,13 +7,13 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// maxTxnBytes is how large a transaction may be.
+// maxTxnBytes is the maximum size of a transaction: its keys and values.
 const maxTxnBytes = 64 << 10
 
-// transact commits a transaction if its conditions hold and it keeps to the limits.
+// transact commits a transaction if its conditions hold and it is within the limits.
 func (s *fakeStore) transact(txn *kv.Txn) kv.Response {
 	if s.tooLarge(txn) {
-		if !s.txnsBeforeGate[txn] {
+		if !s.txnsBeforeFormatRaise[txn] {
 			s.oversizedTxns++
 		}
 		return kv.Response{Status: kv.StatusMalformed}
@@ -33,7 +33,7 @@
 	return kv.Response{Status: kv.StatusOK, Revision: s.revision}
 }
 
-// tooLarge reports whether a transaction breaks a limit of sizes.
+// tooLarge reports whether a transaction exceeds a size limit.
 func (s *fakeStore) tooLarge(txn *kv.Txn) bool {
 	if len(txn.Operations) > s.limits.TxnOps || len(txn.Conditions) > 4*s.limits.TxnOps {
 		return true
@@ -49,7 +49,7 @@
 	return size > maxTxnBytes
 }
 
-// failedConditions lists the keys whose revision is another than the transaction requires.
+// failedConditions returns the keys whose revision differs from what the transaction requires.
 func (s *fakeStore) failedConditions(txn *kv.Txn) []string {
 	var failed []string
 	for _, condition := range txn.Conditions {
@@ -64,7 +64,7 @@
 	return failed
 }
 
-// namesExpiredLease reports whether a transaction stores a key under a lease that is over.
+// namesExpiredLease reports whether a transaction stores a key under an expired lease.
 func (s *fakeStore) namesExpiredLease(txn *kv.Txn) bool {
 	for i := range txn.Operations {
 		if op := &txn.Operations[i]; op.Set != "" && op.LeaseID != 0 && s.leases[op.LeaseID] == nil {
@@ -90,7 +90,7 @@
 	s.notifyWatches()
 }
 
-// compactLog forgets the oldest changes.
+// compactLog drops the oldest changes beyond historyLength.
 func (s *fakeStore) compactLog() {
 	excess := len(s.log) - s.historyLength
 	if excess > 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// formatRaised reports whether the documents may have the present format: from then on nothing may be
-// larger than the announced limits.
+// formatRaised reports whether documents may have the present format. Once they may, nothing may exceed
+// the announced limits.
 func (s *fakeStore) formatRaised() bool {
 	stored := s.keys[schema.LayoutKey]
 	var layout schema.Layout
--- a/internal/simulator/store_watch.go
+++ b/internal/simulator/store_watch.go
@@ -12,12 +12,12 @@
 // watch is a request that waits for changes under a prefix.
 type watch struct {
 	prefix string
-	since  uint64 // the revision up to which the caller knows everything
+	since  uint64 // the caller knows all changes up to this revision
 	caller string
 	answer func(kv.Response)
 }
 
-// watch answers at the next change under a prefix, or when the caller's time is up.
+// watch answers at the next change under a prefix, or when the request's waiting time is up.
 func (s *fakeStore) watch(caller string, request *kv.Request, answer func(kv.Response)) {
 	if request.Revision < s.compactedRev {
 		answer(kv.Response{Status: kv.StatusCompacted})
@@ -29,18 +29,18 @@
 	s.notifyWatches()
 }
 
-// notifyWatches answers all watches for which there is news.
+// notifyWatches answers all watches that have new changes.
 func (s *fakeStore) notifyWatches() {
 	for _, waiting := range slices.Clone(s.watches) {
 		s.answerWatch(waiting, false)
 	}
 }
 
-// answerWatch answers a watch, unless it was answered before or there is nothing to tell yet.
+// answerWatch answers a watch that has not been answered before, if it has new changes or its time is up.
 func (s *fakeStore) answerWatch(waiting *watch, timeUp bool) {
 	unavailable := s.unavailable(waiting.caller)
 	if unavailable && !timeUp || s.world.now < s.watchesLostUntil[waiting.caller] {
-		return // a lost watch is a connection that died without a sign
+		return // a lost watch is like a connection that broke without an error
 	}
 	index := slices.Index(s.watches, waiting)
 	if index < 0 {
@@ -49,7 +49,7 @@
 	response := kv.Response{Status: kv.StatusOK, Revision: s.revision}
 	switch {
 	case unavailable:
-		response.Revision = waiting.since // nothing new is told
+		response.Revision = waiting.since // no progress is reported
 	case waiting.since < s.compactedRev:
 		response = kv.Response{Status: kv.StatusCompacted}
 	default:
@@ -62,7 +62,7 @@
 	waiting.answer(response)
 }
 
-// changesFor lists the changes that a watch has not told yet.
+// changesFor returns the changes that the caller of a watch does not know yet.
 func (s *fakeStore) changesFor(waiting *watch) []kv.Event {
 	var changes []kv.Event
 	first := sort.Search(len(s.log), func(i int) bool { return s.log[i].ModRevision > waiting.since })
@@ -72,19 +72,19 @@
 			changes = append(changes, *change)
 		}
 	}
-	if s.world.now < s.mixedUntil {
-		changes = s.mixed(changes)
+	if s.world.now < s.coalesceUntil {
+		changes = s.coalesced(changes)
 	}
 	return changes
 }
 
-// mixed gives the newest change of each key, in any order.
-func (s *fakeStore) mixed(changes []kv.Event) []kv.Event {
+// coalesced returns only the newest change of each key, in random order.
+func (s *fakeStore) coalesced(changes []kv.Event) []kv.Event {
 	var newest []kv.Event
-	told := map[string]bool{}
+	seen := map[string]bool{}
 	for _, change := range slices.Backward(changes) {
-		if key := change.Set + change.Delete; !told[key] {
-			told[key] = true
+		if key := change.Set + change.Delete; !seen[key] {
+			seen[key] = true
 			newest = append(newest, change)
 		}
 	}
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	submitTimeout      = 5 * units.Second
-	cancelTimeout      = 5 * units.Second
-	pollTimeout        = 2 * units.Second
-	connectFailureTime = 100 * units.Millisecond // until a user knows that no controller is healthy
-	retryDelay         = units.Second
-	submissionPatience = 60 * units.Second      // how long a user goes on submitting
-	dependencyDelay    = 20 * units.Millisecond // between looks at whether the jobs that one needs are accepted
-	minPollDelay       = 4 * units.Second
-	pollDelaySpread    = 2 * units.Second
-	pollDelayWhenOver  = 30 * units.Second // users may ask again at any later time
+	submitTimeout         = 5 * units.Second
+	cancelTimeout         = 5 * units.Second
+	pollTimeout           = 2 * units.Second
+	connectFailureTime    = 100 * units.Millisecond // until a request fails because no controller is healthy
+	retryDelay            = units.Second
+	submissionRetryWindow = 60 * units.Second      // how long a user retries a submission
+	dependencyDelay       = 20 * units.Millisecond // between checks whether a job's dependencies are accepted
+	minPollDelay          = 4 * units.Second
+	pollDelaySpread       = 2 * units.Second
+	pollDelayAfterEnd     = 30 * units.Second // users may query a job at any time after its end
 )
 
-// errMalformed is what the controller is given in place of a body that can't be read.
+// errMalformed is passed to the controller in place of a body that can't be decoded.
 var errMalformed = errors.New("malformed")
 
-// statusNone stands for a request that got no answer.
+// statusNone is the status of a request that got no answer.
 const statusNone = 0
 
 // fakeUsers submit jobs, poll them and cancel some.
@@ -35,33 +35,33 @@
 	world *World
 	jobs  map[string]*userJob // by id
 
-	cancelAtEndRate float64 // chance that a job is cancelled at the moment of its end
-	invalidJobs     int     // submitted so far
+	cancelAtEndRate float64 // probability that a job is cancelled at the moment of its completion
+	invalidJobs     int     // number submitted so far
 }
 
 // userJob is a job as its user knows it.
 type userJob struct {
 	spec            schema.Job
 	runSeconds      float64
-	failing         bool // its program has a mistake: it fails everywhere
-	ignoresNeeds    bool // it is submitted though the jobs that it needs are not known to be accepted
+	failing         bool // its program has a bug: its tasks fail on every machine
+	ignoresNeeds    bool // it is submitted before its dependencies are known to be accepted
 	rejectReason    rejectReason
 	submittedAt     units.Micros // when it was last submitted
 	acceptedAt      units.Micros
-	rejectedStatus  int // with which it was refused for good; 0: it was not
+	rejectedStatus  int // HTTP status of its permanent rejection; 0: not rejected
 	cancelRequested bool
-	stage           string // the last that its user was told
+	stage           string // the last one reported to its user
 }
 
-// over reports whether the job's user was told that it has ended.
+// over reports whether the job's user was told that the job is done or cancelled.
 func (j *userJob) over() bool { return j.stage == stageDone || j.stage == stageCancelled }
 
-// userAnswer is what a user gets for a request.
+// userAnswer is the answer to a user's request.
 type userAnswer struct {
 	status int
-	stage  string // of the job; empty: not told
-	// knownStage is what the user had been told when the request was sent: an answer may be overtaken
-	// by another on its way.
+	stage  string // of the job; empty: not in the answer
+	// knownStage is the stage that the user knew when the request was sent: answers may arrive out of
+	// order.
 	knownStage string
 }
 
@@ -69,11 +69,11 @@
 
 func (u *fakeUsers) find(id string) *userJob { return u.jobs[id] }
 
-// job finds the job of a task that some machine has.
+// job returns the job of a task on a machine. It panics if no user submitted the job.
 func (u *fakeUsers) job(id string) *userJob {
 	job := u.jobs[id]
 	if job == nil {
-		panic("a task of a job that nobody submitted: " + id)
+		panic("a machine has a task of a job that was never submitted: " + id)
 	}
 	return job
 }
@@ -87,7 +87,8 @@
 	return sorted
 }
 
-// healthyProcess draws a controller to which the load balancer sends requests; nil: there is none.
+// healthyProcess draws a controller to which the load balancer sends requests, or returns nil if there
+// is none.
 func (u *fakeUsers) healthyProcess() *controllerProcess {
 	var healthy []*controllerProcess
 	for _, process := range u.world.processes {
@@ -101,8 +102,8 @@
 	return healthy[u.world.rng.IntN(len(healthy))]
 }
 
-// request sends a request to a random healthy controller. Failures to connect are soon known,
-// everything else is waited for.
+// request sends a request to a random healthy controller and waits for the answer until the timeout. If
+// no controller is healthy, the request fails after connectFailureTime.
 func (u *fakeUsers) request(kind controller.UserRequestKind, id string, job *schema.Job, timeout units.Micros, received func(userAnswer)) {
 	w := u.world
 	knownStage := w.checker.lastStage(id)
@@ -122,14 +123,14 @@
 	})
 }
 
-// requestForUser gives the controller a user's request; a submission without a job is malformed.
+// requestForUser passes a user's request to the controller; a submission without a job is malformed.
 func (p *controllerProcess) requestForUser(kind controller.UserRequestKind, id string, job *schema.Job, answer func(controller.Reply)) {
 	request := controller.UserRequest{Kind: kind, JobID: id}
 	switch {
 	case job != nil:
 		submitted := *job
 		if p.previousVersion {
-			submitted.Needs = nil // it ignores what it doesn't know
+			submitted.Needs = nil // the previous version ignores fields that it doesn't know
 		}
 		request.Job = &submitted
 	case kind == controller.SubmitJob:
@@ -148,8 +149,8 @@
 	return ""
 }
 
-// submit sends a job until it is accepted or refused for good: as soon as the jobs that it needs are
-// accepted, or at once.
+// submit submits a job and retries until it is accepted or permanently rejected. It waits until the
+// job's dependencies are accepted; a job that ignores them is submitted at once.
 func (u *fakeUsers) submit(job *userJob) {
 	u.jobs[job.spec.ID] = job
 	u.world.checker.submitted(&job.spec)
@@ -159,15 +160,15 @@
 	u.trySubmit(job, u.world.now)
 }
 
-// trySubmit submits a job again and again, for some time since its first submission.
-func (u *fakeUsers) trySubmit(job *userJob, first units.Micros) {
+// trySubmit submits a job and retries until submissionRetryWindow after its first submission.
+func (u *fakeUsers) trySubmit(job *userJob, firstAttemptAt units.Micros) {
 	w := u.world
 	if !job.ignoresNeeds && !u.allAccepted(job.spec.Needs) {
-		w.after(dependencyDelay, func() { u.trySubmit(job, first) })
+		w.after(dependencyDelay, func() { u.trySubmit(job, firstAttemptAt) })
 		return
 	}
 	if len(job.spec.Needs) > 0 && job.submittedAt == 0 {
-		first = w.now
+		firstAttemptAt = w.now
 	}
 	job.submittedAt = w.now
 	u.sendSubmission(job, job.rejectReason == lacksField, func(answer userAnswer) {
@@ -177,14 +178,14 @@
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
 			job.rejectedStatus = answer.status
 		default:
-			if w.now-first < submissionPatience {
-				w.after(retryDelay, func() { u.trySubmit(job, first) })
+			if w.now-firstAttemptAt < submissionRetryWindow {
+				w.after(retryDelay, func() { u.trySubmit(job, firstAttemptAt) })
 			}
 		}
 	})
 }
 
-// sendSubmission submits a job once, whole or malformed.
+// sendSubmission submits a job once, either complete or malformed.
 func (u *fakeUsers) sendSubmission(job *userJob, malformed bool, received func(userAnswer)) {
 	id, spec := job.spec.ID, &job.spec
 	if malformed {
@@ -196,7 +197,7 @@
 	})
 }
 
-// accepted notes that a job is accepted, and begins to poll it.
+// accepted records that a job is accepted, and begins to poll it.
 func (u *fakeUsers) accepted(job *userJob, stage string) {
 	if job.acceptedAt == 0 {
 		job.acceptedAt = u.world.now
@@ -219,7 +220,7 @@
 	return minPollDelay + units.Micros(u.world.rng.Int64N(int64(pollDelaySpread)))
 }
 
-// poll asks about a job, now and until the run ends.
+// poll queries a job now and then periodically until the run ends.
 func (u *fakeUsers) poll(job *userJob) {
 	u.request(controller.QueryJob, job.spec.ID, nil, pollTimeout, func(answer userAnswer) {
 		u.world.checker.pollAnswered(job.spec.ID, answer)
@@ -228,24 +229,24 @@
 		}
 		delay := u.pollDelay()
 		if job.over() {
-			delay = pollDelayWhenOver
+			delay = pollDelayAfterEnd
 		}
 		u.world.after(delay, func() { u.poll(job) })
 	})
 }
 
-// pollUnknownJob asks about a job that nobody submitted.
+// pollUnknownJob queries a job that was never submitted.
 func (u *fakeUsers) pollUnknownJob() {
 	id := fmt.Sprintf("j-%012d", 900000000000+u.world.rng.Int64N(1000))
 	u.request(controller.QueryJob, id, nil, pollTimeout, func(answer userAnswer) { u.world.checker.pollAnswered(id, answer) })
 }
 
-// repeat submits a known job again, whole or malformed.
-func (u *fakeUsers) repeat(id string, malformed bool) {
+// resubmit submits a known job again, either complete or malformed.
+func (u *fakeUsers) resubmit(id string, malformed bool) {
 	u.sendSubmission(u.jobs[id], malformed, func(userAnswer) {})
 }
 
-// cancel asks to cancel a job until that is answered.
+// cancel requests the cancellation of a job and retries until it is confirmed.
 func (u *fakeUsers) cancel(id string) {
 	u.jobs[id].cancelRequested = true
 	u.world.checker.cancelRequested(id)
@@ -263,13 +264,13 @@
 	})
 }
 
-// cancelJobsAtEnd has users cancel some jobs at the moment of their end, for a while.
+// cancelJobsAtEnd makes users cancel some jobs at the moment of their completion, for a duration.
 func (u *fakeUsers) cancelJobsAtEnd(rate float64, duration units.Micros) {
 	u.cancelAtEndRate = rate
 	u.world.after(duration, func() { u.cancelAtEndRate = 0 })
 }
 
-// jobCompleted may cancel a job at the moment of its end.
+// jobCompleted cancels a job, with probability cancelAtEndRate, at the moment of its completion.
 func (u *fakeUsers) jobCompleted(id string) {
 	if u.cancelAtEndRate > 0 && !u.jobs[id].cancelRequested && u.world.rng.Float64() < u.cancelAtEndRate {
 		u.cancel(id)
--- a/internal/simulator/users_invalid.go
+++ b/internal/simulator/users_invalid.go
@@ -6,14 +6,14 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// rejectReason is why a job must not be accepted; empty: it may be.
+// rejectReason is why a job must not be accepted; empty: it may be accepted.
 type rejectReason string
 
 const (
-	fitsNoMachine rejectReason = "fits no machine"
-	hasNoTeam     rejectReason = "has no team"
-	namesNoZone   rejectReason = "names no zone"
-	lacksField    rejectReason = "lacks a field"
+	fitsNoMachine    rejectReason = "fits no machine"
+	namesUnknownTeam rejectReason = "names an unknown team"
+	namesUnknownZone rejectReason = "names an unknown zone"
+	lacksField       rejectReason = "lacks a field"
 )
 
 const (
@@ -22,8 +22,8 @@
 	invalidJobSeconds     = 10
 )
 
-// sendInvalid sends what no user should send, until then: repeats of unfinished jobs, of which some
-// are malformed, cancellations of done ones, and jobs that can't run.
+// sendInvalid sends requests that no user should send, until the given time: repeated submissions of
+// accepted jobs, of which some are malformed, cancellations of done ones, and jobs that can't run.
 func (u *fakeUsers) sendInvalid(until units.Micros) {
 	rng := u.world.rng
 	if u.world.now > until {
@@ -38,7 +38,7 @@
 	switch rng.IntN(4) {
 	case 0:
 		if job.acceptedAt > 0 {
-			u.repeat(job.spec.ID, rng.IntN(2) == 0)
+			u.resubmit(job.spec.ID, rng.IntN(2) == 0)
 		}
 	case 1:
 		if job.stage == stageDone && !job.cancelRequested {
@@ -49,18 +49,18 @@
 	}
 }
 
-// submitInvalid submits a job like a given one, but for something that forbids it.
-func (u *fakeUsers) submitInvalid(like *userJob) {
-	invalid := &userJob{runSeconds: invalidJobSeconds, spec: like.spec}
+// submitInvalid submits a copy of the template with a random defect for which it must be rejected.
+func (u *fakeUsers) submitInvalid(template *userJob) {
+	invalid := &userJob{runSeconds: invalidJobSeconds, spec: template.spec}
 	invalid.spec.ID = fmt.Sprintf("j-%06d", firstInvalidJobNumber+u.invalidJobs)
 	u.invalidJobs++
 	switch u.world.rng.IntN(4) {
 	case 0:
 		invalid.rejectReason, invalid.spec.CPUs = fitsNoMachine, 100000
 	case 1:
-		invalid.rejectReason, invalid.spec.Team = hasNoTeam, "nobody"
+		invalid.rejectReason, invalid.spec.Team = namesUnknownTeam, "nobody"
 	case 2:
-		invalid.rejectReason, invalid.spec.Zone = namesNoZone, "nowhere"
+		invalid.rejectReason, invalid.spec.Zone = namesUnknownZone, "nowhere"
 	case 3:
 		invalid.rejectReason = lacksField
 	}
