--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -1,7 +1,7 @@
 // Package admission limits the number of user requests in flight. The limit
 // adapts to measured latencies: it decreases when requests take much longer than
-// without load, and increases again when they do not. Polls may use only a part
-// of it, so that they never starve submissions and cancellations.
+// without load, and increases again when they do not. Queries may use only a
+// part of it, so that they never starve submissions and cancellations.
 package admission
 
 import (
@@ -16,8 +16,8 @@
 // Kinds of requests.
 const (
 	Submit Kind = iota
-	Poll
-	Abort
+	Query
+	Cancel
 	kindCount
 )
 
@@ -26,7 +26,7 @@
 	initialLimit = 256.0
 	minLimit     = 32.0 // waiting submissions are stored in batches, so a lower limit would not shorten latencies
 	maxLimit     = 1024.0
-	pollShare    = 0.6 // part of the limit that polls may use
+	queryShare   = 0.6 // part of the limit that queries may use
 	// The limit decreases when the mean latency of a window exceeds the baseline
 	// times slowdownFactor plus latencyAllowance. The allowance keeps small
 	// delays of a fast service from decreasing it.
@@ -62,7 +62,7 @@
 	for _, count := range l.inFlight {
 		total += count
 	}
-	if total >= int(l.limit) || kind == Poll && l.inFlight[Poll] >= int(l.limit*pollShare) {
+	if total >= int(l.limit) || kind == Query && l.inFlight[Query] >= int(l.limit*queryShare) {
 		l.saturated = true
 		return false
 	}
--- a/internal/admission/limiter_test.go
+++ b/internal/admission/limiter_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-var kindByName = map[string]Kind{"submit": Submit, "poll": Poll, "abort": Abort}
+var kindByName = map[string]Kind{"submit": Submit, "poll": Query, "abort": Cancel}
 
 // inFlightRequest is an admitted request that has not finished.
 type inFlightRequest struct {
--- a/internal/controller/acceptance.go
+++ b/internal/controller/acceptance.go
@@ -12,14 +12,14 @@
 // acceptsTasks reports whether a machine that this controller commands may be given tasks.
 func (a *machineAcceptance) acceptsTasks(m *machine) bool {
 	state := m.agent
-	heard := state.heardAt > 0 && a.now-state.heardAt < silenceAfter(a.cfg.Settings.HeartbeatPeriod())
-	return heard && state.takesNewTasks() && state.responses.lost < maxLostResponses &&
+	heard := state.heardAt > 0 && a.now-state.heardAt < heardTimeout(a.cfg.Settings.HeartbeatPeriod())
+	return heard && state.takesNewTasks() && state.responses.lost < minLostResponses &&
 		state.tokenSeen == a.replica.fencingToken(m) && !state.command.unclear() && !a.fleet.unreachableInbound(m)
 }
 
-// foreignMachineOpen reports whether the heartbeat of the leader that commands a machine lists it as
-// accepting tasks, and which images the machine holds.
-func (a *machineAcceptance) foreignMachineOpen(m *machine) ([]string, bool) {
+// foreignMachineAcceptsTasks reports whether the heartbeat of the leader that commands a machine lists it
+// as accepting tasks, and which images the machine holds.
+func (a *machineAcceptance) foreignMachineAcceptsTasks(m *machine) ([]string, bool) {
 	partition := a.replica.partitions[m.shard.partition]
 	if partition == nil {
 		return nil, false
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -265,7 +265,7 @@
 func (f *shardFill) add(submission pendingSubmission) {
 	q := f.queue
 	known := q.replica.jobs[submission.job.ID]
-	size := schema.MaxStoredSize(len(encode(submission.job)))
+	size := schema.MaxStoredGrowth(len(encode(submission.job)))
 	switch {
 	case known != nil && known.accepted: // stored meanwhile by another controller
 		q.answerExisting(submission)
--- a/internal/controller/accepts_test.go
+++ b/internal/controller/accepts_test.go
@@ -44,7 +44,7 @@
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
 	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	c.now = units.Second
 	writer := &fakeShardWriter{inFlight: map[string]bool{}}
 	c.accepts.commits = writer
--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -32,11 +32,11 @@
 	command   directCommand
 	probe     probe
 
-	quarantine     quarantineState
-	idleSince      units.Micros
-	entriesLeaving map[taskKey]bool // entries that a commit in flight removes from the document
-	draining       bool             // takes no new tasks, so that the machine becomes empty and can be deleted
-	decommission   decommissionDecision
+	quarantine          quarantineState
+	idleSince           units.Micros
+	entriesBeingRemoved map[taskKey]bool // entries that a commit in flight removes from the document
+	draining            bool             // takes no new tasks, so that the machine becomes empty and can be deleted
+	decommission        decommissionDecision
 }
 
 // newAgentState returns the state of an agent that was not heard yet. Another controller may have renewed
@@ -64,8 +64,8 @@
 	s.leaseEnd = max(s.leaseEnd, renewedAt+lease+leaseMargin(lease))
 }
 
-// leaseMargin returns what is added to a lease for the drift of the steady clocks, and for messages that
-// were in flight when the response was sent.
+// leaseMargin returns what is added to a lease for the drift of the monotonic clocks, and for messages
+// that were in flight when the response was sent.
 func leaseMargin(lease units.Micros) units.Micros {
 	const driftDivisor = 500 // the clocks drift by at most one part in 500
 	return lease/driftDivisor + units.Second
@@ -100,7 +100,7 @@
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b taskKey) int {
-		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.num, b.num), cmp.Compare(a.attempt, b.attempt))
+		return cmp.Or(cmp.Compare(a.job, b.job), cmp.Compare(a.index, b.index), cmp.Compare(a.attempt, b.attempt))
 	})
 	return keys
 }
@@ -146,9 +146,9 @@
 	p.failures++
 }
 
-// maxLostResponses is how many consecutive heartbeats must show that earlier responses were lost for the
+// minLostResponses is how many consecutive heartbeats must show that earlier responses were lost for the
 // machine to count as unreachable outbound without failed probes. Fewer may be due to random packet loss.
-const maxLostResponses = 3
+const minLostResponses = 3
 
 // responseState is what is known of the responses to an agent's heartbeats.
 type responseState struct {
@@ -172,7 +172,7 @@
 		// The lease expired although heartbeats arrived and were answered throughout that time. A new
 		// epoch alone proves nothing: after a network partition the delayed heartbeats may arrive all
 		// at once, or only one of the new epoch.
-		r.lost = maxLostResponses
+		r.lost = minLostResponses
 	case tokenShown >= token:
 		r.lost = 0
 	case r.token == token:
@@ -189,11 +189,11 @@
 // steady reports whether heartbeats have arrived, and been answered, without interruption for longer than
 // the given duration.
 func (r *responseState) steady(now, heartbeatPeriod, duration units.Micros) bool {
-	return now-r.givenAt < silenceAfter(heartbeatPeriod) && now-r.givenSince > duration
+	return now-r.givenAt < heardTimeout(heartbeatPeriod) && now-r.givenSince > duration
 }
 
-// silenceAfter returns how long after a heartbeat an agent still counts as heard.
-func silenceAfter(heartbeatPeriod units.Micros) units.Micros { return 2*heartbeatPeriod + units.Second }
+// heardTimeout returns how long after a heartbeat an agent still counts as heard.
+func heardTimeout(heartbeatPeriod units.Micros) units.Micros { return 2*heartbeatPeriod + units.Second }
 
 // decommissionDecision is the decision to delete a machine in the cloud. It is never revoked.
 type decommissionDecision struct {
--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -18,7 +18,7 @@
 		return
 	}
 	order := p.rankArrays(active)
-	queueBehind := p.pickShards()
+	queueOnBusyMachines := p.pickShards()
 	p.expireReservations(active)
 	p.placeFirstTasks(order)
 	// Next are jobs within their team's guarantee: they need not wait for other teams, and take capacity
@@ -32,7 +32,7 @@
 	p.placeShares(order)
 	anyJob := func(*job) bool { return true }
 	p.placeAll(order, anyJob)
-	if queueBehind {
+	if queueOnBusyMachines {
 		p.stageCapacityEndingSoon()
 		p.placeAll(order, anyJob)
 	}
@@ -71,7 +71,7 @@
 	var order []*job
 	for _, ranked := range fairshare.Allocate(list, capacity) {
 		j := byID[ranked.ID]
-		j.share = ranked.Share
+		j.fairShareCPUs = ranked.Share
 		if p.now >= j.retryAt {
 			order = append(order, j)
 		}
@@ -104,7 +104,7 @@
 	}
 	state.sharesResetAt = p.now
 	for _, j := range active {
-		j.share = 0
+		j.fairShareCPUs = 0
 	}
 }
 
@@ -117,7 +117,7 @@
 	return fairshare.Job{
 		ID: j.id, TotalTasks: j.spec.Tasks, UnfinishedTasks: j.spec.Tasks - j.doneCount(), AverageTaskTime: average,
 		MaxParallel: maxParallel,
-		Age:         max(0, p.timeOfDay-j.eligibleSince()), TaskSize: j.spec.CPUs, Share: j.share, Weight: p.weight(j),
+		Age:         max(0, p.timeOfDay-j.eligibleSince()), TaskSize: j.spec.CPUs, Share: j.fairShareCPUs, Weight: p.weight(j),
 	}
 }
 
@@ -151,7 +151,7 @@
 // placeShares places tasks of each job up to its share, and at least one.
 func (p *plan) placeShares(order []*job) {
 	for _, j := range order {
-		share := max(1, int(j.share/j.spec.CPUs+roundingTolerance))
+		share := max(1, int(j.fairShareCPUs/j.spec.CPUs+roundingTolerance))
 		p.placeUpTo(j, share-j.active())
 	}
 }
@@ -227,7 +227,7 @@
 // change must start as many tasks as possible: the machine shards with the most capacity, now or soon,
 // are picked first. It reports whether tasks should also queue behind tasks that end soon, since little
 // other capacity is free.
-func (p *plan) pickShards() (queueBehind bool) {
+func (p *plan) pickShards() (queueOnBusyMachines bool) {
 	var candidates []shardCapacity
 	for _, shard := range p.shards {
 		if shard.changed || p.reservedForLeader(shard) {
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -252,7 +252,7 @@
 	if facts.Contradicts() {
 		a.reportViolation(invariantAnswer, "job", answer.ID, "stage", answer.Stage, "end", outcome.State)
 	}
-	if facts.Overtaken() {
+	if facts.Outdated() {
 		answer = outcomeStatus(answer.ID, outcome)
 		facts = answer.facts(outcome, stored)
 	}
--- a/internal/controller/audit_test.go
+++ b/internal/controller/audit_test.go
@@ -50,12 +50,12 @@
 		a.Error("a task that is not entered is started")
 	}
 	a.checkViolation(invariantStart, true)
-	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(a.entry)), a.store.rev+1, false)
+	c.replica.apply(shardOfMachine(c.replica.layout), encode(machineWith(a.entry)), a.store.revision+1, false)
 	if allowed, ok := c.audit.checkCommands(a.m, start); !ok || len(allowed) != 1 {
 		a.Error("an entered task is not started")
 	}
 	a.checkViolation(invariantStart, false)
-	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), a.store.rev+2, false)
+	c.replica.apply(schema.CancellationPrefix+"j-000001", []byte(`{}`), a.store.revision+2, false)
 	if allowed, _ := c.audit.checkCommands(a.m, start); len(allowed) > 0 {
 		a.Error("a task of a cancelled job is started")
 	}
@@ -117,12 +117,12 @@
 	c, o, step := controllerWithForeignJob(t)
 	c.log = slog.New(slog.NewTextHandler(&log, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	c.freshness.provenAt = 0 // the proof of freshness is lost, and regained by the steps below
-	c.authority.since = c.now
+	c.authority.gainedAt = c.now
 	for range 80 {
 		step()
 	}
 	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
-	step(o.watchEvents(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}))
+	step(o.watchEvents(kv.Event{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.revision + 1}))
 	for range 80 {
 		step()
 	}
--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -22,7 +22,7 @@
 	freshness  *freshness
 	partitions *partitionTable
 
-	since units.Micros // when this process gained the right to act; 0: it may not act
+	gainedAt units.Micros // when this process gained the right to act; 0: it may not act
 }
 
 // mayAct reports whether this process may answer agents, command them, and plan.
@@ -39,10 +39,10 @@
 	return a.freshness.provenAt > 0 && a.now-a.freshness.provenAt < age
 }
 
-// commandsEnd returns the time before which commands decided now must be sent: when the proof of
+// commandsExpireAt returns the time before which commands decided now must be sent: when the proof of
 // freshness that they are based on becomes too old to decide them. One that is sent later might start a task
 // whose cancellation all other controllers have seen.
-func (a *authority) commandsEnd(withStart bool) units.Micros {
+func (a *authority) commandsExpireAt(withStart bool) units.Micros {
 	if withStart {
 		return a.freshness.provenAt + maxStartProofAge
 	}
@@ -64,11 +64,11 @@
 // noteChanges records when this process gains or loses the right to act, and logs each change.
 func (a *authority) noteChanges() {
 	switch may := a.mayAct(); {
-	case may && a.since == 0:
-		a.since = a.now
+	case may && a.gainedAt == 0:
+		a.gainedAt = a.now
 		a.log.Info("authority gained", append(a.freshness.logAttrs(), "complete_revision", a.replica.completeRevision, "incarnation", a.membership.incarnation)...)
-	case !may && a.since > 0:
-		a.log.Info("authority lost", append(a.freshness.logAttrs(), "for_s", (a.now-a.since).Seconds(), "registered", a.membership.registered, "synced", a.replica.synced)...)
-		a.since = 0
+	case !may && a.gainedAt > 0:
+		a.log.Info("authority lost", append(a.freshness.logAttrs(), "for_s", (a.now-a.gainedAt).Seconds(), "registered", a.membership.registered, "synced", a.replica.synced)...)
+		a.gainedAt = 0
 	}
 }
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -15,14 +15,14 @@
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	cfg.Settings.Workers.HeartbeatS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 6, 31, 56
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	c.now = 100 * units.Second
 	c.membership.registered = true
 	c.replica.notePage(10)
 	c.replica.beginSync(10)
 	c.freshness.provenAt = c.now - units.Second
 	c.replica.partitions[0] = &partitionDoc{revision: 8, doc: schema.Partition{Term: 3, Member: "a", Incarnation: c.membership.incarnation}}
-	c.leaderships.follow(0)
+	c.leaderships.partitionChanged(0)
 	return c
 }
 
@@ -110,7 +110,7 @@
 func TestRegistrationUnclear(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	store := &scriptedStore{t: t, c: quietController(cfg)}
+	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	members := store.c.membership
 	first := members.incarnation
 	members.register()
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -35,9 +35,9 @@
 func (f *fakeCluster) unplacedCPUs() float64           { return 0 }
 func (f *fakeCluster) changesPlentiful() bool          { return true }
 
-func (f *fakeCluster) acceptsTasks(m *machine) bool                        { return m.agent != nil && !m.agent.draining }
-func (f *fakeCluster) foreignMachineOpen(*machine) ([]string, bool)        { return nil, true }
-func (f *fakeCluster) hasCapacityForAny(*machine, *resources, []*job) bool { return false }
+func (f *fakeCluster) acceptsTasks(m *machine) bool                         { return m.agent != nil && !m.agent.draining }
+func (f *fakeCluster) foreignMachineAcceptsTasks(*machine) ([]string, bool) { return nil, true }
+func (f *fakeCluster) hasCapacityForAny(*machine, *resources, []*job) bool  { return false }
 
 func (f *fakeCluster) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	return &resources{t.CPUs - float64(len(m.doc.Tasks)), t.GPUs, t.MemGB} // each task takes one CPU
--- a/internal/controller/cancellation_test.go
+++ b/internal/controller/cancellation_test.go
@@ -16,7 +16,7 @@
 func TestOutcomeStoredBesideEntry(t *testing.T) {
 	c, store := storeWithDependencies(schema.Outcome{State: StageCancelled, RecordedAt: 77})
 	store.put(schema.OutcomePrefix+"j-000002", schema.Outcome{State: StageCancelled, RecordedAt: 78, CancelledBy: "j-000001"})
-	store.guarded = true
+	store.checkConditions = true
 	step := store.stepper(c)
 	for range 600 {
 		step()
@@ -39,10 +39,10 @@
 		if request.Kind != kv.Transact {
 			return kv.Response{}, false
 		}
-		w.store.keys[key] = kv.KeyValue{Key: key, Value: encode(done), ModRevision: w.store.rev}
+		w.store.keys[key] = kv.KeyValue{Key: key, Value: encode(done), ModRevision: w.store.revision}
 		w.controller.dependencies.learnOutcome("j-000003", done)
 		w.answer = nil
-		return kv.Response{Status: kv.StatusConflict, Revision: w.store.rev, FailedKeys: []string{key}}, true
+		return kv.Response{Status: kv.StatusConflict, Revision: w.store.revision, FailedKeys: []string{key}}, true
 	}
 	reply := w.ask(t, UserRequest{Kind: CancelJob, JobID: "j-000003"})
 	const want = `{"uid":"j-000003","stage":"done","done":1,"running":0}`
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -86,7 +86,7 @@
 	_, reported := l.machine.agent.tasks[key]
 	// A task whose entry is being removed must not be started again: the same write may have placed it
 	// on another machine.
-	if reported || l.machine.agent.entriesLeaving[key] {
+	if reported || l.machine.agent.entriesBeingRemoved[key] {
 		return
 	}
 	if facts.MayStart(l.permissions) == guard.StartAllowed && l.free.tryReserve(&l.replica.jobs[task.Job].spec) {
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -20,8 +20,8 @@
 	s.Size, s.Teams = 2, []config.Team{{Name: "red"}, {Name: "blue"}}
 	s.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
-	c := quietController(cfg)
-	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+	c := newTestController(cfg)
+	o := &fakeStore{keys: map[string]kv.KeyValue{}, requestCounts: map[kv.RequestKind]int{}}
 	layout := c.replica.layout
 	layout.Format = schema.FormatDependencies
 	o.put(schema.LayoutKey, layout)
@@ -87,15 +87,15 @@
 
 // watchEvents returns the answer to the open watch, with some events.
 func (o *fakeStore) watchEvents(events ...kv.Event) Message {
-	watch := o.waits[len(o.waits)-1]
-	o.waits = o.waits[:len(o.waits)-1]
+	watch := o.openWatches[len(o.openWatches)-1]
+	o.openWatches = o.openWatches[:len(o.openWatches)-1]
 	for _, e := range events {
-		o.rev = max(o.rev, e.ModRevision)
+		o.revision = max(o.revision, e.ModRevision)
 		if e.Set != "" {
 			o.keys[e.Set] = kv.KeyValue{Key: e.Set, Value: e.Value, ModRevision: e.ModRevision}
 		}
 	}
-	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.rev, Events: events}}
+	return StoreResult{CallID: watch.CallID, Response: kv.Response{Status: kv.StatusOK, Revision: o.revision, Events: events}}
 }
 
 // TestNoStartOfWhatTheSameAnswerCancels shows a controller, in one answer of the store, that a task was
@@ -106,11 +106,11 @@
 		t.Run(name, func(t *testing.T) {
 			c, o, step := controllerWithForeignJob(t)
 			entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1}
-			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.rev + 1}}
+			events := []kv.Event{{Set: shardOfMachine(c.replica.layout), Value: encode(machineWith(entry)), ModRevision: o.revision + 1}}
 			if cancelled {
 				events = append(events,
-					kv.Event{Set: schema.CancellationPrefix + entry.Job, Value: encode(map[string]string{"w": "x"}), ModRevision: o.rev + 2},
-					kv.Event{Set: schema.OutcomePrefix + entry.Job, Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: o.rev + 2})
+					kv.Event{Set: schema.CancellationPrefix + entry.Job, Value: encode(map[string]string{"w": "x"}), ModRevision: o.revision + 2},
+					kv.Event{Set: schema.OutcomePrefix + entry.Job, Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: o.revision + 2})
 			}
 			got := countStarts(step(o.watchEvents(events...)))
 			for range 40 {
--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -93,7 +93,7 @@
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	store := &scriptedStore{t: t, c: quietController(cfg)}
+	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	calls := 0
 	store.c.commits.commit(txn, commitTag, func(result commitResult) {
 		calls++
@@ -125,7 +125,7 @@
 func TestCommitOfDeletions(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	store := &scriptedStore{t: t, c: quietController(cfg)}
+	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	key := schema.RegistrationKey("a", "a.0")
 	var outcomes []commitOutcome
 	txn := &kv.Txn{Conditions: []kv.Condition{{Key: key, ModRevision: 3}}, Operations: []kv.Operation{{Delete: key}}}
--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -47,9 +47,9 @@
 		}
 		for task, completion := range m.agent.completions {
 			j := e.replica.acceptedJob(task.job)
-			if j != nil && !e.leadsJob(j) && !j.done.Contains(task.num) {
+			if j != nil && !e.leadsJob(j) && !j.done.Contains(task.index) {
 				ran := units.Micros(completion.tenths-1) * runTimeUnit
-				completed = append(completed, peer.EndedTask{Job: task.job, Num: task.num, Ran: int64(ran)})
+				completed = append(completed, peer.EndedTask{Job: task.job, Num: task.index, Ran: int64(ran)})
 			}
 		}
 	}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -72,7 +72,7 @@
 // addMachine adds a machine that takes tasks, with its free capacity.
 func (f *demandFitter) addMachine(m *machine) {
 	machineType := f.catalog.machineType(m.doc.Type)
-	if machineType == nil || m.part() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
+	if machineType == nil || m.commandingPartition() < 0 || m.agent != nil && !m.agent.takesNewTasks() {
 		return
 	}
 	free := &freeMachine{m, resources{machineType.CPUs, machineType.GPUs, machineType.MemGB}}
@@ -82,7 +82,7 @@
 		}
 	}
 	if free.cpus > 0 {
-		pool := f.poolOf(m.part())
+		pool := f.poolOf(m.commandingPartition())
 		f.free[pool] = append(f.free[pool], free)
 	}
 }
@@ -180,10 +180,12 @@
 // starving reports whether the job has waited for longer than starvingAfter.
 func (j *job) starving(now units.Micros) bool { return j.waitingTime(now) > starvingAfter }
 
-// overlooked reports whether the job has waited for longer than unpickedShardsDelay: the machine shards
-// that a plan picks for arrays are those with the most capacity, which may be of no use to a job that is
-// bound to a zone.
-func (j *job) overlooked(now units.Micros) bool { return j.waitingTime(now) > unpickedShardsDelay }
+// mayUseUnpickedShards reports whether the job has waited for longer than unpickedShardsDelay: the
+// machine shards that a plan picks for arrays are those with the most capacity, which may be of no use to
+// a job that is bound to a zone.
+func (j *job) mayUseUnpickedShards(now units.Micros) bool {
+	return j.waitingTime(now) > unpickedShardsDelay
+}
 
 // usedCPUs returns the CPUs that the tasks of all teams use.
 func (d *demandFinder) usedCPUs() float64 {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -40,7 +40,7 @@
 func (g *dependencyGraph) propagateOutcome(id string, outcome dag.Outcome) {
 	cancelled, ready := g.replica.dependencies.RecordOutcome(id, outcome)
 	if j := g.replica.jobs[id]; j != nil {
-		j.forgetOccupancies()
+		j.invalidateOccupancies()
 	}
 	g.noteDerivedCancellations(cancelled)
 	if len(ready) > 0 {
@@ -53,7 +53,7 @@
 func (g *dependencyGraph) noteDerivedCancellations(ids []string) {
 	for _, id := range ids {
 		if j := g.replica.acceptedJob(id); j != nil {
-			j.forgetOccupancies()
+			j.invalidateOccupancies()
 		}
 	}
 	if len(ids) > 0 {
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -17,8 +17,8 @@
 	settings.Size, settings.Teams = 1, []config.Team{{Name: "red"}}
 	settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
-	c := quietController(cfg)
-	store := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+	c := newTestController(cfg)
+	store := &fakeStore{keys: map[string]kv.KeyValue{}, requestCounts: map[kv.RequestKind]int{}}
 	layout := c.replica.layout
 	layout.Format = schema.FormatDependencies
 	store.put(schema.LayoutKey, layout)
--- a/internal/controller/doc.go
+++ b/internal/controller/doc.go
@@ -21,7 +21,7 @@
 //   - agentGateway, reconciler, commandPlanner: heartbeats of worker agents, and the commands sent to them
 //   - machineCapacity, machineAcceptance: how much of a machine is free, and which machines take tasks
 //   - peerTable, peerHeartbeat: heartbeats received from other controllers, and sent to them
-//   - fleetMonitor, quarantineMonitor, unheardPartitions: machines that cannot be reached, or fail tasks
+//   - fleetMonitor, quarantineMonitor, silentPartitions: machines that cannot be reached, or fail tasks
 //   - planner, plan: task starts, stops and removals in a led partition, staged and committed in one go
 //   - demandFinder: tasks for which there is no capacity, and jobs that starve
 //   - documentSplitter, jobShardSplitter: when documents are split, and the splits of job shards
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -75,8 +75,8 @@
 	if average == 0 {
 		return 0
 	}
-	if j.observedAt > 0 && now-j.observedAt < observePeriod {
-		return max(average, j.observed)
+	if j.observedAverageAt > 0 && now-j.observedAverageAt < observePeriod {
+		return max(average, j.cachedObservedAverage)
 	}
 	var excess, overdue units.Micros // total excess, and number, of running tasks that have taken longer than the average
 	for index, bound := range j.bindings {
@@ -90,6 +90,6 @@
 		}
 	}
 	// Overdue tasks count with their elapsed time, as if they ended now.
-	j.observed, j.observedAt = average+excess/(units.Micros(j.doneCount())+overdue+1), now
-	return j.observed
+	j.cachedObservedAverage, j.observedAverageAt = average+excess/(units.Micros(j.doneCount())+overdue+1), now
+	return j.cachedObservedAverage
 }
--- a/internal/controller/facts.go
+++ b/internal/controller/facts.go
@@ -37,7 +37,7 @@
 // permissionsOver returns what this controller may do with a machine now.
 func (f *factSource) permissionsOver(m *machine) guard.Permissions {
 	return guard.Permissions{
-		MayCommand: m.agent != nil && f.authority.leads(m.part()),
+		MayCommand: m.agent != nil && f.authority.leads(m.commandingPartition()),
 		MayStart:   f.authority.mayStartTasks(),
 	}
 }
@@ -94,7 +94,7 @@
 		Cancelled:             j.cancelled(),
 		CancellationShown:     j.cancellationShown,
 		CancelledByDependency: j.dependency.CancelledBy() != "" || outcome.CancelledBy != "",
-		Entered:               len(j.bindings) > 0,
+		HasEntries:            len(j.bindings) > 0,
 		Completed:             j.doneCount() == j.spec.Tasks,
 	}
 }
--- a/internal/controller/fakestore_test.go
+++ b/internal/controller/fakestore_test.go
@@ -17,31 +17,31 @@
 
 // fakeStore answers a controller's requests at once and without errors, and counts them.
 type fakeStore struct {
-	keys       map[string]kv.KeyValue
-	rev        uint64
-	waits      []StoreCall // open watches
-	seq        uint64
-	asked      map[kv.RequestKind]int
-	agentCalls int
-
-	guarded bool // the conditions of transactions are checked
-
-	most, mostOps int      // longest value in bytes and most operations of a transaction; 0: no limit
-	refused       []string // what was over these limits
-	changes       int
+	keys              map[string]kv.KeyValue
+	revision          uint64
+	openWatches       []StoreCall
+	heartbeatSequence uint64
+	requestCounts     map[kv.RequestKind]int
+	agentCalls        int
+
+	checkConditions bool // the conditions of transactions are checked
+
+	maxValueBytes, maxTxnOps int      // longest value in bytes and most operations of a transaction; 0: no limit
+	oversized                []string // what was over these limits
+	operationCount           int
 }
 
 // noteOversized records a transaction that the key-value store would refuse as too large.
 func (o *fakeStore) noteOversized(txn *kv.Txn) {
-	if o.mostOps == 0 {
+	if o.maxTxnOps == 0 {
 		return
 	}
-	if len(txn.Operations) > o.mostOps || len(txn.Conditions) > 4*o.mostOps {
-		o.refused = append(o.refused, fmt.Sprintf("%d changes, %d conditions", len(txn.Operations), len(txn.Conditions)))
+	if len(txn.Operations) > o.maxTxnOps || len(txn.Conditions) > 4*o.maxTxnOps {
+		o.oversized = append(o.oversized, fmt.Sprintf("%d changes, %d conditions", len(txn.Operations), len(txn.Conditions)))
 	}
 	for _, op := range txn.Operations {
-		if len(op.Value) > o.most {
-			o.refused = append(o.refused, fmt.Sprintf("%s: %d bytes", op.Set, len(op.Value)))
+		if len(op.Value) > o.maxValueBytes {
+			o.oversized = append(o.oversized, fmt.Sprintf("%s: %d bytes", op.Set, len(op.Value)))
 		}
 	}
 }
@@ -50,15 +50,15 @@
 func (o *fakeStore) failedConditions(txn *kv.Txn) []string {
 	var failed []string
 	for _, condition := range txn.Conditions {
-		if o.guarded && o.keys[condition.Key].ModRevision != condition.ModRevision {
+		if o.checkConditions && o.keys[condition.Key].ModRevision != condition.ModRevision {
 			failed = append(failed, condition.Key)
 		}
 	}
 	return failed
 }
 
-// quietController returns a controller with the default policy and a log that is discarded.
-func quietController(cfg *config.Config) *Controller {
+// newTestController returns a controller with the default policy and a log that is discarded.
+func newTestController(cfg *config.Config) *Controller {
 	return New(cfg, policy.Default(), slog.New(slog.NewTextHandler(io.Discard, nil)), "test")
 }
 
@@ -81,12 +81,12 @@
 const pageBytes = 512 << 10
 
 func (o *fakeStore) put(key string, doc any) {
-	o.rev++
-	o.keys[key] = kv.KeyValue{Key: key, Value: encode(doc), ModRevision: o.rev}
+	o.revision++
+	o.keys[key] = kv.KeyValue{Key: key, Value: encode(doc), ModRevision: o.revision}
 }
 
 func (o *fakeStore) list(request kv.Request) kv.Response {
-	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	r := kv.Response{Status: kv.StatusOK, Revision: o.revision}
 	var names []string
 	for k := range o.keys {
 		if strings.HasPrefix(k, request.Key) && k > request.After {
@@ -122,8 +122,8 @@
 
 // answerStore answers a request to the store; an open watch is answered when a transaction is applied.
 func (o *fakeStore) answerStore(call StoreCall) []Message {
-	o.asked[call.Request.Kind]++
-	r := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	o.requestCounts[call.Request.Kind]++
+	r := kv.Response{Status: kv.StatusOK, Revision: o.revision}
 	switch call.Request.Kind {
 	case kv.Get:
 		item, ok := o.keys[call.Request.Key]
@@ -137,8 +137,8 @@
 		r.LeaseID = 1
 	case kv.RenewLease: // the status is the whole answer
 	case kv.Watch:
-		if call.Request.Revision >= o.rev {
-			o.waits = append(o.waits, call)
+		if call.Request.Revision >= o.revision {
+			o.openWatches = append(o.openWatches, call)
 			return nil
 		}
 	case kv.Transact:
@@ -152,23 +152,23 @@
 	txn := call.Request.Txn
 	o.noteOversized(txn)
 	if failed := o.failedConditions(txn); len(failed) > 0 {
-		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.rev, FailedKeys: failed}}}
+		return []Message{StoreResult{CallID: call.CallID, Response: kv.Response{Status: kv.StatusConflict, Revision: o.revision, FailedKeys: failed}}}
 	}
-	o.changes += len(txn.Operations)
-	o.rev++
+	o.operationCount += len(txn.Operations)
+	o.revision++
 	for _, op := range txn.Operations {
 		if op.Set != "" {
-			o.keys[op.Set] = kv.KeyValue{Key: op.Set, Value: op.Value, ModRevision: o.rev}
+			o.keys[op.Set] = kv.KeyValue{Key: op.Set, Value: op.Value, ModRevision: o.revision}
 		} else {
 			delete(o.keys, op.Delete)
 		}
 	}
-	shown := kv.Response{Status: kv.StatusOK, Revision: o.rev}
+	shown := kv.Response{Status: kv.StatusOK, Revision: o.revision}
 	out := []Message{StoreResult{CallID: call.CallID, Response: shown}}
-	for _, w := range o.waits { // the controller has applied its own commit already
+	for _, w := range o.openWatches { // the controller has applied its own commit already
 		out = append(out, StoreResult{CallID: w.CallID, Response: shown})
 	}
-	o.waits = nil
+	o.openWatches = nil
 	return out
 }
 
@@ -185,8 +185,8 @@
 // answerAgent answers as an agent without tasks that accepts all commands.
 func (o *fakeStore) answerAgent(call AgentCall) AgentResult {
 	o.agentCalls++
-	o.seq++
-	r := &agent.Heartbeat{Machine: call.Address, Addr: call.Address, Type: "big", Zone: "a", Epoch: 1, Sequence: o.seq}
+	o.heartbeatSequence++
+	r := &agent.Heartbeat{Machine: call.Address, Addr: call.Address, Type: "big", Zone: "a", Epoch: 1, Sequence: o.heartbeatSequence}
 	if call.Commands != nil {
 		r.FencingToken = call.Commands.FencingToken
 	}
--- a/internal/controller/fencing_test.go
+++ b/internal/controller/fencing_test.go
@@ -75,7 +75,7 @@
 	}{
 		"the token is seen":            {shown: token, beats: 4, want: 0},
 		"the token is never seen":      {shown: token - 1, beats: 4, want: 3},
-		"the lease expires all along":  {shown: token, newEpoch: true, beats: 10, want: maxLostResponses},
+		"the lease expires all along":  {shown: token, newEpoch: true, beats: 10, want: minLostResponses},
 		"a new epoch soon after a gap": {shown: token, newEpoch: true, beats: 3, want: 0},
 	} {
 		var responses responseState
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -30,8 +30,8 @@
 		t.Run(fmt.Sprint(tc.valueKB), func(t *testing.T) {
 			cfg := fleetConfig()
 			cfg.Settings.KVStore.KVLimits = config.KVLimits{ValueKB: tc.valueKB, TxnOps: tc.ops, RPS: 350, WriteRPS: 35}
-			f := &fleetWork{T: t, c: quietController(cfg), machines: tc.machines}
-			f.store = &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+			f := &fleetWork{T: t, c: newTestController(cfg), machines: tc.machines}
+			f.store = &fakeStore{keys: map[string]kv.KeyValue{}, requestCounts: map[kv.RequestKind]int{}}
 			f.step = f.store.stepper(f.c)
 			fillStore(f.store, f.c, tc.machines, tc.tasks, tc.jobs, 400)
 			bytes := f.checkDocuments()
@@ -84,15 +84,15 @@
 	if !f.c.authority.leads(0) || len(f.c.replica.machines) != f.machines {
 		f.Fatalf("leads partitions %v, replica has %d machines", f.c.partitions.ledPartitions(), len(f.c.replica.machines))
 	}
-	if maxPages := bytes/pageBytes + 1; f.store.asked[kv.List] > maxPages {
-		f.Errorf("%d pages read for %d KB of documents", f.store.asked[kv.List], bytes>>10)
+	if maxPages := bytes/pageBytes + 1; f.store.requestCounts[kv.List] > maxPages {
+		f.Errorf("%d pages read for %d KB of documents", f.store.requestCounts[kv.List], bytes>>10)
 	}
-	asked := 0
-	for _, n := range f.store.asked {
-		asked += n
+	requests := 0
+	for _, n := range f.store.requestCounts {
+		requests += n
 	}
-	if asked > f.store.asked[kv.List]+10 {
-		f.Errorf("%d requests until the controller leads its partition: %v", asked, f.store.asked)
+	if requests > f.store.requestCounts[kv.List]+10 {
+		f.Errorf("%d requests until the controller leads its partition: %v", requests, f.store.requestCounts)
 	}
 }
 
@@ -114,9 +114,9 @@
 		f.Errorf("occupancies of only %d machines are cached", before)
 	}
 	m := f.c.replica.sortedMachines()[7]
-	f.store.seq++
+	f.store.heartbeatSequence++
 	f.c.handle(HeartbeatRequest{Heartbeat: agent.Heartbeat{
-		Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: f.store.seq, FencingToken: f.c.replica.fencingToken(m),
+		Machine: m.name, Addr: m.name, Type: "big", Zone: "a", Epoch: 1, Sequence: f.store.heartbeatSequence, FencingToken: f.c.replica.fencingToken(m),
 	}})
 	if after := f.occupanciesKept(); after < before-1 {
 		f.Errorf("one heartbeat invalidated the occupancies of %d machines", before-after)
@@ -151,8 +151,8 @@
 	cfg := fleetConfig()
 	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 3500, WriteRPS: 400, ValueKB: 16, TxnOps: 32}
 	cfg.Settings.KVStore.Next = &config.KVLimitsOverride{ValueKB: &valueKB, TxnOps: &ops}
-	c := quietController(cfg)
-	o := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+	c := newTestController(cfg)
+	o := &fakeStore{keys: map[string]kv.KeyValue{}, requestCounts: map[kv.RequestKind]int{}}
 	layout := schema.Layout{MachineShards: 48, JobShards: 24}
 	o.put(schema.LayoutKey, layout)
 	c.replica.useLayout(layout)
@@ -162,7 +162,7 @@
 		segment.Jobs[fmt.Sprintf("j-%06d", j*577)] = schema.JobProgress{DoneRanges: longRanges, AverageSeconds: 7, Samples: 40}
 	}
 	o.put(schema.ProgressKey(0, 0), segment)
-	o.most, o.mostOps = int(cfg.Settings.KVStore.ValueKB*1024), cfg.Settings.KVStore.TxnOps
+	o.maxValueBytes, o.maxTxnOps = int(cfg.Settings.KVStore.ValueKB*1024), cfg.Settings.KVStore.TxnOps
 	if n := o.longerThan(int(valueKB * 1024)); n < 72 {
 		t.Fatalf("only %d documents are too long at the start", n)
 	}
@@ -173,12 +173,12 @@
 	if n := o.longerThan(int(valueKB * 1024)); n > 0 {
 		t.Fatalf("%d documents are still too long after all steps", n)
 	}
-	if len(o.refused) > 0 {
-		t.Errorf("%d writes exceeded the store limits, first: %v", len(o.refused), o.refused[0])
+	if len(o.oversized) > 0 {
+		t.Errorf("%d writes exceeded the store limits, first: %v", len(o.oversized), o.oversized[0])
 	}
-	t.Logf("%d changes, %.1f s", o.changes, float64(steps)/40)
-	if o.changes > 2500 {
-		t.Errorf("%d changes written, too many", o.changes)
+	t.Logf("%d changes, %.1f s", o.operationCount, float64(steps)/40)
+	if o.operationCount > 2500 {
+		t.Errorf("%d changes written, too many", o.operationCount)
 	}
 	if len(c.replica.machines) != machines || len(c.replica.sortedJobs()) != jobs {
 		t.Errorf("replica has %d machines, %d jobs", len(c.replica.machines), len(c.replica.sortedJobs()))
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -43,7 +43,7 @@
 type revisionWaiter struct {
 	revision uint64
 	sentAt   units.Micros // when the read that gave the revision was sent
-	then     func(current bool)
+	done     func(current bool)
 }
 
 // keepProofRecent requests a read of the revision from time to time even if no caller waits for one,
@@ -124,7 +124,7 @@
 		f.provenAt = max(f.provenAt, waiter.sentAt)
 	}
 	for _, waiter := range due {
-		waiter.then(true)
+		waiter.done(true)
 	}
 }
 
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -74,7 +74,7 @@
 	g.calls[id] = pending
 	call := AgentCall{CallID: id, Address: address, Commands: commands}
 	if commands != nil {
-		call.LeaveBefore = g.authority.commandsEnd(hasStart(commands.Commands))
+		call.LeaveBefore = g.authority.commandsExpireAt(hasStart(commands.Commands))
 	}
 	g.emit(call)
 }
@@ -146,7 +146,7 @@
 // beginCommand creates the agent state of a machine that this controller commands from now on, and probes
 // the machine.
 func (g *agentGateway) beginCommand(m *machine, led *leadership) {
-	m.forgetOccupancy()
+	m.invalidateOccupancy()
 	m.agent = newAgentState(led, g.now, g.cfg.Settings.StalenessBound(), g.cfg.Settings.Lease())
 	g.probe(m)
 }
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -11,7 +11,7 @@
 type job struct {
 	id                 string
 	accepted           bool
-	left               bool      // it was accepted, and its shard has since been seen without it
+	removedFromShard   bool      // it was accepted, and its shard has since been seen without it
 	shard              *jobShard // the shard that lists it; nil: none in the replica does
 	spec               schema.Job
 	done               schema.TaskSet   // tasks whose completion is stored
@@ -30,20 +30,20 @@
 	recordedInEntry map[int]bool    // bindings whose task's completion is stored in the machine's entry
 
 	// Known only to this controller, and lost when its process ends.
-	unstoredCompletions map[int]bool   // tasks known to be done, not yet stored as such
-	allDone             schema.TaskSet // done and unstoredCompletions together
-	runSum              units.Micros   // total run time of runCount tasks that the stored average does not include yet
-	runCount            int
-	share               float64 // in CPUs, as last allocated by package fairshare
-	failures            int     // consecutive task failures
-	failedAt            units.Micros
-	failedOn            map[string]bool // machines commanded by this controller on which it failed
-	succeeded           bool            // at least one of its tasks has completed
-	retryAt             units.Micros    // no task of it is placed before this time
-	observed            units.Micros    // average run time, including the elapsed time of running tasks
-	observedAt          units.Micros    // when observed was computed
-	progressWrittenAt   units.Micros
-	waitingSince        units.Micros // since when its tasks wait without one being placed; 0: none waits
+	unstoredCompletions   map[int]bool   // tasks known to be done, not yet stored as such
+	allDone               schema.TaskSet // done and unstoredCompletions together
+	runSum                units.Micros   // total run time of runCount tasks that the stored average does not include yet
+	runCount              int
+	fairShareCPUs         float64 // in CPUs, as last allocated by package fairshare
+	failures              int     // consecutive task failures
+	failedAt              units.Micros
+	failedOn              map[string]bool // machines commanded by this controller on which it failed
+	succeeded             bool            // at least one of its tasks has completed
+	retryAt               units.Micros    // no task of it is placed before this time
+	cachedObservedAverage units.Micros    // average run time, including the elapsed time of running tasks
+	observedAverageAt     units.Micros    // when cachedObservedAverage was computed
+	progressWrittenAt     units.Micros
+	waitingSince          units.Micros // since when its tasks wait without one being placed; 0: none waits
 }
 
 // binding is a machine on which a task may be, with the task's attempt number.
@@ -106,7 +106,7 @@
 	j.unstoredCompletions[n], j.activeCount = true, -1
 	j.allDone = j.allDone.With(n)
 	if b, ok := j.bindings[n]; ok {
-		b.machine.forgetOccupancy()
+		b.machine.invalidateOccupancy()
 	}
 	if ran > 0 {
 		j.runSum += ran
@@ -178,9 +178,9 @@
 	delete(j.recordedInEntry, index)
 }
 
-// forgetOccupancies drops the cached occupancy of the machines on which the job may run.
-func (j *job) forgetOccupancies() {
+// invalidateOccupancies drops the cached occupancy of the machines on which the job may run.
+func (j *job) invalidateOccupancies() {
 	for _, bound := range j.bindings {
-		bound.machine.forgetOccupancy()
+		bound.machine.invalidateOccupancy()
 	}
 }
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -80,7 +80,7 @@
 // freshnessProver proves that the replica is as recent as the moment of the call. The continuation then
 // runs once, with current false if the proof fails.
 type freshnessProver interface {
-	whenCurrent(then func(current bool))
+	whenCurrent(done func(current bool))
 }
 
 // terminal returns the status of a job that is known to have ended, by its own outcome or by that of a
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -45,8 +45,8 @@
 	orphanedSince map[int]units.Micros // when each partition was first seen without a registered leader
 }
 
-// follow updates the led partitions after the replica has received a new document of a partition.
-func (l *leadershipManager) follow(partition int) {
+// partitionChanged updates the led partitions after the replica has received a new document of a partition.
+func (l *leadershipManager) partitionChanged(partition int) {
 	p := l.replica.partitions[partition]
 	mine := l.membership.registered && newProcessID(p.doc.Member, p.doc.Incarnation) == l.membership.process()
 	own := l.partitions.led[partition]
@@ -65,7 +65,7 @@
 	l.partitions.lead(own)
 	l.log.Info("leadership acquired", append(l.freshness.logAttrs(), "partition", partition, "term", own.term, "leadership_revision", own.revision)...)
 	for _, m := range l.replica.sortedMachines() {
-		if m.part() == partition {
+		if m.commandingPartition() == partition {
 			l.machines.beginCommand(m, own)
 		}
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -30,8 +30,9 @@
 // noPartition is the partition of a machine that no controller commands any more.
 const noPartition = -1
 
-// part returns the partition that commands the machine; noPartition if the machine is decommissioned.
-func (m *machine) part() int {
+// commandingPartition returns the partition that commands the machine; noPartition if the machine is
+// decommissioned.
+func (m *machine) commandingPartition() int {
 	if m.doc.Decommissioned {
 		return noPartition
 	}
@@ -41,14 +42,14 @@
 // taskKey identifies an attempt of a task.
 type taskKey struct {
 	job     string
-	num     int
+	index   int
 	attempt uint64
 }
 
 func keyOf(t schema.Task) taskKey { return taskKey{t.Job, t.Index, t.Attempt} }
 
 // task returns the task's name in messages to and from agents.
-func (k taskKey) task() string { return k.job + "/" + strconv.Itoa(k.num) }
+func (k taskKey) task() string { return k.job + "/" + strconv.Itoa(k.index) }
 
 // acceptedJob returns the job if it is among the accepted ones, or nil.
 func (r *replica) acceptedJob(id string) *job {
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -22,9 +22,9 @@
 // occupancyMaxAge bounds how long an occupancy is cached, in case a change was missed.
 const occupancyMaxAge = 5 * units.Second
 
-// forgetOccupancy drops a machine's cached occupancies: its entry, its heartbeats or one of its jobs has
-// changed.
-func (m *machine) forgetOccupancy() { m.occupancies = [2]occupancy{} }
+// invalidateOccupancy drops a machine's cached occupancies: its entry, its heartbeats or one of its jobs
+// has changed.
+func (m *machine) invalidateOccupancy() { m.occupancies = [2]occupancy{} }
 
 // occupancyOf computes a machine's occupancy, as the controller that commands it (own) or as another.
 func (p *planner) occupancyOf(m *machine, own bool) occupancy {
@@ -78,7 +78,7 @@
 // addUnlisted counts the reported tasks that have no entry: they take capacity until they are gone.
 func (p *planner) addUnlisted(o *occupancy, m *machine) {
 	for key, status := range m.agent.tasks {
-		if status.State == agent.Ended || m.lists(key) {
+		if status.State == agent.Ended || m.hasEntry(key) {
 			continue
 		}
 		if j := p.replica.acceptedJob(key.job); j != nil {
@@ -125,8 +125,8 @@
 	return start.at + average - queueAheadPeriod
 }
 
-// lists reports whether the machine's entry lists the task with this attempt.
-func (m *machine) lists(key taskKey) bool {
+// hasEntry reports whether the machine's entry lists the task with this attempt.
+func (m *machine) hasEntry(key taskKey) bool {
 	for _, task := range m.doc.Tasks {
 		if keyOf(task) == key {
 			return true
--- a/internal/controller/peerheartbeat.go
+++ b/internal/controller/peerheartbeat.go
@@ -46,7 +46,7 @@
 func (h *peerHeartbeat) openMachines() map[string][]string {
 	open := map[string][]string{}
 	for name, m := range h.replica.machines {
-		if m.agent != nil && h.authority.leads(m.part()) && h.machines.acceptsTasks(m) {
+		if m.agent != nil && h.authority.leads(m.commandingPartition()) && h.machines.acceptsTasks(m) {
 			open[name] = slices.Sorted(maps.Keys(m.agent.images))
 		}
 	}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -38,12 +38,12 @@
 func (p *plan) chooseMachine(j *job) *stagedMachine {
 	var best *stagedMachine
 	bestScore := math.Inf(-1)
-	starving, overlooked := j.starving(p.now), j.overlooked(p.now)
+	starving, mayUseUnpickedShards := j.starving(p.now), j.mayUseUnpickedShards(p.now)
 	for _, m := range p.machines {
 		if !m.fits(j) || !p.fitsShard(m.shard) || !placementAllowed(j, m.machine) {
 			continue
 		}
-		if !j.spec.Service && !starving && p.withheldFrom(j, m, overlooked) {
+		if !j.spec.Service && !starving && p.withheldFrom(j, m, mayUseUnpickedShards) {
 			continue
 		}
 		if score := p.score(j, m); score > bestScore {
@@ -56,8 +56,8 @@
 // withheldFrom reports whether an array may not use the capacity of a machine now: its shard is not
 // among those that this plan picked, jobs of its own partition wait for it, or it is reserved for
 // another job.
-func (p *plan) withheldFrom(j *job, m *stagedMachine, overlooked bool) bool {
-	if p.shardsPicked && !overlooked && !m.shard.picked && !m.shard.changed || p.reservedForLeader(m.shard) {
+func (p *plan) withheldFrom(j *job, m *stagedMachine, mayUseUnpickedShards bool) bool {
+	if p.shardsPicked && !mayUseUnpickedShards && !m.shard.picked && !m.shard.changed || p.reservedForLeader(m.shard) {
 		return true
 	}
 	return p.leadership.planning.reservations.reservedForOther(m.machine.name, j)
--- a/internal/controller/plan_commit.go
+++ b/internal/controller/plan_commit.go
@@ -83,7 +83,7 @@
 		for _, document := range documents {
 			p.replica.addSet(last.txn, document.key, document.value)
 		}
-		shard.noteEntriesLeaving()
+		shard.noteEntriesBeingRemoved()
 		last.shards = append(last.shards, shard)
 	}
 	return slices.DeleteFunc(transactions, func(t *planTransaction) bool { return len(t.txn.Operations) == 0 })
@@ -126,7 +126,7 @@
 func (p *plan) finishCommit(t *planTransaction, result commitResult) {
 	p.commits.clearInFlight(t.txn)
 	for _, shard := range t.shards {
-		shard.forgetEntriesLeaving()
+		shard.clearEntriesBeingRemoved()
 	}
 	p.leadership.commitsInFlight--
 	p.planNeeded = true
--- a/internal/controller/plan_outcomes.go
+++ b/internal/controller/plan_outcomes.go
@@ -111,7 +111,7 @@
 	if segment == nil || p.commits.isInFlight(segment.key) || p.oversized(segment) {
 		return false
 	}
-	return p.progress.written(j) ||
+	return p.progress.segmentStaged(j) ||
 		p.budget.jointLeft() > 2 && p.budget.hasBytesFor(segment.size) && p.writes.plentiful()
 }
 
@@ -131,12 +131,12 @@
 			j.progressWrittenAt = p.now
 		}
 		unstored = append(unstored, j)
-		if p.now-j.progressWrittenAt >= flushPeriod && !p.progress.written(j) && p.budget.jointLeft() > reserved {
+		if p.now-j.progressWrittenAt >= flushPeriod && !p.progress.segmentStaged(j) && p.budget.jointLeft() > reserved {
 			p.storeProgress(j)
 		}
 	}
 	for _, j := range unstored {
-		if p.progress.written(j) && j.progressWrittenAt < p.now {
+		if p.progress.segmentStaged(j) && j.progressWrittenAt < p.now {
 			p.storeProgress(j)
 		}
 	}
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -47,7 +47,7 @@
 	for _, freed := range p.freedTasks {
 		m := freed.binding.machine
 		_, bound := freed.job.bindings[freed.index]
-		if !bound && p.replica.machines[m.name] == m && m.lists(taskKey{freed.job.id, freed.index, freed.binding.attempt}) {
+		if !bound && p.replica.machines[m.name] == m && m.hasEntry(taskKey{freed.job.id, freed.index, freed.binding.attempt}) {
 			freed.job.addBinding(freed.index, freed.binding)
 		}
 	}
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -16,7 +16,7 @@
 	cfg.Settings.Size = 1
 	cfg.Settings.Teams = []config.Team{{Name: "red", QuotaCPUs: 16, GuaranteedCPUs: 8}, {Name: "blue"}}
 	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	c.now = 1000 * units.Second
 	c.budget.credit = 30
 	led := &leadership{term: 3, planning: planningState{reservations: newReservationTable()}}
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -36,9 +36,9 @@
 type machineView interface {
 	// acceptsTasks reports whether a machine that this controller commands may be given tasks.
 	acceptsTasks(m *machine) bool
-	// foreignMachineOpen reports whether the controller that commands a machine says that the machine
-	// accepts tasks, and returns the images on it.
-	foreignMachineOpen(m *machine) (images []string, open bool)
+	// foreignMachineAcceptsTasks reports whether the controller that commands a machine says that the
+	// machine accepts tasks, and returns the images on it.
+	foreignMachineAcceptsTasks(m *machine) (images []string, accepts bool)
 }
 
 // rebalancePeriod is the minimum time between a partition's transfers of machine shards, and between its
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -34,8 +34,8 @@
 	return &progressWriter{plan: p, segments: map[string]*stagedSegment{}, movedTo: map[string]string{}}
 }
 
-// written reports whether the plan writes the segment with the job's progress anyway.
-func (w *progressWriter) written(j *job) bool {
+// segmentStaged reports whether the plan writes the segment with the job's progress anyway.
+func (w *progressWriter) segmentStaged(j *job) bool {
 	return j.progressSegment != nil && w.segments[j.progressSegment.key] != nil
 }
 
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -21,7 +21,7 @@
 // push sends a machine its commands directly, instead of in the response to its next heartbeat.
 func (g *agentGateway) push(m *machine) {
 	state := m.agent
-	if state == nil || !state.command.settled() || !g.authority.leads(m.part()) {
+	if state == nil || !state.command.settled() || !g.authority.leads(m.commandingPartition()) {
 		return
 	}
 	if state.epoch == 0 {
@@ -35,7 +35,7 @@
 		return
 	}
 	state.command.send(token, state.epoch)
-	m.forgetOccupancy()
+	m.invalidateOccupancy()
 	request := &agent.CommandRequest{FencingToken: token, Epoch: state.epoch, Commands: commands}
 	g.call(m.doc.Addr, request, &pushCall{gateway: g, machine: m, state: state})
 }
@@ -52,7 +52,7 @@
 	if m.agent != p.state {
 		return
 	}
-	m.forgetOccupancy()
+	m.invalidateOccupancy()
 	g.planNeeded = true
 	if heartbeat != nil && heartbeat.Machine == m.name {
 		p.state.command.answered()
@@ -75,7 +75,7 @@
 		return
 	}
 	p.state.command.withdrawn()
-	m.forgetOccupancy()
+	m.invalidateOccupancy()
 	g.planNeeded = true
 	g.log.Debug("direct command not sent", "machine", m.name)
 	g.after(commandRetryDelay, func() {
--- a/internal/controller/push_test.go
+++ b/internal/controller/push_test.go
@@ -76,14 +76,14 @@
 // enterTask shows the controller a task of j-000001 that is entered on n-000001, to run or to be stopped.
 func (p *pushCase) enterTask(mode schema.StopMode) []Effect {
 	entry := schema.Task{Job: "j-000001", Index: 0, Attempt: 1<<28 | 1, StopMode: mode}
-	return p.step(p.store.watchEvents(kv.Event{Set: shardOfMachine(p.c.replica.layout), Value: encode(machineWith(entry)), ModRevision: p.store.rev + 1}))
+	return p.step(p.store.watchEvents(kv.Event{Set: shardOfMachine(p.c.replica.layout), Value: encode(machineWith(entry)), ModRevision: p.store.revision + 1}))
 }
 
 // cancelJob shows the controller that j-000001 is cancelled.
 func (p *pushCase) cancelJob() []Effect {
 	return p.step(p.store.watchEvents(
-		kv.Event{Set: schema.CancellationPrefix + "j-000001", Value: encode(map[string]string{"w": "x"}), ModRevision: p.store.rev + 1},
-		kv.Event{Set: schema.OutcomePrefix + "j-000001", Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: p.store.rev + 1}))
+		kv.Event{Set: schema.CancellationPrefix + "j-000001", Value: encode(map[string]string{"w": "x"}), ModRevision: p.store.revision + 1},
+		kv.Event{Set: schema.OutcomePrefix + "j-000001", Value: encode(schema.Outcome{State: StageCancelled}), ModRevision: p.store.revision + 1}))
 }
 
 // TestNotSentIsDecidedAnew has the start of a task come back as not sent. The start raises no fencing
@@ -125,10 +125,10 @@
 	p.tasks = []agent.TaskStatus{{Task: "j-000001/0", Attempt: 1<<28 | 1, State: agent.Running}}
 	p.enterTask(schema.KeepRunning)
 	heartbeat := func() HeartbeatRequest {
-		p.store.seq++
+		p.store.heartbeatSequence++
 		token := p.c.replica.fencingToken(p.c.replica.machines["n-000001"])
 		return HeartbeatRequest{RequestID: 9, Heartbeat: agent.Heartbeat{
-			Machine: "n-000001", Addr: "n-000001", Type: "big", Zone: "a", Epoch: 1, Sequence: p.store.seq, FencingToken: token, Tasks: p.tasks,
+			Machine: "n-000001", Addr: "n-000001", Type: "big", Zone: "a", Epoch: 1, Sequence: p.store.heartbeatSequence, FencingToken: token, Tasks: p.tasks,
 		}}
 	}
 	p.step()
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -18,13 +18,13 @@
 // confirms that the machine is deleted.
 type fleetMonitor struct {
 	*environment
-	replica        *replica
-	authority      *authority
-	agents         *agentGateway
-	peers          *peerTable
-	quarantine     *quarantineMonitor
-	decommissioner machineDecommissioner
-	unheard        *unheardPartitions
+	replica          *replica
+	authority        *authority
+	agents           *agentGateway
+	peers            *peerTable
+	quarantine       *quarantineMonitor
+	decommissioner   machineDecommissioner
+	silentPartitions *silentPartitions
 
 	suspectZones       map[string]zoneSuspicion // by zone: zones that may be cut off
 	zoneLogPeriods     map[string]*period
@@ -71,7 +71,7 @@
 	f.judgeZones(health.zones)
 	f.giveUpReclaimed()
 	if health.heard == 0 && health.total > 0 {
-		f.unheard.transfer()
+		f.silentPartitions.transfer()
 	}
 	mostSilent := health.heard*2 < health.total
 	if len(health.silent) > 0 && mostSilent {
@@ -94,7 +94,7 @@
 func (f *fleetMonitor) survey() *fleetHealth {
 	health := &fleetHealth{zones: map[string]*zoneHealth{}}
 	for _, m := range f.replica.sortedMachines() {
-		if m.agent != nil && f.authority.leads(m.part()) {
+		if m.agent != nil && f.authority.leads(m.commandingPartition()) {
 			f.quarantine.expire(m)
 			f.surveyMachine(health, m)
 		}
@@ -152,14 +152,14 @@
 // reach it.
 func (f *fleetMonitor) unreachableOutbound(m *machine) bool {
 	lost := m.agent.responses.lost
-	return lost >= maxLostResponses || lost > 0 && m.agent.probe.failures >= minFailedProbes
+	return lost >= minLostResponses || lost > 0 && m.agent.probe.failures >= minFailedProbes
 }
 
 // unreachableInbound reports whether no heartbeat of a machine has arrived for longer than a lease, though
 // the machine may still answer calls. Direct commands renew no lease, so the tasks that such a machine is
 // given end with its epoch, again and again.
 func (f *fleetMonitor) unreachableInbound(m *machine) bool {
-	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.since)
+	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.gainedAt)
 	return f.now-lastAnswered > f.cfg.Settings.Lease()+2*f.cfg.Settings.HeartbeatPeriod()
 }
 
@@ -182,7 +182,7 @@
 func (f *fleetMonitor) expiredNotices() []*machine {
 	var expired []*machine
 	for _, m := range f.replica.sortedMachines() {
-		if m.agent != nil && m.agent.notice.expired(f.now) && f.authority.leads(m.part()) {
+		if m.agent != nil && m.agent.notice.expired(f.now) && f.authority.leads(m.commandingPartition()) {
 			expired = append(expired, m)
 		}
 	}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -22,7 +22,7 @@
 		return
 	}
 	r.planNeeded = true
-	m.forgetOccupancy()
+	m.invalidateOccupancy()
 	r.noteEpoch(m, heartbeat)
 	r.noteLiveness(m.agent, heartbeat)
 	r.noteReclaim(m, heartbeat)
@@ -39,7 +39,7 @@
 
 // noteLiveness records when the agent was heard, and what that implies for its lease and its commands.
 func (r *reconciler) noteLiveness(state *agentState, heartbeat *agent.Heartbeat) {
-	if r.now-state.heardAt > silenceAfter(r.cfg.Settings.HeartbeatPeriod()) {
+	if r.now-state.heardAt > heardTimeout(r.cfg.Settings.HeartbeatPeriod()) {
 		state.heardSince = r.now
 	}
 	state.epoch, state.sequence, state.heardAt = heartbeat.Epoch, heartbeat.Sequence, r.now
@@ -119,7 +119,7 @@
 // noteEnded records a task that has ended since the previous heartbeat, if the task is bound to that
 // machine.
 func (r *reconciler) noteEnded(m *machine, j *job, key taskKey, status agent.TaskStatus) {
-	bound, ok := j.bindings[key.num]
+	bound, ok := j.bindings[key.index]
 	if !ok || bound.machine != m || bound.attempt != key.attempt {
 		return
 	}
@@ -136,7 +136,7 @@
 
 // noteDone records a task that has completed.
 func (r *reconciler) noteDone(m *machine, j *job, key taskKey) {
-	if j.done.Contains(key.num) {
+	if j.done.Contains(key.index) {
 		return
 	}
 	r.quarantine.succeeded(j)
@@ -147,7 +147,7 @@
 		ran = r.now - run.at
 	}
 	m.agent.completions[key] = completion{r.now, 1 + int(ran/runTimeUnit)}
-	if !j.isDone(key.num) {
-		j.noteCompletion(key.num, ran)
+	if !j.isDone(key.index) {
+		j.noteCompletion(key.index, ran)
 	}
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -100,8 +100,8 @@
 		outcomes: newOutcomeCache(maxOutcomes), dependencies: dag.New(),
 		maxProgressGaps: maxProgressGaps, defaultPartition: defaultPartition,
 	}
-	r.machineDirectory = newShardDirectory(func(shard int) int { return r.machineShards[shard].splitCount })
-	r.jobDirectory = newShardDirectory(func(shard int) int { return r.jobShards[shard].splitCount })
+	r.machineDirectory = newShardDirectory(func(shard int) int { return r.machineShards[shard].shardCount })
+	r.jobDirectory = newShardDirectory(func(shard int) int { return r.jobShards[shard].shardCount })
 	r.useLayout(layout)
 	return r
 }
--- a/internal/controller/replica_jobs.go
+++ b/internal/controller/replica_jobs.go
@@ -40,7 +40,7 @@
 func (r *replica) applyCancellation(id string, deleted bool) {
 	j := r.job(id)
 	j.cancellationShown = !deleted
-	j.forgetOccupancies()
+	j.invalidateOccupancies()
 	if deleted {
 		r.dropIfUnused(j)
 		return
@@ -51,7 +51,7 @@
 // applyJobShard applies a job shard's new contents. A deleted shard still owns its names, but lists no
 // jobs.
 func (r *replica) applyJobShard(s *jobShard, value json.RawMessage, revision uint64) {
-	doc := schema.JobShard{ShardCount: s.splitCount}
+	doc := schema.JobShard{ShardCount: s.shardCount}
 	if len(value) > 0 {
 		doc.ShardCount = 0
 		if !r.env.decode(s.key, value, &doc) {
@@ -60,7 +60,7 @@
 	}
 	r.jobsByAge = nil
 	previousIDs := r.detachJobs(s)
-	s.jobIDs, s.size, s.splitCount, s.revision = make([]string, 0, len(doc.Jobs)), len(value), doc.ShardCount, revision
+	s.jobIDs, s.size, s.shardCount, s.revision = make([]string, 0, len(doc.Jobs)), len(value), doc.ShardCount, revision
 	r.growJobShards(doc.ShardCount)
 	r.jobDirectory.noteCount(s.number, doc.ShardCount)
 	for i := range doc.Jobs {
@@ -100,9 +100,9 @@
 
 // acceptJob adds a job to the accepted jobs.
 func (r *replica) acceptJob(j *job, spec *schema.Job) {
-	j.spec, j.accepted, j.left = *spec, true, false
+	j.spec, j.accepted, j.removedFromShard = *spec, true, false
 	j.partition = r.env.partitionOf(spec.Team)
-	j.forgetOccupancies()
+	j.invalidateOccupancies()
 	r.observer.jobAccepted(j)
 }
 
@@ -126,9 +126,9 @@
 // removeJob removes a job that has left its shard from the accepted jobs. Its outcome was stored before
 // it was removed from the shard, or in the same transaction.
 func (r *replica) removeJob(j *job) {
-	j.accepted, j.left = false, true
+	j.accepted, j.removedFromShard = false, true
 	delete(r.unlocatedJobs, j.id)
-	j.forgetOccupancies()
+	j.invalidateOccupancies()
 	r.observer.jobRemoved(j)
 	r.dropIfUnused(j)
 }
@@ -142,8 +142,8 @@
 //     task is entered only while its job is accepted, so the job has left since.
 func (r *replica) provenOver(id string, enteredRevision uint64) bool {
 	j := r.jobs[id]
-	if j != nil && (j.accepted || j.left) {
-		return j.left
+	if j != nil && (j.accepted || j.removedFromShard) {
+		return j.removedFromShard
 	}
 	if outcome, known := r.outcomes.get(id); known && outcome.State == StageDone {
 		return true
@@ -206,7 +206,7 @@
 		return fmt.Errorf("progress of %s: %w", j.id, err)
 	}
 	j.activeCount = -1
-	j.forgetOccupancies()
+	j.invalidateOccupancies()
 	j.done, j.storedRanges = j.done.Union(stored), progress.DoneRanges
 	j.allDone = j.allDone.Union(j.done)
 	if progress.Samples >= j.storedAverageCount {
--- a/internal/controller/replica_machines.go
+++ b/internal/controller/replica_machines.go
@@ -20,7 +20,7 @@
 	if s.partition != doc.Partition {
 		s.movedAt = r.env.now
 	}
-	s.revision, s.size, s.partition, s.handovers, s.splitCount = revision, len(value), doc.Partition, doc.Handovers, doc.ShardCount
+	s.revision, s.size, s.partition, s.handovers, s.shardCount = revision, len(value), doc.Partition, doc.Handovers, doc.ShardCount
 	r.growMachineShards(doc.ShardCount)
 	r.machineDirectory.noteCount(s.number, doc.ShardCount)
 	s.machines = make([]*machine, 0, len(doc.Machines))
@@ -113,7 +113,7 @@
 	if changed {
 		r.unbind(m)
 		m.doc = *entry
-		m.forgetOccupancy()
+		m.invalidateOccupancy()
 		m.noteEntries(entrySeen{at: r.env.now, revision: revision})
 		for _, task := range entry.Tasks {
 			r.bind(m, task)
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -14,7 +14,7 @@
 	agents       *agentGateway
 }
 
-func (d *changeDispatcher) partitionChanged(partition int) { d.leaderships.follow(partition) }
+func (d *changeDispatcher) partitionChanged(partition int) { d.leaderships.partitionChanged(partition) }
 
 func (d *changeDispatcher) formatRaised() int {
 	d.store.limits.adoptTighter()
@@ -51,7 +51,7 @@
 // forgetUnlistedCompletions drops completions of tasks that the machine's entry no longer lists.
 func (m *machine) forgetUnlistedCompletions() {
 	for key := range m.agent.completions {
-		if !m.lists(key) {
+		if !m.hasEntry(key) {
 			delete(m.agent.completions, key)
 		}
 	}
--- a/internal/controller/replica_shards.go
+++ b/internal/controller/replica_shards.go
@@ -12,7 +12,7 @@
 type machineShard struct {
 	number     int
 	key        string
-	splitCount int // it is one of this many machine shards, since it was split; 0: never split
+	shardCount int // it is one of this many machine shards, since it was split; 0: never split
 	revision   uint64
 	size       int // of the stored value, in bytes
 	partition  int
@@ -26,7 +26,7 @@
 type jobShard struct {
 	number     int
 	key        string
-	splitCount int // it is one of this many job shards, since it was split; 0: never split
+	shardCount int // it is one of this many job shards, since it was split; 0: never split
 	revision   uint64
 	size       int // of the stored value, in bytes
 	jobIDs     []string
@@ -93,7 +93,7 @@
 
 // jobShardDocument returns a job shard's current document, without the given jobs.
 func (r *replica) jobShardDocument(shard *jobShard, without map[string]bool) *schema.JobShard {
-	document := &schema.JobShard{ShardCount: shard.splitCount}
+	document := &schema.JobShard{ShardCount: shard.shardCount}
 	for _, id := range shard.jobIDs {
 		if !without[id] {
 			document.Jobs = append(document.Jobs, r.jobs[id].spec)
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -14,7 +14,7 @@
 func TestLoadBesideChanges(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 4
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	showMachineShard := func(revision uint64, machine string, tasks ...schema.Task) {
 		t.Helper()
 		doc := schema.MachineShard{Machines: []schema.Machine{{Name: machine, Addr: "x", Tasks: tasks}}}
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -32,7 +32,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := layoutConfig(tc.teams, valueKB)
-			store := &fakeStore{keys: map[string]kv.KeyValue{}, asked: map[kv.RequestKind]int{}}
+			store := &fakeStore{keys: map[string]kv.KeyValue{}, requestCounts: map[kv.RequestKind]int{}}
 			if tc.stored != nil {
 				store.put(schema.LayoutKey, tc.stored)
 			}
@@ -66,7 +66,7 @@
 // startController runs a controller on the store for enough steps to load the replica.
 func (o *fakeStore) startController(t *testing.T, cfg *config.Config) *Controller {
 	t.Helper()
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	step := o.stepper(c)
 	for range 100 {
 		step()
--- a/internal/controller/requests_test.go
+++ b/internal/controller/requests_test.go
@@ -27,7 +27,7 @@
 func newRequestHarness(t *testing.T, outcome schema.Outcome) *requestHarness {
 	t.Helper()
 	c, store := storeWithDependencies(outcome)
-	store.guarded = true
+	store.checkConditions = true
 	w := &requestHarness{controller: c, store: store, now: units.Second}
 	for range 100 {
 		w.step()
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -60,7 +60,7 @@
 			return documents
 		}
 	}
-	if maxParts < 2 || d.store.limits.lowered {
+	if maxParts < 2 || d.store.limits.ratesLowered {
 		return nil
 	}
 	if documents := split(maxParts); longestDocument(documents) <= maxValueBytes(d.cfg.Settings.KVStore.ValueKB) {
@@ -138,18 +138,18 @@
 // split returns the machine shard's document in the given number of parts.
 func (s *stagedShard) split(parts int) []splitDocument {
 	whole := s.document()
-	splitCount := max(s.shard.splitCount, s.planner.replica.layout.MachineShards)
+	shardCount := max(s.shard.shardCount, s.planner.replica.layout.MachineShards)
 	shards := make([]schema.MachineShard, parts)
 	for i := range shards {
-		shards[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: splitCount * parts, WriteTag: whole.WriteTag}
+		shards[i] = schema.MachineShard{Partition: whole.Partition, Handovers: whole.Handovers, ShardCount: shardCount * parts, WriteTag: whole.WriteTag}
 	}
 	for _, machine := range whole.Machines {
-		part := &shards[(schema.MachineShardIndex(machine.Name, splitCount*parts)-s.shard.number)/splitCount]
+		part := &shards[(schema.MachineShardIndex(machine.Name, shardCount*parts)-s.shard.number)/shardCount]
 		part.Machines = append(part.Machines, machine)
 	}
 	documents := make([]splitDocument, parts)
 	for i := range shards {
-		documents[i] = splitDocument{schema.MachineShardKey(s.shard.number + i*splitCount), encode(shards[i])}
+		documents[i] = splitDocument{schema.MachineShardKey(s.shard.number + i*shardCount), encode(shards[i])}
 	}
 	return documents
 }
@@ -221,18 +221,18 @@
 
 // split returns the job shard's document in the given number of parts.
 func (d *jobShardSplitter) split(shard *jobShard, parts int, writeTag string) []splitDocument {
-	splitCount := max(shard.splitCount, d.replica.layout.JobShards)
+	shardCount := max(shard.shardCount, d.replica.layout.JobShards)
 	shards := make([]schema.JobShard, parts)
 	for i := range shards {
-		shards[i] = schema.JobShard{ShardCount: splitCount * parts, WriteTag: writeTag}
+		shards[i] = schema.JobShard{ShardCount: shardCount * parts, WriteTag: writeTag}
 	}
 	for _, job := range d.replica.jobShardDocument(shard, nil).Jobs {
-		part := &shards[(schema.JobShardIndex(job.ID, splitCount*parts)-shard.number)/splitCount]
+		part := &shards[(schema.JobShardIndex(job.ID, shardCount*parts)-shard.number)/shardCount]
 		part.Jobs = append(part.Jobs, job)
 	}
 	documents := make([]splitDocument, parts)
 	for i := range shards {
-		documents[i] = splitDocument{schema.JobShardKey(shard.number + i*splitCount), encode(shards[i])}
+		documents[i] = splitDocument{schema.JobShardKey(shard.number + i*shardCount), encode(shards[i])}
 	}
 	return documents
 }
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -28,8 +28,8 @@
 			t.Fatalf("%d machines, %d tasks bound", len(c.replica.machines), len(c.replica.jobs["j-000001"].bindings))
 		}
 		for name, m := range c.replica.machines {
-			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.splitCount != 3*shards {
-				t.Errorf("%s is in machine shard %d of %d, or was recreated", name, m.shard.number, m.shard.splitCount)
+			if m != known[name] || c.replica.machineShardOf(name) != m.shard || m.shard.shardCount != 3*shards {
+				t.Errorf("%s is in machine shard %d of %d, or was recreated", name, m.shard.number, m.shard.shardCount)
 			}
 		}
 		if total := machinesInShards(c); total != 6 {
@@ -63,7 +63,7 @@
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	machines, jobs := schema.MachineShard{}, schema.JobShard{}
 	for i := range 6 {
 		machines.Machines = append(machines.Machines, schema.Machine{
@@ -101,7 +101,7 @@
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			cfg := &config.Config{Member: "a"}
 			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-			c := quietController(cfg)
+			c := newTestController(cfg)
 			shardCount := len(c.replica.jobShards)
 			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
 			stays, moves, movesTwice := job(5), job(5+shardCount), job(5+3*shardCount)
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -77,7 +77,7 @@
 func (a *autoscaler) drainUnderused(blocked bool, starving []*job) {
 	survey := &drainSurvey{autoscaler: a, blocked: blocked, starving: starving}
 	for _, m := range a.replica.sortedMachines() {
-		if machineType := a.catalog.machineType(m.doc.Type); machineType != nil && m.part() >= 0 {
+		if machineType := a.catalog.machineType(m.doc.Type); machineType != nil && m.commandingPartition() >= 0 {
 			survey.add(m, machineType)
 		}
 	}
@@ -104,7 +104,7 @@
 	used := machineType.CPUs - capacity.cpus
 	s.usedCPUs += used
 	if m.agent == nil {
-		if _, open := a.acceptance.foreignMachineOpen(m); open {
+		if _, accepts := a.acceptance.foreignMachineAcceptsTasks(m); accepts {
 			s.freeCPUs += machineType.CPUs - used
 		}
 		return
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -62,8 +62,9 @@
 // bounds how long a job of this class may wait for its start.
 func (p *plan) fetchTooSlow(j *job, m *machine) bool {
 	machineType := p.catalog.machineType(m.doc.Type)
-	// Half of the objective is allowed: the fetch rate may be a third lower, and a third of the time
-	// is left for what comes before and after the fetch.
+	// A fetch at the nominal rate may take half of the objective, hence three quarters of it if the rate
+	// is a third lower. That leaves time equal to a third of the longer fetch for what comes before and
+	// after it.
 	for _, objective := range p.cfg.Settings.Objectives {
 		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && machineType != nil && machineType.FetchGBPerSecond > 0 {
 			return j.spec.ImageGB/machineType.FetchGBPerSecond > objective.WithinS/2
--- a/internal/controller/shard_histories_test.go
+++ b/internal/controller/shard_histories_test.go
@@ -211,7 +211,7 @@
 func newHistoryReplica(t *testing.T, name string, store *historyStore) *historyReplica {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	c.partitions.led[0] = &leadership{} // so that it commands the machines
 	return &historyReplica{
 		t: t, name: name, store: store, c: c,
@@ -588,9 +588,9 @@
 func TestProofWaitsForReload(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
 	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
-	c := quietController(cfg)
+	c := newTestController(cfg)
 	proven := false
-	c.freshness.awaitingRevision = []revisionWaiter{{revision: 12, then: func(current bool) { proven = current }}}
+	c.freshness.awaitingRevision = []revisionWaiter{{revision: 12, done: func(current bool) { proven = current }}}
 	c.replica.notePage(15)
 	c.replica.notePage(25)
 	c.replica.beginSync(15)
--- a/internal/controller/staged_machine.go
+++ b/internal/controller/staged_machine.go
@@ -140,7 +140,7 @@
 			continue
 		}
 		bound, ok := j.bindings[task.Index]
-		if ok && bound.machine == m.machine && bound.attempt == task.Attempt && !m.machine.lists(keyOf(task)) {
+		if ok && bound.machine == m.machine && bound.attempt == task.Attempt && !m.machine.hasEntry(keyOf(task)) {
 			j.removeBinding(task.Index)
 		}
 	}
--- a/internal/controller/staged_shard.go
+++ b/internal/controller/staged_shard.go
@@ -19,7 +19,7 @@
 
 	changed     bool             // the document is written by this plan
 	picked      bool             // arrays may use the shard in this plan
-	splitCount  int              // documents that the shard is split into; 0: it is not split
+	splitParts  int              // documents that the shard is split into; 0: it is not split
 	transferTo  int              // partition that the shard is transferred to, or -1
 	newMachines []schema.Machine // machines that this plan registers
 	oversized   bool             // longer than what may be written: the shard must be split first
@@ -37,7 +37,7 @@
 // document returns the machine shard as it is to be stored.
 func (s *stagedShard) document() *schema.MachineShard {
 	document := &schema.MachineShard{
-		Partition: s.shard.partition, Handovers: s.shard.handovers, ShardCount: s.shard.splitCount, WriteTag: s.writeTag,
+		Partition: s.shard.partition, Handovers: s.shard.handovers, ShardCount: s.shard.shardCount, WriteTag: s.writeTag,
 		Machines: slices.Clone(s.newMachines),
 	}
 	if s.transferTo >= 0 {
@@ -56,8 +56,8 @@
 
 // documents returns the machine shard as it is to be stored, as several documents if it is split.
 func (s *stagedShard) documents() []splitDocument {
-	if s.splitCount > 1 {
-		return s.split(s.splitCount)
+	if s.splitParts > 1 {
+		return s.split(s.splitParts)
 	}
 	value := encode(s.document())
 	if len(value) > s.planner.store.limits.maxValueBytes() && s.addsTasks() {
@@ -92,7 +92,7 @@
 
 // markSplit marks the shard as to be written in several documents; nothing more can be added to it then.
 func (s *stagedShard) markSplit(documents int) {
-	s.changed, s.splitCount, s.bytesLeft = true, documents, 0
+	s.changed, s.splitParts, s.bytesLeft = true, documents, 0
 }
 
 // markTransferred marks the shard as to be transferred to another partition.
@@ -100,14 +100,14 @@
 
 // addMachine adds the entry of a machine whose agent has registered.
 func (s *stagedShard) addMachine(document schema.Machine) {
-	s.bytesLeft -= schema.MaxStoredSize(len(encode(document)))
+	s.bytesLeft -= schema.MaxStoredGrowth(len(encode(document)))
 	s.newMachines = append(s.newMachines, document)
 }
 
-// noteEntriesLeaving records the entries that a commit in flight removes from the document: their tasks
-// must not be started again meanwhile.
-func (s *stagedShard) noteEntriesLeaving() {
-	s.forgetEntriesLeaving()
+// noteEntriesBeingRemoved records the entries that a commit in flight removes from the document: their
+// tasks must not be started again meanwhile.
+func (s *stagedShard) noteEntriesBeingRemoved() {
+	s.clearEntriesBeingRemoved()
 	if !s.ownShard {
 		return
 	}
@@ -115,25 +115,25 @@
 		if m.machine.agent == nil || !m.releasesEntries() {
 			continue
 		}
-		leaving := map[taskKey]bool{}
+		beingRemoved := map[taskKey]bool{}
 		for _, task := range m.machine.doc.Tasks {
-			leaving[keyOf(task)] = true
+			beingRemoved[keyOf(task)] = true
 		}
 		for _, task := range m.kept {
-			delete(leaving, keyOf(task))
+			delete(beingRemoved, keyOf(task))
 		}
-		m.machine.agent.entriesLeaving = leaving
+		m.machine.agent.entriesBeingRemoved = beingRemoved
 	}
 }
 
-// forgetEntriesLeaving clears that record when the commit's result is known.
-func (s *stagedShard) forgetEntriesLeaving() {
+// clearEntriesBeingRemoved clears that record when the commit's result is known.
+func (s *stagedShard) clearEntriesBeingRemoved() {
 	if !s.ownShard {
 		return
 	}
 	for _, m := range s.machines {
 		if m.machine.agent != nil {
-			m.machine.agent.entriesLeaving = nil
+			m.machine.agent.entriesBeingRemoved = nil
 		}
 	}
 }
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -42,7 +42,7 @@
 	case machine.agent != nil: // this controller leads that partition as well
 		m.usable = p.authority.leads(shard.shard.partition) && p.machineView.acceptsTasks(machine)
 	default:
-		m.images, m.usable = p.machineView.foreignMachineOpen(machine)
+		m.images, m.usable = p.machineView.foreignMachineAcceptsTasks(machine)
 	}
 	if !shard.ownShard && !m.usable {
 		m.keepAll()
--- a/internal/controller/storelimits.go
+++ b/internal/controller/storelimits.go
@@ -11,8 +11,8 @@
 // become tighter.
 type storeLimits struct {
 	config.KVLimits
-	next    config.KVLimits // limits that will take effect at some later time
-	lowered bool            // the store was observed to permit lower rates than the present settings say
+	next         config.KVLimits // limits that will take effect at some later time
+	ratesLowered bool            // the store was observed to permit lower rates than the present settings say
 }
 
 func newStoreLimits(s *config.Settings) storeLimits {
@@ -24,7 +24,7 @@
 func (l *storeLimits) adoptTighter() {
 	tighter := l.Min(l.next)
 	l.ValueKB, l.TxnOps = tighter.ValueKB, tighter.TxnOps
-	if l.lowered {
+	if l.ratesLowered {
 		l.RPS, l.WriteRPS = tighter.RPS, tighter.WriteRPS
 	}
 }
@@ -32,10 +32,10 @@
 // noteThrottled concludes from a 429 that the next rates may already be in effect. It reports whether
 // that changes the limits.
 func (l *storeLimits) noteThrottled() bool {
-	if l.lowered || l.next.WriteRPS >= l.WriteRPS && l.next.RPS >= l.RPS {
+	if l.ratesLowered || l.next.WriteRPS >= l.WriteRPS && l.next.RPS >= l.RPS {
 		return false
 	}
-	l.lowered = true
+	l.ratesLowered = true
 	l.adoptTighter()
 	return true
 }
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -73,7 +73,7 @@
 	c.fleet = &fleetMonitor{
 		environment: env, replica: c.replica, authority: c.authority, agents: c.agents, peers: c.peers,
 		quarantine: c.quarantine, decommissioner: c.decommission,
-		unheard: &unheardPartitions{
+		silentPartitions: &silentPartitions{
 			environment: env, store: c.store, replica: c.replica, partitions: c.partitions, budget: c.budget,
 			leaderships: c.leaderships, peers: c.peers,
 		},
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -154,7 +154,7 @@
 	Cancelled             bool
 	CancellationShown     bool // the replica shows its cancellation document, which is deleted with the job
 	CancelledByDependency bool // it is cancelled because of a job that it depends on
-	Entered               bool // some of its tasks have entries on machines
+	HasEntries            bool // some of its tasks have entries on machines
 	Completed             bool // all of its tasks have completed
 }
 
@@ -175,7 +175,7 @@
 	switch {
 	case !f.Cancelled && f.Completed:
 		return ForgetCompleted
-	case !f.Cancelled || f.Entered:
+	case !f.Cancelled || f.HasEntries:
 		return KeepJob
 	case f.CancellationShown:
 		return ForgetCancelled
@@ -214,10 +214,10 @@
 	return AnswerRecentReplica
 }
 
-// Overtaken reports whether the answer is older than a stored outcome that differs from it: the user
+// Outdated reports whether the answer is older than a stored outcome that differs from it: the user
 // must be told the outcome instead.
-func (f AnswerFacts) Overtaken() bool { return f.OutcomeStored && !f.Agrees }
+func (f AnswerFacts) Outdated() bool { return f.OutcomeStored && !f.Agrees }
 
 // Contradicts reports whether the answer violates the invariant: it is final, and states another
 // outcome than the stored one.
-func (f AnswerFacts) Contradicts() bool { return f.Overtaken() && f.Final }
+func (f AnswerFacts) Contradicts() bool { return f.Outdated() && f.Final }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -59,10 +59,10 @@
 		want  ForgetReason
 	}{
 		"neither cancelled nor completed": {JobFacts{}, KeepJob},
-		"completed":                       {JobFacts{Completed: true, Entered: true}, ForgetCompleted},
+		"completed":                       {JobFacts{Completed: true, HasEntries: true}, ForgetCompleted},
 		"cancelled":                       {JobFacts{Cancelled: true, CancellationShown: true}, ForgetCancelled},
-		"cancelled, tasks have entries":   {JobFacts{Cancelled: true, CancellationShown: true, Entered: true}, KeepJob},
-		"cancelled and completed":         {JobFacts{Cancelled: true, CancellationShown: true, Completed: true, Entered: true}, KeepJob},
+		"cancelled, tasks have entries":   {JobFacts{Cancelled: true, CancellationShown: true, HasEntries: true}, KeepJob},
+		"cancelled and completed":         {JobFacts{Cancelled: true, CancellationShown: true, Completed: true, HasEntries: true}, KeepJob},
 		"cancelled by dependency":         {JobFacts{Cancelled: true, CancelledByDependency: true}, ForgetCancelledByDependency},
 		"cancelled, document not shown":   {JobFacts{Cancelled: true}, KeepJob},
 	} {
@@ -72,12 +72,12 @@
 	}
 }
 
-// TestAnswer checks the basis of answers, and which of them a stored outcome overtakes or contradicts.
+// TestAnswer checks the basis of answers, and which of them a stored outcome makes outdated or contradicts.
 func TestAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
-		facts                  AnswerFacts
-		basis                  AnswerBasis
-		overtaken, contradicts bool
+		facts                 AnswerFacts
+		basis                 AnswerBasis
+		outdated, contradicts bool
 	}{
 		"running":                       {AnswerFacts{}, AnswerRecentReplica, false, false},
 		"done, not stored":              {AnswerFacts{Final: true}, AnswerRecentReplica, false, false},
@@ -89,7 +89,7 @@
 		if got := tc.facts.Basis(); got != tc.basis {
 			t.Errorf("%s: basis %q, want %q", name, got, tc.basis)
 		}
-		if got := tc.facts.Overtaken(); got != tc.overtaken {
+		if got := tc.facts.Outdated(); got != tc.outdated {
 			t.Errorf("%s: overtaken %v", name, got)
 		}
 		if got := tc.facts.Contradicts(); got != tc.contradicts {
--- a/internal/peer/heartbeat_test.go
+++ b/internal/peer/heartbeat_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestReadsBefore checks that heartbeats sent by the version in production can be decoded.
-func TestReadsBefore(t *testing.T) {
+// TestReadsPreviousVersion checks that heartbeats sent by the version in production can be decoded.
+func TestReadsPreviousVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/before.gob")
 	if err != nil {
 		t.Fatal(err)
@@ -34,9 +34,9 @@
 	Open    map[string][]string
 }
 
-// TestReadBefore checks that the previous version decodes a current heartbeat and ignores the fields
-// that it does not know.
-func TestReadBefore(t *testing.T) {
+// TestReadByPreviousVersion checks that the previous version decodes a current heartbeat and ignores
+// the fields that it does not know.
+func TestReadByPreviousVersion(t *testing.T) {
 	var stream bytes.Buffer
 	enc := gob.NewEncoder(&stream)
 	for range 2 {
--- a/internal/schema/compression.go
+++ b/internal/schema/compression.go
@@ -35,9 +35,9 @@
 	return out, nil
 }
 
-// MaxStoredSize returns the most bytes by which a stored shard can grow when addedBytes of plain JSON
+// MaxStoredGrowth returns the most bytes by which a stored shard can grow when addedBytes of plain JSON
 // are added to it: in the deflated form, base 64 makes data that does not compress a third longer.
-func MaxStoredSize(addedBytes int) int { return addedBytes*4/3 + 8 }
+func MaxStoredGrowth(addedBytes int) int { return addedBytes*4/3 + 8 }
 
 // maxDecompressedBytes limits how much of a deflated value is decompressed, so that a corrupt one
 // cannot exhaust the memory. No valid document is that long.
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -125,8 +125,8 @@
 	latency   operation
 }{
 	controller.SubmitJob: {admission.Submit, submitOperation},
-	controller.QueryJob:  {admission.Poll, queryOperation},
-	controller.CancelJob: {admission.Abort, cancelOperation},
+	controller.QueryJob:  {admission.Query, queryOperation},
+	controller.CancelJob: {admission.Cancel, cancelOperation},
 }
 
 // handleUserRequest passes a user's request to the controller, unless the limiter reports too many requests
