--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -95,7 +95,7 @@
 	completedAt  units.Micros   // when the last of them did; 0: not yet
 	waitingSince units.Micros   // since when one of its tasks has waited beside free capacity; 0: none does
 
-	failing pollFailures
+	failedPolls pollFailures
 }
 
 // NewChecker returns a checker that knows of no job.
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -9,10 +9,10 @@
 // After how long and how many unanswered polls a user counts as forgotten: once all faults are over,
 // and while others are answered.
 const (
-	silenceAfterFaults     = 75 * units.Second
-	failedPollsAfterFaults = 8 // the network alone loses some
-	silenceAmongOthers     = 90 * units.Second
-	failedPollsAmongOthers = 10
+	maxSilenceAfterFaults             = 75 * units.Second
+	minFailedPollsAfterFaults         = 8 // the network alone loses some
+	maxSilenceWhileOthersAnswered     = 90 * units.Second
+	minFailedPollsWhileOthersAnswered = 10
 )
 
 // pollFailures are the failed polls of a job since the last that was answered.
@@ -29,14 +29,14 @@
 // submissionAnswered is called for each answer to a submission, also a repeated one.
 func (c *Checker) submissionAnswered(jobID string, answer userAnswer) {
 	refused := answer.status == http.StatusBadRequest || answer.status == http.StatusUnprocessableEntity
-	if job := c.answered(jobID, answer); job != nil && refused && job.accepted {
+	if job := c.checkAnswer(jobID, answer); job != nil && refused && job.accepted {
 		c.violate(RuleForgotten, "%s is accepted and its repeat gets %d", jobID, answer.status)
 	}
 }
 
 // cancellationAnswered is called for each answer to a cancellation.
 func (c *Checker) cancellationAnswered(jobID string, answer userAnswer) {
-	if job := c.answered(jobID, answer); job != nil {
+	if job := c.checkAnswer(jobID, answer); job != nil {
 		c.checkKnown(jobID, answer)
 	}
 }
@@ -48,20 +48,20 @@
 	if answered {
 		c.answeredPolls++
 	}
-	job := c.answered(jobID, answer)
+	job := c.checkAnswer(jobID, answer)
 	if job == nil {
 		return
 	}
 	c.checkKnown(jobID, answer)
 	if answered {
-		job.failing = pollFailures{}
+		job.failedPolls = pollFailures{}
 		return
 	}
 	c.pollFailed(job)
 }
 
-// answered checks what all answers have in common. It returns the job; nil: nobody submitted it.
-func (c *Checker) answered(jobID string, answer userAnswer) *jobHistory {
+// checkAnswer checks what all answers have in common. It returns the job; nil: nobody submitted it.
+func (c *Checker) checkAnswer(jobID string, answer userAnswer) *jobHistory {
 	job := c.jobs[jobID]
 	switch {
 	case !accepts(answer.status):
@@ -82,22 +82,22 @@
 
 // pollFailed checks that a job's polls don't fail for long.
 func (c *Checker) pollFailed(job *jobHistory) {
-	failing := &job.failing
-	failing.count++
-	if failing.since == 0 {
-		failing.since, failing.answeredBefore, failing.pollsBefore = c.now, c.answeredPolls, c.polls
+	failures := &job.failedPolls
+	failures.count++
+	if failures.since == 0 {
+		failures.since, failures.answeredBefore, failures.pollsBefore = c.now, c.answeredPolls, c.polls
 	}
 	if !job.accepted {
 		return
 	}
-	if c.faultsEndAt > 0 && c.now-max(failing.since, c.faultsEndAt) > silenceAfterFaults && failing.count >= failedPollsAfterFaults {
-		c.violate(RuleForgotten, "no poll for %s has been answered since %.1f, though all faults are over", job.spec.ID, failing.since.Seconds())
-		failing.since = c.now
+	if c.faultsEndAt > 0 && c.now-max(failures.since, c.faultsEndAt) > maxSilenceAfterFaults && failures.count >= minFailedPollsAfterFaults {
+		c.violate(RuleForgotten, "no poll for %s has been answered since %.1f, though all faults are over", job.spec.ID, failures.since.Seconds())
+		failures.since = c.now
 	}
-	mostAnswered := (c.answeredPolls-failing.answeredBefore)*2 > c.polls-failing.pollsBefore
-	if c.now-failing.since > silenceAmongOthers && failing.count >= failedPollsAmongOthers && mostAnswered {
-		c.violate(RuleForgotten, "every poll for %s has failed since %.1f", job.spec.ID, failing.since.Seconds())
-		failing.since = 0
+	mostAnswered := (c.answeredPolls-failures.answeredBefore)*2 > c.polls-failures.pollsBefore
+	if c.now-failures.since > maxSilenceWhileOthersAnswered && failures.count >= minFailedPollsWhileOthersAnswered && mostAnswered {
+		c.violate(RuleForgotten, "every poll for %s has failed since %.1f", job.spec.ID, failures.since.Seconds())
+		failures.since = 0
 	}
 }
 
--- a/internal/simulator/checker_service.go
+++ b/internal/simulator/checker_service.go
@@ -13,7 +13,7 @@
 	// startDeadline is how soon the largest jobs must start.
 	startDeadline = 240 * units.Second
 	// Every so many jobs of a class, one counts as large.
-	largestShare = 10
+	largestJobsDivisor = 10
 
 	classPrefix = "class "
 	teamPrefix  = "team "
@@ -80,7 +80,7 @@
 func (c *Checker) checkLargestJobs(name string, jobs []*jobHistory) {
 	jobs = slices.Clone(jobs)
 	slices.SortStableFunc(jobs, func(a, b *jobHistory) int { return b.spec.Tasks - a.spec.Tasks })
-	jobs = jobs[:(len(jobs)+largestShare-1)/largestShare]
+	jobs = jobs[:(len(jobs)+largestJobsDivisor-1)/largestJobsDivisor]
 	started := 0
 	for _, job := range jobs {
 		readyAt, _ := c.readyAt(job)
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -35,8 +35,8 @@
 	if _, ready := c.readyAt(job); !ready {
 		c.violate(RuleTooEarly, "%s starts on %s before all that its job needs is done", id, machine)
 	}
-	other, twice := job.placements[number]
-	if twice {
+	other, alreadyRunning := job.placements[number]
+	if alreadyRunning {
 		c.violate(RuleRanTwice, "%s starts on %s while it is on %s", id, machine, other)
 	}
 	c.checkPlacement(job, id, machine, listed)
@@ -45,7 +45,7 @@
 		c.violate(RuleRanCancelled, "%s starts %.1f s after its user was told", id, (c.now - job.cancelledAt).Seconds())
 	}
 	c.machines[machine] = listed
-	if !twice {
+	if !alreadyRunning {
 		c.usage[job.spec.Team] = c.usageWith(job.spec)
 	}
 	job.placements[number] = machine
@@ -54,7 +54,7 @@
 // checkPlacement checks that a task may be on a machine, with its job's other tasks where they are.
 func (c *Checker) checkPlacement(job *jobHistory, id, machine string, listed cloud.ListedMachine) {
 	spec := job.spec
-	if !mayBeOn(spec, listed) {
+	if !jobAllowsMachine(spec, listed) {
 		c.violate(RuleWrongPlace, "%s on %s (%s, %s, spot %v)", id, machine, listed.Type, listed.Zone, listed.Spot)
 	}
 	inZone := 1
@@ -65,23 +65,23 @@
 			c.violate(RuleWrongPlace, "%s in %s while %s is in %s", id, listed.Zone, taskID(spec.ID, number), zone)
 		}
 	}
-	if spec.Spread && inZone > mostInOneZone(spec) {
+	if spec.Spread && inZone > maxTasksPerZone(spec) {
 		c.violate(RuleWrongPlace, "%s is number %d of %d in %s", id, inZone, spec.Tasks, listed.Zone)
 	}
 }
 
-// mayBeOn reports whether a job allows a machine's type, zone and price.
-func mayBeOn(spec *schema.Job, listed cloud.ListedMachine) bool {
+// jobAllowsMachine reports whether a job allows a machine's type, zone and price.
+func jobAllowsMachine(spec *schema.Job, listed cloud.ListedMachine) bool {
 	typeAllowed := len(spec.Types) == 0 || slices.Contains(spec.Types, listed.Type)
 	zoneAllowed := spec.Zone == "" || spec.Zone == listed.Zone
 	return typeAllowed && zoneAllowed && (spec.Spot || !listed.Spot)
 }
 
-// mostInOneZone is how many tasks of a spread job may be in one zone.
-func mostInOneZone(spec *schema.Job) int { return (spec.Tasks + 1) / 2 }
+// maxTasksPerZone is how many tasks of a spread job may be in one zone.
+func maxTasksPerZone(spec *schema.Job) int { return (spec.Tasks + 1) / 2 }
 
-// anotherMayBeIn reports whether one more task of the job may be in the zone.
-func (c *Checker) anotherMayBeIn(job *jobHistory, zone string) bool {
+// zoneAllowsAnother reports whether one more task of the job may be in the zone.
+func (c *Checker) zoneAllowsAnother(job *jobHistory, zone string) bool {
 	inZone := 0
 	for _, machine := range job.placements {
 		if c.machines[machine].Zone == zone {
@@ -90,7 +90,7 @@
 			return false
 		}
 	}
-	return !job.spec.Spread || inZone+1 <= mostInOneZone(job.spec)
+	return !job.spec.Spread || inZone+1 <= maxTasksPerZone(job.spec)
 }
 
 // usageWith is what a job's team uses with one more of its tasks.
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -10,22 +10,22 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// breach breaks one rule.
-type breach struct {
-	rule Rule
-	play func(c *Checker)
+// violationCase breaks one rule.
+type violationCase struct {
+	rule    Rule
+	provoke func(c *Checker)
 }
 
 // TestCheckerCatches breaks each rule once and sees that it is noticed.
 func TestCheckerCatches(t *testing.T) {
-	for _, tc := range slices.Concat(placementBreaches(), answerBreaches(), serviceBreaches()) {
+	for _, tc := range slices.Concat(placementViolations(), answerViolations(), serviceViolations()) {
 		c := NewChecker()
 		c.now = units.Second
 		c.setQuota("red", resources{cpus: 4})
 		c.submitted(&schema.Job{ID: "j-1", Team: "red", Tasks: 3, CPUs: 2})
 		c.submitted(&schema.Job{ID: "j-2", Team: "blue", Tasks: 2, CPUs: 1, Spread: true})
 		c.submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
-		tc.play(c)
+		tc.provoke(c)
 		if len(c.Violations) != 1 || c.Violations[0].Rule != tc.rule {
 			t.Errorf("%s: noticed %v", tc.rule, c.Violations)
 		}
@@ -45,11 +45,11 @@
 	c.cancellationAnswered(id, userAnswer{status: http.StatusOK, stage: stage, knownStage: c.lastStage(id)})
 }
 
-// placementBreaches are those of tasks: where and when they run.
-func placementBreaches() []breach {
+// placementViolations are those of tasks: where and when they run.
+func placementViolations() []violationCase {
 	spot := cloud.ListedMachine{Type: "big", Zone: "a", Spot: true}
 	a, b := cloud.ListedMachine{Type: "big", Zone: "a"}, cloud.ListedMachine{Type: "big", Zone: "b"}
-	return []breach{
+	return []violationCase{
 		{"ran_twice", func(c *Checker) { c.taskStarted("m1", a, "j-1", 0); c.taskStarted("m2", a, "j-1", 0) }},
 		{"quota", func(c *Checker) {
 			c.taskStarted("m1", a, "j-1", 0)
@@ -103,10 +103,10 @@
 	}
 }
 
-// serviceBreaches are those of which jobs are served.
-func serviceBreaches() []breach {
+// serviceViolations are those of which jobs are served.
+func serviceViolations() []violationCase {
 	a := cloud.ListedMachine{Type: "big", Zone: "a"}
-	return []breach{
+	return []violationCase{
 		{"unserved", func(c *Checker) {
 			submission(c, "j-1", http.StatusCreated, "pending")
 			c.checkHalfStarted("team red", []*jobHistory{c.jobs["j-1"]})
@@ -121,9 +121,9 @@
 	}
 }
 
-// answerBreaches are those of what users are told.
-func answerBreaches() []breach {
-	return []breach{
+// answerViolations are those of what users are told.
+func answerViolations() []violationCase {
+	return []violationCase{
 		{"accepted_bad", func(c *Checker) {
 			c.mustReject("j-1", "lacks a field")
 			submission(c, "j-1", http.StatusCreated, "pending")
--- a/internal/simulator/expectations.go
+++ b/internal/simulator/expectations.go
@@ -17,9 +17,9 @@
 }
 
 // countRange is a range of numbers, both ends included.
-type countRange struct{ least, most int }
+type countRange struct{ min, max int }
 
-func (r countRange) contains(count int) bool { return r.least <= count && count <= r.most }
+func (r countRange) contains(count int) bool { return r.min <= count && count <= r.max }
 
 // jobsInStage expects users to have been told a stage of some jobs.
 type jobsInStage struct {
@@ -187,9 +187,9 @@
 	if w.store.oversizedTxns > 0 {
 		return fmt.Sprintf("%d transactions were too large", w.store.oversizedTxns), nil
 	}
-	most := w.settings.NextKVLimits().ValueKB * bytesPerKB
+	maxBytes := w.settings.NextKVLimits().ValueKB * bytesPerKB
 	for _, key := range w.store.sortedKeys() {
-		if size := len(w.store.keys[key].value); float64(size) > most {
+		if size := len(w.store.keys[key].value); float64(size) > maxBytes {
 			return fmt.Sprintf("%s has %d bytes", key, size), nil
 		}
 	}
--- a/internal/simulator/parser_expectations.go
+++ b/internal/simulator/parser_expectations.go
@@ -29,5 +29,5 @@
 }
 
 func parseRange(args *arguments) countRange {
-	return countRange{least: args.count("min", 0), most: args.count("max", math.MaxInt32)}
+	return countRange{min: args.count("min", 0), max: args.count("max", math.MaxInt32)}
 }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -120,7 +120,7 @@
 		}
 	})
 	w.run(startOfTime + s.options.duration)
-	problems, err := s.verdict(w)
+	problems, err := s.collectProblems(w)
 	return problems, errors.Join(failure, err)
 }
 
@@ -141,8 +141,8 @@
 	w.every(unknownJobPeriod, w.users.pollUnknownJob)
 }
 
-// verdict closes the run and lists what went wrong.
-func (s *Scenario) verdict(w *World) ([]string, error) {
+// collectProblems closes the run and lists what went wrong.
+func (s *Scenario) collectProblems(w *World) ([]string, error) {
 	w.checker.Finish()
 	var problems []string
 	for _, violation := range w.checker.Violations {
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -18,8 +18,8 @@
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
 			t.Parallel()
 			var log bytes.Buffer
-			for _, bad := range runScenario(t, file, &log) {
-				t.Error(bad)
+			for _, problem := range runScenario(t, file, &log) {
+				t.Error(problem)
 			}
 			if (t.Failed() || testing.Verbose()) && os.Getenv("SCENARIO_LOG") != "" {
 				t.Log("\n" + log.String())
@@ -39,11 +39,11 @@
 		t.Fatalf("%s: %v", file, err)
 	}
 	s.Trace = traceFor(t)
-	bad, err := s.Run(log)
+	problems, err := s.Run(log)
 	if err != nil {
 		t.Fatalf("%s: %v", file, err)
 	}
-	return bad
+	return problems
 }
 
 // TestSameAgain shows that a run depends on its scenario and seed alone.
--- a/internal/simulator/trace_test.go
+++ b/internal/simulator/trace_test.go
@@ -22,10 +22,10 @@
 	if dir == "" {
 		return nil
 	}
-	day := filepath.Join(dir, strings.ReplaceAll(t.Name(), "/", "-"))
+	path := filepath.Join(dir, strings.ReplaceAll(t.Name(), "/", "-"))
 	trace := NewTrace(nil)
 	if os.Getenv("TRACE_LINES") != "" {
-		file, err := os.Create(day + ".lines")
+		file, err := os.Create(path + ".lines")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if err := os.WriteFile(day+".digest", []byte(trace.String()+"\n"), 0o644); err != nil {
+		if err := os.WriteFile(path+".digest", []byte(trace.String()+"\n"), 0o644); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/simulator/waiting_check.go
+++ b/internal/simulator/waiting_check.go
@@ -21,7 +21,7 @@
 				placed[id] = true
 			}
 		}
-		if worker.takesTasks() {
+		if worker.acceptsTasks() {
 			candidates = append(candidates, candidate{worker, worker.freeCapacity()})
 		}
 	}
@@ -31,8 +31,8 @@
 	}
 }
 
-// takesTasks reports whether nothing is wrong with the machine.
-func (a *fakeAgent) takesTasks() bool {
+// acceptsTasks reports whether nothing is wrong with the machine.
+func (a *fakeAgent) acceptsTasks() bool {
 	return a.running && !a.hangs() && !a.failsTasks && a.spotNotice == nil
 }
 
@@ -44,7 +44,7 @@
 	history := w.checker.jobs[job.spec.ID]
 	for _, c := range candidates {
 		listed := c.worker.listed
-		if c.free.covers(requestOf(&job.spec), 0) && mayBeOn(&job.spec, listed) && w.checker.anotherMayBeIn(history, listed.Zone) {
+		if c.free.covers(requestOf(&job.spec), 0) && jobAllowsMachine(&job.spec, listed) && w.checker.zoneAllowsAnother(history, listed.Zone) {
 			return c.worker.name
 		}
 	}
