--- a/internal/simulator/checker.go
+++ b/internal/simulator/checker.go
@@ -8,31 +8,31 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Rule names a rule of the protocol.
+// Rule is the name of a protocol rule.
 type Rule string
 
-// The rules that the checker watches.
+// The rules that the checker enforces. Each comment states what the rule requires.
 const (
-	RuleRanTwice     Rule = "ran_twice"     // a task is on one machine at a time
-	RuleTooEarly     Rule = "too_early"     // a task starts once all jobs that its job needs are done
-	RuleWrongPlace   Rule = "wrong_place"   // a task is where its job may be
+	RuleRanTwice     Rule = "ran_twice"     // a task runs on one machine at a time
+	RuleTooEarly     Rule = "too_early"     // a task starts only once all dependencies of its job are done
+	RuleWrongPlace   Rule = "wrong_place"   // a task runs only on machines and in zones that its job allows
 	RuleQuota        Rule = "quota"         // a team's tasks stay within its quota
-	RuleRanCancelled Rule = "ran_cancelled" // a cancelled job's tasks end, and none starts
-	RuleLeftWaiting  Rule = "left_waiting"  // no task waits beside free capacity for it
-	RuleUnserved     Rule = "unserved"      // of all kinds of jobs enough start, and in time
-	RuleNothingRan   Rule = "nothing_ran"   // some task starts at all
-
-	RuleAcceptedBad Rule = "accepted_bad" // a job that can't run is refused
-	RuleForgotten   Rule = "forgotten"    // an accepted job stays known, and its user is answered
-	RuleInvented    Rule = "invented"     // nobody hears of a job that was never submitted
-	RuleNotDone     Rule = "not_done"     // a job is called done once all its tasks have completed
-	RuleWentBack    Rule = "went_back"    // a job that is over stays what it was called
-	RuleOrphaned    Rule = "orphaned"     // a job ends when one that it needs is cancelled
-
-	RuleInvariant Rule = "invariant" // a controller finds no fault in itself
+	RuleRanCancelled Rule = "ran_cancelled" // tasks of a cancelled job end by the deadline, and none is started later
+	RuleLeftWaiting  Rule = "left_waiting"  // no task waits long while a machine has free capacity for it
+	RuleUnserved     Rule = "unserved"      // half of the jobs of each class and team start, and half of a class's largest in time
+	RuleNothingRan   Rule = "nothing_ran"   // at least one task starts during the run
+
+	RuleAcceptedBad Rule = "accepted_bad" // a job that can't run is rejected
+	RuleForgotten   Rule = "forgotten"    // an accepted job stays known, and its user's polls are answered
+	RuleInvented    Rule = "invented"     // no user is told of a job that was never submitted
+	RuleNotDone     Rule = "not_done"     // a job is reported done only once all its tasks have completed
+	RuleWentBack    Rule = "went_back"    // a job that was reported done or cancelled keeps that stage
+	RuleOrphaned    Rule = "orphaned"     // a job ends when one of its dependencies is cancelled
+
+	RuleInvariant Rule = "invariant" // no controller logs a violated invariant
 )
 
-// The stages of jobs, as users are told them. The checker has its own copy of the protocol's words.
+// The stages of jobs, as reported to users. The checker keeps its own copy of these protocol values.
 const (
 	stagePending   = "pending"
 	stageRunning   = "running"
@@ -40,45 +40,45 @@
 	stageCancelled = "cancelled"
 )
 
-// quotaTolerance is of rounding errors when resources are added up.
+// quotaTolerance allows for rounding errors in sums of resources.
 const quotaTolerance = 1e-6
 
-// defaultCancelDeadline is for how long a cancelled job's tasks may run on, if the settings don't say
-// otherwise.
+// defaultCancelDeadline is how long tasks of a cancelled job may keep running unless the settings
+// give another deadline.
 const defaultCancelDeadline = 47 * units.Second
 
-// Violation is a rule that was broken.
+// Violation records that a rule was broken, and when.
 type Violation struct {
 	At     units.Micros
 	Rule   Rule
 	Detail string
 }
 
-// String tells when which rule was broken, and how.
+// String returns the time in seconds, the rule and the detail.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f %s: %s", v.At.Seconds(), v.Rule, v.Detail)
 }
 
-// Checker watches every rule of the protocol. It is told what agents do and what users are told, and
-// keeps what was broken. It never changes anything in the region.
+// Checker checks a run against every rule of the protocol. It is notified of what agents do and of
+// what users are told, and collects violations. It never changes anything in the region.
 type Checker struct {
 	now        units.Micros
 	Violations []Violation
 
 	cancelDeadline units.Micros
-	faultsEndAt    units.Micros // when all faults are over; 0: not known
+	faultsEndAt    units.Micros // when the last fault ends; 0: not known
 
 	jobs     map[string]*jobHistory
-	machines map[string]cloud.ListedMachine // on which a task has started
-	quota    map[string]resources           // by team; 0: none
-	usage    map[string]resources           // by team: what its tasks on machines take
+	machines map[string]cloud.ListedMachine // machines on which a task has started, by name
+	quota    map[string]resources           // by team; 0: no limit
+	usage    map[string]resources           // by team: resources of its tasks on machines
 
-	starts        int // of tasks
+	starts        int // task starts
 	polls         int
 	answeredPolls int
 }
 
-// jobHistory is what the checker knows of a job.
+// jobHistory is what the checker has observed of a job.
 type jobHistory struct {
 	spec         *schema.Job
 	rejectReason rejectReason
@@ -86,19 +86,19 @@
 	accepted        bool
 	acceptedAt      units.Micros
 	cancelRequested bool         // its user has asked to cancel it
-	cancelledAt     units.Micros // when its user was told; 0: not yet
-	lastStage       string       // that its user was told
+	cancelledAt     units.Micros // when its user was first told that it is cancelled; 0: not yet
+	lastStage       string       // last stage that its user was told; done and cancelled are kept
 
-	placements   map[int]string // its tasks that are on machines, and on which
-	startedAt    units.Micros   // when its first task started; 0: none has
-	completed    map[int]bool   // its tasks that have completed
-	completedAt  units.Micros   // when the last of them did; 0: not yet
-	waitingSince units.Micros   // since when one of its tasks has waited beside free capacity; 0: none does
+	placements   map[int]string // machine of each task that is on one, by task number
+	startedAt    units.Micros   // when its first task started; 0: none has started
+	completed    map[int]bool   // numbers of the tasks that have completed
+	completedAt  units.Micros   // when its last task completed; 0: not yet
+	waitingSince units.Micros   // since when a task has waited although a machine has free capacity for it; 0: none does
 
 	failedPolls pollFailures
 }
 
-// NewChecker returns a checker that knows of no job.
+// NewChecker returns a checker without jobs.
 func NewChecker() *Checker {
 	return &Checker{
 		cancelDeadline: defaultCancelDeadline,
@@ -113,32 +113,33 @@
 	c.Violations = append(c.Violations, Violation{At: c.now, Rule: rule, Detail: fmt.Sprintf(format, args...)})
 }
 
-// advanceTo tells the time, before anything that happens then.
+// advanceTo sets the current time. It is called before any event at that time.
 func (c *Checker) advanceTo(now units.Micros) { c.now = now }
 
-// setQuota sets what a team may use; what is 0 is not limited.
+// setQuota sets a team's quota; a resource with quota 0 is not limited.
 func (c *Checker) setQuota(team string, quota resources) { c.quota[team] = quota }
 
-// expectFaultsUntil notes that a fault lasts until then.
+// expectFaultsUntil records that a fault lasts until the given time.
 func (c *Checker) expectFaultsUntil(at units.Micros) { c.faultsEndAt = max(c.faultsEndAt, at) }
 
-// faultsOver reports whether all faults are known to be over.
+// faultsOver reports whether the end of the last fault is known and has passed.
 func (c *Checker) faultsOver() bool { return c.faultsEndAt > 0 && c.now >= c.faultsEndAt }
 
-// submitted registers a job that a user submits.
+// submitted records that a user submits a job. Repeated submissions are ignored.
 func (c *Checker) submitted(job *schema.Job) {
 	if c.jobs[job.ID] == nil {
 		c.jobs[job.ID] = &jobHistory{spec: job, completed: map[int]bool{}, placements: map[int]string{}}
 	}
 }
 
-// mustReject registers that a job must not be accepted, and why.
+// mustReject records that a job must not be accepted, and why.
 func (c *Checker) mustReject(jobID string, reason rejectReason) { c.jobs[jobID].rejectReason = reason }
 
-// cancelRequested is called when a user first asks to cancel.
+// cancelRequested is called when a user first asks to cancel a job.
 func (c *Checker) cancelRequested(jobID string) { c.jobs[jobID].cancelRequested = true }
 
-// readyAt is when the last job that this one needs was done.
+// readyAt returns when the job was accepted and its last dependency completed, whichever is later;
+// ready is false while a dependency has not completed.
 func (c *Checker) readyAt(job *jobHistory) (at units.Micros, ready bool) {
 	at = job.acceptedAt
 	for _, id := range job.spec.Needs {
@@ -151,8 +152,8 @@
 	return at, true
 }
 
-// dependencyCancelledAt is when the user of a job that this one needs, directly or through others, was
-// first told that it is cancelled; 0: never.
+// dependencyCancelledAt returns when a user was first told that a direct or transitive dependency of
+// the job is cancelled; 0: never.
 func (c *Checker) dependencyCancelledAt(job *jobHistory) units.Micros {
 	earliest := units.Micros(0)
 	for _, id := range job.spec.Needs {
@@ -169,8 +170,8 @@
 	return earliest
 }
 
-// mayBeCancelled reports whether a user asked to cancel the job, or one that it needs and that was not
-// done then.
+// mayBeCancelled reports whether a user asked to cancel the job, or a direct or transitive dependency
+// that has not been reported done.
 func (c *Checker) mayBeCancelled(job *jobHistory) bool {
 	if job.cancelRequested {
 		return true
--- a/internal/simulator/checker_answers.go
+++ b/internal/simulator/checker_answers.go
@@ -6,31 +6,32 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// After how long and how many unanswered polls a user counts as forgotten: once all faults are over,
-// and while others are answered.
+// A job counts as forgotten when its polls have failed for longer than the time and at least as often
+// as the count given here: one pair applies after all faults are over, the other while more than half of
+// all users' polls are answered.
 const (
 	maxSilenceAfterFaults             = 75 * units.Second
-	minFailedPollsAfterFaults         = 8 // the network alone loses some
+	minFailedPollsAfterFaults         = 8 // the network itself loses some polls
 	maxSilenceWhileOthersAnswered     = 90 * units.Second
 	minFailedPollsWhileOthersAnswered = 10
 )
 
-// pollFailures are the failed polls of a job since the last that was answered.
+// pollFailures counts the failed polls of a job since its last answered poll.
 type pollFailures struct {
-	since          units.Micros // 0: none has failed
+	since          units.Micros // time of the first failed poll; 0: none has failed
 	count          int
-	pollsBefore    int // polls of all jobs before them
-	answeredBefore int // those of them that were answered
+	pollsBefore    int // polls of all jobs up to the first failed one
+	answeredBefore int // how many of pollsBefore were answered
 }
 
-// accepts reports whether a status says that a job is accepted.
+// accepts reports whether an HTTP status means that the job is accepted.
 func accepts(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// submissionAnswered is called for each answer to a submission, also a repeated one.
+// submissionAnswered is called for each answer to a submission, first or repeated.
 func (c *Checker) submissionAnswered(jobID string, answer userAnswer) {
 	refused := answer.status == http.StatusBadRequest || answer.status == http.StatusUnprocessableEntity
 	if job := c.checkAnswer(jobID, answer); job != nil && refused && job.accepted {
-		c.violate(RuleForgotten, "%s is accepted and its repeat gets %d", jobID, answer.status)
+		c.violate(RuleForgotten, "%s is accepted, but its repeated submission gets status %d", jobID, answer.status)
 	}
 }
 
@@ -60,27 +61,28 @@
 	c.pollFailed(job)
 }
 
-// checkAnswer checks what all answers have in common. It returns the job; nil: nobody submitted it.
+// checkAnswer makes the checks that are common to all kinds of answers. It returns the job, or nil if
+// nobody submitted it.
 func (c *Checker) checkAnswer(jobID string, answer userAnswer) *jobHistory {
 	job := c.jobs[jobID]
 	switch {
 	case !accepts(answer.status):
 	case job == nil:
-		c.violate(RuleInvented, "%s was never submitted and is called %q", jobID, answer.stage)
+		c.violate(RuleInvented, "%s was never submitted, but is reported %q", jobID, answer.stage)
 	default:
 		c.stageReported(job, answer)
 	}
 	return job
 }
 
-// checkKnown checks that a job is known that was accepted when the request was sent.
+// checkKnown checks that a job that was accepted when the request was sent is not answered with 404.
 func (c *Checker) checkKnown(jobID string, answer userAnswer) {
 	if answer.status == http.StatusNotFound && answer.knownStage != "" {
-		c.violate(RuleForgotten, "%s is accepted and gets 404", jobID)
+		c.violate(RuleForgotten, "%s is accepted, but a request for it gets 404", jobID)
 	}
 }
 
-// pollFailed checks that a job's polls don't fail for long.
+// pollFailed counts a failed poll and checks that the job's polls don't fail for too long.
 func (c *Checker) pollFailed(job *jobHistory) {
 	failures := &job.failedPolls
 	failures.count++
@@ -101,7 +103,7 @@
 	}
 }
 
-// lastStage is what the user of a job has last been told; empty: nothing.
+// lastStage returns the stage that a job's user was last told; empty: none.
 func (c *Checker) lastStage(jobID string) string {
 	if job := c.jobs[jobID]; job != nil {
 		return job.lastStage
@@ -109,30 +111,30 @@
 	return ""
 }
 
-// isOver reports whether a stage is one that a job keeps.
+// isOver reports whether a stage is final: done or cancelled.
 func isOver(stage string) bool { return stage == stageDone || stage == stageCancelled }
 
-// isOpen reports whether a stage is one that a job may leave.
+// isOpen reports whether a stage is not final: pending or running.
 func isOpen(stage string) bool { return stage == stagePending || stage == stageRunning }
 
-// stageReported checks the stage that a user is told.
+// stageReported checks the stage in an answer and records it.
 func (c *Checker) stageReported(job *jobHistory, answer userAnswer) {
 	stage := answer.stage
 	if job.rejectReason != "" {
-		c.violate(RuleAcceptedBad, "%s is accepted, and it %s", job.spec.ID, job.rejectReason)
+		c.violate(RuleAcceptedBad, "%s is accepted although it %s", job.spec.ID, job.rejectReason)
 	}
 	if !job.accepted {
 		job.accepted, job.acceptedAt = true, c.now
 	}
 	over := isOver(job.lastStage)
 	if (isOver(answer.knownStage) || over && !isOpen(stage)) && stage != job.lastStage {
-		c.violate(RuleWentBack, "%s was called %s and now %s", job.spec.ID, job.lastStage, stage)
+		c.violate(RuleWentBack, "%s was reported %s and is now reported %s", job.spec.ID, job.lastStage, stage)
 	}
 	c.checkOrphaned(job, stage)
 	switch stage {
 	case stageDone:
 		if len(job.completed) < job.spec.Tasks {
-			c.violate(RuleNotDone, "%s is called done with %d of %d tasks", job.spec.ID, len(job.completed), job.spec.Tasks)
+			c.violate(RuleNotDone, "%s is reported done with %d of %d tasks completed", job.spec.ID, len(job.completed), job.spec.Tasks)
 		}
 	case stageCancelled:
 		c.cancellationReported(job)
@@ -142,18 +144,20 @@
 	}
 }
 
-// checkOrphaned checks that a job is not open long after one that it needs was cancelled.
+// checkOrphaned checks that a job is over by the cancellation deadline after one of its dependencies
+// was cancelled.
 func (c *Checker) checkOrphaned(job *jobHistory, stage string) {
 	cancelledAt := c.dependencyCancelledAt(job)
 	if cancelledAt > 0 && c.now > max(cancelledAt, job.acceptedAt)+c.cancelDeadline && isOpen(stage) {
-		c.violate(RuleOrphaned, "%s is called %s %.1f s after the user of a job that it needs was told that that is cancelled", job.spec.ID, stage, (c.now - cancelledAt).Seconds())
+		c.violate(RuleOrphaned, "%s is reported %s %.1f s after the cancellation of a dependency was confirmed", job.spec.ID, stage, (c.now - cancelledAt).Seconds())
 	}
 }
 
-// cancellationReported notes that a user is told that a job is cancelled.
+// cancellationReported records that a user is told that a job is cancelled, and checks that a
+// cancellation was requested.
 func (c *Checker) cancellationReported(job *jobHistory) {
 	if !c.mayBeCancelled(job) {
-		c.violate(RuleWentBack, "%s is called cancelled, its user did not cancel it", job.spec.ID)
+		c.violate(RuleWentBack, "%s is reported cancelled, but neither it nor an unfinished dependency was cancelled", job.spec.ID)
 	}
 	if job.cancelledAt == 0 {
 		job.cancelledAt = c.now
--- a/internal/simulator/checker_service.go
+++ b/internal/simulator/checker_service.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// maxWaiting is how long a task may wait beside free capacity.
+	// maxWaiting is how long a task may wait while a machine has free capacity for it.
 	maxWaiting = 90 * units.Second
-	// startDeadline is how soon the largest jobs must start.
+	// startDeadline is how soon a class's largest jobs must start after they are accepted and their
+	// dependencies are done.
 	startDeadline = 240 * units.Second
-	// Every so many jobs of a class, one counts as large.
+	// largestJobsDivisor makes the largest 1/10 of a class's jobs, rounded up, count as its largest jobs.
 	largestJobsDivisor = 10
 
 	classPrefix = "class "
 	teamPrefix  = "team "
 )
 
-// waiting is told whether a task of the job waits beside a machine that has free capacity for it,
-// while nothing forbids it to run there.
+// waiting is called in each waiting check. waits says whether a task of the job waits although it may
+// run on the given machine, which has free capacity for it.
 func (c *Checker) waiting(jobID, machine string, waits bool) {
 	job := c.jobs[jobID]
 	switch {
@@ -34,7 +35,7 @@
 	}
 }
 
-// Finish closes a run: it checks which jobs have been served.
+// Finish is called at the end of a run. It checks that enough jobs of each class and team have started.
 func (c *Checker) Finish() {
 	if c.starts == 0 {
 		c.violate(RuleNothingRan, "no task was started")
@@ -55,14 +56,15 @@
 	}
 }
 
-// shouldHaveStarted leaves out jobs that came late, or that their users gave up: these are nobody's
-// fault.
+// shouldHaveStarted reports whether a job must have started by now. Cancelled jobs don't count, nor do
+// jobs that became ready less than startDeadline before the end of the run.
 func (c *Checker) shouldHaveStarted(job *jobHistory) bool {
 	readyAt, ready := c.readyAt(job)
 	return job.accepted && !c.mayBeCancelled(job) && ready && c.now-readyAt > startDeadline
 }
 
-// checkHalfStarted checks that at least half of some jobs have started.
+// checkHalfStarted checks that at least half of the given jobs have started. name is the class or team
+// of the jobs, for messages.
 func (c *Checker) checkHalfStarted(name string, jobs []*jobHistory) {
 	started := 0
 	for _, job := range jobs {
@@ -75,8 +77,8 @@
 	}
 }
 
-// checkLargestJobs checks that at least half of a class's largest jobs have started in time: of the
-// tenth with the most tasks.
+// checkLargestJobs checks that at least half of a class's largest jobs, the tenth with the most tasks,
+// have started within startDeadline.
 func (c *Checker) checkLargestJobs(name string, jobs []*jobHistory) {
 	jobs = slices.Clone(jobs)
 	slices.SortStableFunc(jobs, func(a, b *jobHistory) int { return b.spec.Tasks - a.spec.Tasks })
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -11,20 +11,20 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// startDeadlineAfterCancel is how long after a confirmed cancellation a start may still be commanded:
-// until the leader that commands it has heard of it, or has noticed that it hears nothing.
+// startDeadlineAfterCancel is how long after a confirmed cancellation a start command may still be sent:
+// until the leader that sends it has learned of the cancellation or has noticed that it gets no updates.
 const startDeadlineAfterCancel = 6 * units.Second
 
-// startCommanded is called when a machine carries out the command to start a task: sentAt is when that
-// was sent. One that was on its way at the cancellation may arrive late.
+// startCommanded is called when a machine executes a command to start a task. sentAt is when the
+// command was sent: one that was sent before the cancellation may arrive late.
 func (c *Checker) startCommanded(jobID string, number int, machine string, sentAt units.Micros) {
 	job := c.jobs[jobID]
 	if job.cancelledAt > 0 && sentAt > job.cancelledAt+startDeadlineAfterCancel {
-		c.violate(RuleRanCancelled, "%s is commanded to start on %s %.1f s after its user was told", taskID(jobID, number), machine, (sentAt - job.cancelledAt).Seconds())
+		c.violate(RuleRanCancelled, "%s is commanded to start on %s %.1f s after its cancellation was confirmed", taskID(jobID, number), machine, (sentAt - job.cancelledAt).Seconds())
 	}
 }
 
-// taskStarted is called when a machine has a task's image and starts it.
+// taskStarted is called when a machine starts a task, after it has fetched the image.
 func (c *Checker) taskStarted(machine string, listed cloud.ListedMachine, jobID string, number int) {
 	job := c.jobs[jobID]
 	id := taskID(jobID, number)
@@ -33,16 +33,16 @@
 		job.startedAt = c.now
 	}
 	if _, ready := c.readyAt(job); !ready {
-		c.violate(RuleTooEarly, "%s starts on %s before all that its job needs is done", id, machine)
+		c.violate(RuleTooEarly, "%s starts on %s before all dependencies of its job are done", id, machine)
 	}
 	other, alreadyRunning := job.placements[number]
 	if alreadyRunning {
-		c.violate(RuleRanTwice, "%s starts on %s while it is on %s", id, machine, other)
+		c.violate(RuleRanTwice, "%s starts on %s while it also runs on %s", id, machine, other)
 	}
 	c.checkPlacement(job, id, machine, listed)
 	c.checkQuota(job.spec, id, machine)
 	if c.pastCancelDeadline(job) {
-		c.violate(RuleRanCancelled, "%s starts %.1f s after its user was told", id, (c.now - job.cancelledAt).Seconds())
+		c.violate(RuleRanCancelled, "%s starts %.1f s after its cancellation was confirmed", id, (c.now - job.cancelledAt).Seconds())
 	}
 	c.machines[machine] = listed
 	if !alreadyRunning {
@@ -51,36 +51,38 @@
 	job.placements[number] = machine
 }
 
-// checkPlacement checks that a task may be on a machine, with its job's other tasks where they are.
+// checkPlacement checks that a job allows one of its tasks on a machine, given where the job's other
+// tasks run.
 func (c *Checker) checkPlacement(job *jobHistory, id, machine string, listed cloud.ListedMachine) {
 	spec := job.spec
 	if !jobAllowsMachine(spec, listed) {
-		c.violate(RuleWrongPlace, "%s on %s (%s, %s, spot %v)", id, machine, listed.Type, listed.Zone, listed.Spot)
+		c.violate(RuleWrongPlace, "%s runs on %s (%s, %s, spot %v), which its job does not allow", id, machine, listed.Type, listed.Zone, listed.Spot)
 	}
 	inZone := 1
 	for _, number := range sortedKeys(job.placements) {
 		if zone := c.machines[job.placements[number]].Zone; zone == listed.Zone {
 			inZone++
 		} else if spec.OneZone {
-			c.violate(RuleWrongPlace, "%s in %s while %s is in %s", id, listed.Zone, taskID(spec.ID, number), zone)
+			c.violate(RuleWrongPlace, "%s runs in zone %s while %s runs in zone %s", id, listed.Zone, taskID(spec.ID, number), zone)
 		}
 	}
 	if spec.Spread && inZone > maxTasksPerZone(spec) {
-		c.violate(RuleWrongPlace, "%s is number %d of %d in %s", id, inZone, spec.Tasks, listed.Zone)
+		c.violate(RuleWrongPlace, "%s is task %d of %d in zone %s", id, inZone, spec.Tasks, listed.Zone)
 	}
 }
 
-// jobAllowsMachine reports whether a job allows a machine's type, zone and price.
+// jobAllowsMachine reports whether a job allows a machine's type and zone, and spot if it is one.
 func jobAllowsMachine(spec *schema.Job, listed cloud.ListedMachine) bool {
 	typeAllowed := len(spec.Types) == 0 || slices.Contains(spec.Types, listed.Type)
 	zoneAllowed := spec.Zone == "" || spec.Zone == listed.Zone
 	return typeAllowed && zoneAllowed && (spec.Spot || !listed.Spot)
 }
 
-// maxTasksPerZone is how many tasks of a spread job may be in one zone.
+// maxTasksPerZone returns how many tasks of a spread job may be in one zone: half of them, rounded up.
 func maxTasksPerZone(spec *schema.Job) int { return (spec.Tasks + 1) / 2 }
 
-// zoneAllowsAnother reports whether one more task of the job may be in the zone.
+// zoneAllowsAnother reports whether the job's one-zone and spread restrictions allow one more of its
+// tasks in a zone.
 func (c *Checker) zoneAllowsAnother(job *jobHistory, zone string) bool {
 	inZone := 0
 	for _, machine := range job.placements {
@@ -93,16 +95,16 @@
 	return !job.spec.Spread || inZone+1 <= maxTasksPerZone(job.spec)
 }
 
-// usageWith is what a job's team uses with one more of its tasks.
+// usageWith returns the resources that a job's team would use with one more task of the job.
 func (c *Checker) usageWith(spec *schema.Job) resources {
 	return c.usage[spec.Team].plus(requestOf(spec))
 }
 
-// exceeds reports whether usage is above a quota; 0 is none.
+// exceeds reports whether usage is above a quota; a quota of 0 is no limit.
 func exceeds(usage, quota float64) bool { return quota > 0 && usage > quota+quotaTolerance }
 
-// quotaAllows reports whether one more task of a job stays within its team's quota. Of a team that has
-// never run a task it is always assumed: a job that exceeds a quota alone must not be accepted.
+// quotaAllows reports whether one more task of a job stays within its team's quota. It is true for a
+// team that has never run a task, since a job that alone exceeds the quota must not be accepted.
 func (c *Checker) quotaAllows(spec *schema.Job) bool {
 	if _, used := c.usage[spec.Team]; !used {
 		return true
@@ -111,18 +113,18 @@
 	return !exceeds(usage.cpus, quota.cpus) && !exceeds(usage.gpus, quota.gpus)
 }
 
-// checkQuota checks that a task that starts stays within its team's quota.
+// checkQuota checks that a starting task leaves its team within its quota.
 func (c *Checker) checkQuota(spec *schema.Job, id, machine string) {
 	usage, quota := c.usageWith(spec), c.quota[spec.Team]
 	if exceeds(usage.cpus, quota.cpus) {
-		c.violate(RuleQuota, "%s takes %v of %v CPUs when %s starts on %s beside %s", spec.Team, usage.cpus, quota.cpus, id, machine, c.describePlacements(spec.Team))
+		c.violate(RuleQuota, "team %s uses %v CPUs, its quota is %v, when %s starts on %s in addition to %s", spec.Team, usage.cpus, quota.cpus, id, machine, c.describePlacements(spec.Team))
 	}
 	if exceeds(usage.gpus, quota.gpus) {
-		c.violate(RuleQuota, "%s takes %v of %v GPUs", spec.Team, usage.gpus, quota.gpus)
+		c.violate(RuleQuota, "team %s uses %v GPUs, its quota is %v", spec.Team, usage.gpus, quota.gpus)
 	}
 }
 
-// describePlacements lists where a team's tasks are.
+// describePlacements lists a team's tasks and their machines, as TASK@MACHINE.
 func (c *Checker) describePlacements(team string) string {
 	var b strings.Builder
 	for _, id := range sortedKeys(c.jobs) {
@@ -137,7 +139,7 @@
 	return b.String()
 }
 
-// taskStopped is called when a task is no longer on a machine.
+// taskStopped is called when a task has left a machine.
 func (c *Checker) taskStopped(machine, jobID string, number int) {
 	job := c.jobs[jobID]
 	if job.placements[number] != machine {
@@ -147,7 +149,7 @@
 	c.usage[job.spec.Team] = c.usage[job.spec.Team].minus(requestOf(job.spec))
 }
 
-// taskCompleted notes that a task has completed.
+// taskCompleted records that a task has completed.
 func (c *Checker) taskCompleted(jobID string, number int) {
 	job := c.jobs[jobID]
 	job.completed[number] = true
@@ -156,12 +158,14 @@
 	}
 }
 
-// pastCancelDeadline reports whether a job's user was told long ago that it is cancelled.
+// pastCancelDeadline reports whether more than cancelDeadline has passed since a job's user was first
+// told that it is cancelled.
 func (c *Checker) pastCancelDeadline(job *jobHistory) bool {
 	return job.cancelledAt > 0 && c.now > job.cancelledAt+c.cancelDeadline
 }
 
-// checkDeadlines checks what time alone breaks: that tasks of cancelled jobs have ended.
+// checkDeadlines checks the rule that can be broken without any event: the tasks of a cancelled job must
+// have ended by the deadline.
 func (c *Checker) checkDeadlines() {
 	for _, id := range sortedKeys(c.jobs) {
 		job := c.jobs[id]
@@ -169,8 +173,8 @@
 			continue
 		}
 		for _, number := range sortedKeys(job.placements) {
-			c.violate(RuleRanCancelled, "%s is on %s %.1f s after its user was told", taskID(id, number), job.placements[number], (c.now - job.cancelledAt).Seconds())
-			job.cancelledAt = c.now // once is enough
+			c.violate(RuleRanCancelled, "%s is still on %s %.1f s after its cancellation was confirmed", taskID(id, number), job.placements[number], (c.now - job.cancelledAt).Seconds())
+			job.cancelledAt = c.now // restarts the deadline, so that the violation is reported once per deadline
 		}
 	}
 }
@@ -192,13 +196,13 @@
 	return len(c.jobs[jobID].completed) == c.jobs[jobID].spec.Tasks
 }
 
-// firstStart is when a job's first task started, if any has.
+// firstStart returns when a job's first task started, if any has.
 func (c *Checker) firstStart(jobID string) (at units.Micros, started bool) {
 	job := c.jobs[jobID]
 	return job.startedAt, job.startedAt > 0
 }
 
-// machinesOf lists the machines that a job's tasks are on.
+// machinesOf lists the machines of a job's tasks, in the order of the tasks' numbers.
 func (c *Checker) machinesOf(jobID string) []string {
 	job := c.jobs[jobID]
 	var machines []string
@@ -208,7 +212,7 @@
 	return machines
 }
 
-// sortedKeys lists the keys of a map in a fixed order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K interface{ ~int | ~string }, V any](m map[K]V) []K {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/simulator/expectations.go
+++ b/internal/simulator/expectations.go
@@ -9,19 +9,19 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// expectation is what must hold at the end of a run.
+// expectation is a condition that must hold at the end of a run.
 type expectation interface {
-	// check says what is otherwise than expected; empty: nothing. It fails if the expectation names
-	// what never was.
+	// check describes how the expectation is not met; empty: it is met. It returns an error if the
+	// expectation names a job that was never submitted.
 	check(w *World) (unmet string, err error)
 }
 
-// countRange is a range of numbers, both ends included.
+// countRange is a range of integers, including both bounds.
 type countRange struct{ min, max int }
 
 func (r countRange) contains(count int) bool { return r.min <= count && count <= r.max }
 
-// jobsInStage expects users to have been told a stage of some jobs.
+// jobsInStage expects that the last stage that users were told of these jobs is the given one.
 type jobsInStage struct {
 	ids   []string
 	stage string
@@ -40,7 +40,7 @@
 	return "", nil
 }
 
-// jobRejected expects a job's submission to have been refused for good.
+// jobRejected expects that a job's submission was permanently rejected with the given HTTP status.
 type jobRejected struct {
 	id     string
 	status int
@@ -48,12 +48,13 @@
 
 func (e jobRejected) check(w *World) (string, error) {
 	if job := w.users.jobs[e.id]; job == nil || job.rejectedStatus != e.status {
-		return "it was not", nil
+		return "the submission was not refused with this status", nil
 	}
 	return "", nil
 }
 
-// allJobsOver expects all arrays that can succeed to be over.
+// allJobsOver expects that all arrays are done or cancelled, except rejected ones and those whose tasks
+// fail everywhere.
 type allJobsOver struct{}
 
 func (allJobsOver) check(w *World) (string, error) {
@@ -65,7 +66,8 @@
 	return "", nil
 }
 
-// allServicesRunning expects all tasks of services to be on machines.
+// allServicesRunning expects that all tasks of services are on machines, except for services that were
+// rejected or whose cancellation was requested.
 type allServicesRunning struct{}
 
 func (allServicesRunning) check(w *World) (string, error) {
@@ -82,7 +84,8 @@
 	return "", nil
 }
 
-// jobsStarted expects jobs to have started soon after they were accepted.
+// jobsStarted expects that the first task of each job started within the given time of the job's
+// acceptance.
 type jobsStarted struct {
 	ids    []string
 	within units.Micros
@@ -95,13 +98,13 @@
 			return "", fmt.Errorf("no job %s", id)
 		}
 		if at, ok := w.checker.firstStart(id); !ok || at-job.acceptedAt > e.within {
-			return fmt.Sprintf("%s is not, or late: at %.1f s", id, at.Seconds()), nil
+			return fmt.Sprintf("%s has not started, or too late: at %.1f s", id, at.Seconds()), nil
 		}
 	}
 	return "", nil
 }
 
-// machinesPresent expects machines to be there, or to have been returned or lost.
+// machinesPresent expects that machines are present or, if present is false, returned or lost.
 type machinesPresent struct {
 	names   []string
 	present bool
@@ -113,14 +116,14 @@
 			continue
 		}
 		if e.present {
-			return name + " is not there", nil
+			return name + " is not present", nil
 		}
-		return name + " is not gone", nil
+		return name + " is still present", nil
 	}
 	return "", nil
 }
 
-// noLeaseExpired expects that no agent's lease has ever expired.
+// noLeaseExpired expects that no lease of an agent that is present has ever expired.
 type noLeaseExpired struct{}
 
 func (noLeaseExpired) check(w *World) (string, error) {
@@ -132,18 +135,18 @@
 	return "", nil
 }
 
-// registeredMachines expects so many machines in the documents.
+// registeredMachines expects that the number of machines in the stored documents is in the range.
 type registeredMachines struct{ countRange }
 
 func (e registeredMachines) check(w *World) (string, error) {
 	registered := strings.Count(w.store.textUnder(schema.MachineShardPrefix), `"a":"`)
 	if !e.contains(registered) {
-		return fmt.Sprintf("there are %d", registered), nil
+		return fmt.Sprintf("%d machines are registered", registered), nil
 	}
 	return "", nil
 }
 
-// taskStarts expects so many starts of tasks.
+// taskStarts expects that the number of task starts is in the range.
 type taskStarts struct{ countRange }
 
 func (e taskStarts) check(w *World) (string, error) {
@@ -153,17 +156,17 @@
 	return "", nil
 }
 
-// machineCount expects so many machines to be there.
+// machineCount expects that the number of machines present is in the range.
 type machineCount struct{ countRange }
 
 func (e machineCount) check(w *World) (string, error) {
 	if !e.contains(len(w.workers)) {
-		return fmt.Sprintf("there are %d", len(w.workers)), nil
+		return fmt.Sprintf("%d machines are present", len(w.workers)), nil
 	}
 	return "", nil
 }
 
-// documentFormat expects the documents in the key-value store to have a format.
+// documentFormat expects that the documents in the key-value store have the given format version.
 type documentFormat struct{ format int }
 
 func (e documentFormat) check(w *World) (string, error) {
@@ -174,13 +177,13 @@
 		}
 	}
 	if layout.Format != e.format {
-		return fmt.Sprintf("it is %d", layout.Format), nil
+		return fmt.Sprintf("the format is %d", layout.Format), nil
 	}
 	return "", nil
 }
 
-// sizesWithinLimits expects that no transaction was too large, and that no stored value exceeds the
-// announced limits.
+// sizesWithinLimits expects that no transaction exceeded the store's limit, and that no stored value
+// exceeds the announced one.
 type sizesWithinLimits struct{}
 
 func (sizesWithinLimits) check(w *World) (string, error) {
--- a/internal/simulator/parser.go
+++ b/internal/simulator/parser.go
@@ -13,10 +13,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// The parser alone knows the words of the text format: it turns them into typed settings, steps and
-// expectations, and everything that is wrong in a file is found before its run begins.
+// Only the parser files know the keywords of the text format. They turn a file into typed settings, steps
+// and expectations, so that every mistake in the file is found before its run begins.
 
-// lineParsers are the kinds of line, by their first word.
+// lineParsers holds a parser for each kind of line, by the line's first word.
 var lineParsers = map[string]func(s *Scenario, args *arguments) error{
 	"set":      (*Scenario).parseSettings,
 	"team":     (*Scenario).parseTeam,
@@ -26,10 +26,10 @@
 	"expect":   (*Scenario).parseExpectation,
 }
 
-// Parse reads a scenario.
+// Parse reads a scenario in the text format. An error names the line.
 func Parse(r io.Reader) (*Scenario, error) {
 	s := &Scenario{options: worldOptions{offers: map[offer]int{}}}
-	if err := s.parseLine("set"); err != nil { // a file may leave everything as it is
+	if err := s.parseLine("set"); err != nil { // applies the defaults to a file without a set line
 		return nil, err
 	}
 	scanner := bufio.NewScanner(r)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// parseNextLimits reads the limits that the settings announce.
+// parseNextLimits parses the limits of the key-value store that the settings announce for later.
 func parseNextLimits(args *arguments) config.KVLimitsOverride {
 	var next config.KVLimitsOverride
 	if args.has("nextvalue") {
@@ -143,7 +143,7 @@
 	seconds, err := strconv.ParseFloat(args.word(0), 64)
 	word := args.word(1)
 	if err != nil || word == "" {
-		return errors.New("at: needs a time and what happens")
+		return errors.New("at: needs a time and a step")
 	}
 	parser, ok := stepParsers[word]
 	if !ok {
--- a/internal/simulator/parser_arguments.go
+++ b/internal/simulator/parser_arguments.go
@@ -8,13 +8,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// defaultFaultSeconds is how long a fault lasts whose step doesn't say it.
+// defaultFaultSeconds is the duration of a fault whose step has no "for" option.
 const defaultFaultSeconds = 30
 
-// arguments are the words of a line after its first: positional ones, and name=value pairs. The
-// first mistake in them is kept in err.
+// arguments are the words that follow the first word of a line: positional words, and options in the
+// form name=value. err keeps the first mistake that is found in them.
 type arguments struct {
-	line    string // all of them
+	line    string // all arguments, joined by spaces
 	words   []string
 	options map[string]string
 	err     error
@@ -38,7 +38,7 @@
 	}
 }
 
-// word returns a positional word, which must be there.
+// word returns the positional word at index i. A missing word is an error.
 func (a *arguments) word(i int) string {
 	if i < len(a.words) {
 		return a.words[i]
@@ -70,7 +70,7 @@
 	return units.FromSeconds(a.number(key, fallbackSeconds))
 }
 
-// faultDuration is how long a step's fault lasts.
+// faultDuration returns how long the fault of a step lasts.
 func (a *arguments) faultDuration() units.Micros { return a.duration("for", defaultFaultSeconds) }
 
 func (a *arguments) text(key, fallback string) string {
@@ -82,7 +82,7 @@
 
 func (a *arguments) flag(key string) bool { return a.text(key, "no") == "yes" }
 
-// list splits a value at its commas; nil: it is empty.
+// list returns the comma-separated items of an option, or nil if it is missing or empty.
 func (a *arguments) list(key string) []string {
 	if value := a.text(key, ""); value != "" {
 		return strings.Split(value, ",")
@@ -90,7 +90,8 @@
 	return nil
 }
 
-// choice looks a value up among the words that it may be.
+// choice maps an option's value, or the fallback if the option is missing, to one of the permitted
+// values.
 func choice[T any](a *arguments, key, fallback string, values map[string]T) T {
 	value, ok := values[a.text(key, fallback)]
 	if !ok {
--- a/internal/simulator/parser_expectations.go
+++ b/internal/simulator/parser_expectations.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// expectationParsers are the expectations, by their word.
+// expectationParsers holds the parsers of expectations, by keyword.
 var expectationParsers = map[string]func(args *arguments) expectation{
 	"done":      func(args *arguments) expectation { return jobsInStage{args.words, stageDone} },
 	"cancelled": func(args *arguments) expectation { return jobsInStage{args.words, stageCancelled} },
--- a/internal/simulator/parser_steps.go
+++ b/internal/simulator/parser_steps.go
@@ -9,21 +9,21 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// stepParser turns the arguments of a step into the step.
+// stepParser parses the arguments of a step.
 type stepParser struct {
-	isFault bool // the region is out of order until the step's duration has passed
+	isFault bool // the step starts a fault, which lasts for the step's duration
 	parse   func(args *arguments) (step, error)
 }
 
-// userStep parses a step that is no fault.
+// userStep returns the parser of a step that starts no fault.
 func userStep(parse func(args *arguments) (step, error)) stepParser { return stepParser{parse: parse} }
 
-// faultStep parses a fault from its arguments and its duration.
+// faultStep returns the parser of a step that starts a fault. parse gets the arguments and the duration.
 func faultStep(parse func(args *arguments, duration units.Micros) step) stepParser {
 	return stepParser{isFault: true, parse: func(args *arguments) (step, error) { return parse(args, args.faultDuration()), nil }}
 }
 
-// stepParsers are the steps, by their word.
+// stepParsers holds the parsers of steps, by keyword.
 var stepParsers = map[string]stepParser{
 	"submit":     userStep(parseSubmission),
 	"cancel":     userStep(func(args *arguments) (step, error) { return cancelJob{args.word(0)}, nil }),
@@ -68,7 +68,7 @@
 	"notice": faultStep(machineFaultParser(func(_ *arguments, duration units.Micros) machineFault { return interruptSpot{duration} })),
 }
 
-// partitionModes are the modes of a network partition between hosts, by their word.
+// partitionModes holds the modes of a network partition between hosts, by keyword.
 var partitionModes = map[string]partitionMode{
 	"drop": dropMessages,
 	"hold": delayRequests,
@@ -76,10 +76,10 @@
 	"mute": dropInboundRequests,
 }
 
-// twoWayModes are the modes of a network partition that has no direction.
+// twoWayModes holds the modes of a network partition that affects both directions alike, by keyword.
 var twoWayModes = map[string]partitionMode{"drop": dropMessages, "hold": delayRequests}
 
-// priorities are the grades of jobs, by their word.
+// priorities holds the values of schema.Job.Priority, by keyword of the grade option.
 var priorities = map[string]int{"best_effort": 0, "standard": 1, "urgent": 2, "production": 3}
 
 func parseCrash(args *arguments, duration units.Micros) step {
@@ -118,8 +118,8 @@
 	return cancelRunning{count: args.count("count", 8), hang: args.duration("hang", 0)}, nil
 }
 
-// machineFaultParser parses a fault and the machines that have it: one by its name, the busiest, or
-// some that are drawn.
+// machineFaultParser returns the parser of a machine fault and its target: a machine by name, the busiest
+// machine, or some random ones.
 func machineFaultParser(parse func(args *arguments, duration units.Micros) machineFault) func(*arguments, units.Micros) step {
 	return func(args *arguments, duration units.Micros) step {
 		name := args.word(0)
@@ -142,7 +142,7 @@
 	}, nil
 }
 
-// parseJob reads a job without its id.
+// parseJob parses the options of a job; it does not set the job's id.
 func parseJob(args *arguments) schema.Job {
 	service := choice(args, "kind", "array", map[string]bool{"array": false, "service": true})
 	defaultGrade := "standard"
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -10,25 +10,25 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// How often the rules that time alone can break are checked.
+// Periods of the checks that no event triggers.
 const (
-	deadlineCheckPeriod = 500 * units.Millisecond
-	waitingCheckPeriod  = 5 * units.Second
-	unknownJobPeriod    = 3 * units.Second
+	deadlineCheckPeriod = 500 * units.Millisecond // of cancellation deadlines
+	waitingCheckPeriod  = 5 * units.Second        // of tasks that wait despite free capacity
+	unknownJobPeriod    = 3 * units.Second        // of polls for a job that nobody submitted
 )
 
-// Scenario is a parsed text file; see testdata/README.md for the format. It can be run more than
-// once, always with the same result.
+// Scenario is a parsed scenario file; testdata/README.md describes the format. It can be run repeatedly,
+// always with the same result.
 type Scenario struct {
 	options      worldOptions
 	machines     []initialMachines
 	steps        []plannedStep
 	expectations []plannedExpectation
 
-	Trace *Trace // records what controllers send; may be nil
+	Trace *Trace // if not nil, records what controllers send
 }
 
-// worldOptions are what a scenario says of the region before it begins.
+// worldOptions describes the region at the start of a run.
 type worldOptions struct {
 	seed            uint64
 	controllers     int
@@ -37,10 +37,10 @@
 
 	heartbeatSeconds, leaseSeconds, cancelSeconds float64
 
-	limits        config.KVLimits         // of the key-value store
-	nextLimits    config.KVLimitsOverride // announced for later
-	historyLength int                     // changes that the key-value store keeps for watches
-	sockets       int                     // of a controller
+	limits        config.KVLimits         // limits of the key-value store
+	nextLimits    config.KVLimitsOverride // limits that the settings announce for later
+	historyLength int                     // number of changes that the key-value store keeps for watches
+	sockets       int                     // sockets of each controller
 
 	lossRate, duplicateRate     float64
 	bootFailureRate, bootFactor float64
@@ -50,29 +50,30 @@
 	offers       map[offer]int
 }
 
-// offer is what the cloud rents out.
+// offer is a kind of machine that the cloud rents out.
 type offer struct {
 	machineType, zone string
 	spot              bool
 }
 
-// initialMachines are machines that are there when a run begins.
+// initialMachines describes machines that are present at the start of a run.
 type initialMachines struct {
 	offer
 	count int
 }
 
-// plannedStep is a step at a moment, counted from the begin of the run.
+// plannedStep is a step with its time, counted from the start of the run.
 type plannedStep struct {
 	at   units.Micros
-	word string // in the scenario, for messages
+	word string // keyword of the step, for error messages
 	step step
 
-	isFault  bool         // the waiting check begins once the last fault is over
-	duration units.Micros // of the fault
+	isFault  bool         // the waiting check starts once the last fault is over
+	duration units.Micros // duration of the fault
 }
 
-// faultDuration is how long the region is out of order from the step on.
+// faultDuration returns how long the fault lasts. Restarts of controllers one after the other last for
+// all their intervals and the downtime.
 func (p *plannedStep) faultDuration(controllers int) units.Micros {
 	if rolling, ok := p.step.(restartInTurn); ok {
 		return units.Micros(controllers)*rolling.interval + p.duration
@@ -80,13 +81,13 @@
 	return p.duration
 }
 
-// plannedExpectation is an expectation and its line in the scenario.
+// plannedExpectation is an expectation with its line of the scenario file, for messages.
 type plannedExpectation struct {
 	line        string
 	expectation expectation
 }
 
-// controllerSettings are the settings that all controllers of the region have.
+// controllerSettings returns the settings of all controllers.
 func (o *worldOptions) controllerSettings() config.Settings {
 	settings := config.Settings{Size: o.controllers, Teams: o.teams, Zones: []string{"a", "b"}}
 	settings.Workers.HeartbeatS = o.heartbeatSeconds
@@ -100,8 +101,9 @@
 	return settings
 }
 
-// Run plays the scenario. It returns what went wrong, broken rules first, then expectations that were not
-// met, and as an error the first step that could not be applied: the others still were.
+// Run runs the scenario. It returns a description of each broken rule and then of each expectation that
+// was not met. The error tells of the first step that could not be applied, after which the run goes on,
+// and of an expectation that could not be checked.
 func (s *Scenario) Run(log io.Writer) ([]string, error) {
 	w := newWorld(&s.options, log, s.Trace)
 	for i := range s.options.controllers {
@@ -124,7 +126,8 @@
 	return problems, errors.Join(failure, err)
 }
 
-// schedule plans the steps and the periodic checks. failed is called when a step can't be applied.
+// schedule schedules the steps and the periodic checks. failed is called for each step that can't be
+// applied.
 func (s *Scenario) schedule(w *World, failed func(error)) {
 	for _, planned := range s.steps {
 		w.at(startOfTime+planned.at, func() {
@@ -141,7 +144,8 @@
 	w.every(unknownJobPeriod, w.users.pollUnknownJob)
 }
 
-// collectProblems closes the run and lists what went wrong.
+// collectProblems ends the checker's run and lists the broken rules and the expectations that were not
+// met.
 func (s *Scenario) collectProblems(w *World) ([]string, error) {
 	w.checker.Finish()
 	var problems []string
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -15,51 +15,51 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Trace digests everything that controllers send during a run: replies, requests to the key-value
-// store and the cloud, direct commands, heartbeats, each with its simulated time, its sender and its
-// place in the order. Two versions of the code whose traces are equal behave the same on that run.
-// Every effect is written field by field in the form that it has on the wire, so neither names of Go
-// types and fields nor log lines enter. The words of the lines must not change: digests are compared
-// across versions.
+// Trace computes a digest of everything that controllers send during a run, in order: replies, requests
+// to the key-value store and the cloud, direct commands and heartbeats, each with its simulated time and
+// its sender. Two versions of the code whose traces are equal behave the same on that run. Every effect
+// is written field by field in its wire format, so the digest depends neither on names of Go types and
+// fields nor on log lines. The text of the lines must not change, because digests are compared across
+// versions.
 type Trace struct {
 	digest  hash.Hash
 	effects int
-	lines   io.Writer // each effect as a line of text; nil: only the digest is kept
+	lines   io.Writer // destination of the effects as text, one per line; nil: none
 
-	// Heartbeats pass through one stream of gob, as they do between two controllers.
+	// Heartbeats pass through a single gob stream, as they do between two controllers.
 	wire    bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
 }
 
-// NewTrace returns an empty trace. If lines is not nil, each effect is also written to it as a
-// line of text.
+// NewTrace returns an empty trace. If lines is not nil, each effect is also written to it as a line of
+// text.
 func NewTrace(lines io.Writer) *Trace {
 	t := &Trace{digest: sha256.New(), lines: lines}
 	t.encoder, t.decoder = gob.NewEncoder(&t.wire), gob.NewDecoder(&t.wire)
 	return t
 }
 
-// String gives the digest and the number of effects.
+// String returns the first 12 bytes of the digest in hexadecimal, and the number of effects.
 func (t *Trace) String() string {
 	return fmt.Sprintf("%x %d", t.digest.Sum(nil)[:12], t.effects)
 }
 
-// record adds one effect. A nil trace records nothing.
+// record adds an effect to the digest. A nil trace records nothing.
 func (t *Trace) record(now units.Micros, sender string, effect controller.Effect) {
 	if t == nil {
 		return
 	}
 	t.effects++
 	line := fmt.Sprintf("%d %s %s\n", now, sender, t.line(effect))
-	io.WriteString(t.digest, line) //nolint:errcheck // a hash never fails
+	io.WriteString(t.digest, line) //nolint:errcheck // writing to a hash never fails
 	if t.lines != nil {
-		io.WriteString(t.lines, line) //nolint:errcheck // a lost line shows as a difference
+		io.WriteString(t.lines, line) //nolint:errcheck // a missing line shows up in the comparison
 	}
 }
 
-// line writes an effect in the form that it has on the wire. Numbers that only match calls to
-// their answers within a process are left out.
+// line returns an effect in its wire format. Call IDs are left out: they only match answers to calls
+// within a process.
 func (t *Trace) line(effect controller.Effect) string {
 	switch e := effect.(type) {
 	case controller.Reply:
@@ -73,7 +73,7 @@
 	case controller.BroadcastHeartbeat:
 		return "heartbeat " + t.heartbeat(e.Heartbeat)
 	}
-	panic(fmt.Sprintf("trace: unknown effect %T", effect)) // a fault of the program: a new effect is to be added here
+	panic(fmt.Sprintf("trace: unknown effect %T", effect)) // each type of effect needs a case here
 }
 
 func traceStoreRequest(request *kv.Request) string {
@@ -91,7 +91,7 @@
 	case kv.Watch:
 		return fmt.Sprintf("store watch under=%s since=%d hold=%d", request.Key, request.Revision, request.WaitMillis)
 	}
-	panic(fmt.Sprintf("trace: unknown request %d", request.Kind))
+	panic(fmt.Sprintf("trace: unknown kind of store request %d", request.Kind))
 }
 
 func traceCloudRequest(request *controller.CloudCall) string {
@@ -105,11 +105,12 @@
 	case controller.CloudList:
 		return "cloud list since=" + request.After
 	}
-	panic(fmt.Sprintf("trace: unknown call of the cloud %d", request.Op))
+	panic(fmt.Sprintf("trace: unknown kind of cloud call %d", request.Op))
 }
 
-// wireHeartbeat has the fields of a heartbeat by the names that gob carries between controllers of
-// different versions. It is written out here so that a renamed field shows as a difference.
+// wireHeartbeat has the fields of peer.Heartbeat under the names that gob encodes. It is declared here
+// once more so that a renamed field changes the digest: controllers of different versions match fields by
+// name.
 type wireHeartbeat struct {
 	Member  string
 	Inc     string
@@ -126,8 +127,8 @@
 	Ran int64
 }
 
-// heartbeat takes a heartbeat through gob. Maps are written in the order of their keys, which gob
-// does not keep.
+// heartbeat encodes a heartbeat with gob, decodes it and returns it as JSON, which sorts the keys of
+// maps; gob does not.
 func (t *Trace) heartbeat(heartbeat peer.Heartbeat) string {
 	if err := t.encoder.Encode(&heartbeat); err != nil {
 		panic(fmt.Sprintf("trace: encode heartbeat: %v", err))
--- a/internal/simulator/waiting_check.go
+++ b/internal/simulator/waiting_check.go
@@ -2,19 +2,20 @@
 
 import "frostdock.example/frostdock/internal/agent"
 
-// candidate is a machine that takes tasks, and what it has left.
+// candidate is a machine that accepts tasks, with its free capacity.
 type candidate struct {
 	worker *fakeAgent
 	free   resources
 }
 
-// checkWaiting tells the checker which jobs wait beside a machine that has free capacity for them.
+// checkWaiting tells the checker which jobs have a waiting task although a machine has free capacity
+// for it.
 func (w *World) checkWaiting() {
 	if !w.checker.faultsOver() {
 		return
 	}
 	var candidates []candidate
-	placed := map[string]bool{} // tasks that are on some machine, or wait for their image there
+	placed := map[string]bool{} // ids of the tasks that are on a machine and have not ended, also those that wait for their image
 	for _, worker := range w.presentWorkers() {
 		for id, t := range worker.tasks {
 			if t.state != agent.Ended {
@@ -31,12 +32,14 @@
 	}
 }
 
-// acceptsTasks reports whether nothing is wrong with the machine.
+// acceptsTasks reports whether the machine is running, neither hung nor failing its tasks, and without a
+// spot interruption notice.
 func (a *fakeAgent) acceptsTasks() bool {
 	return a.running && !a.hangs() && !a.failsTasks && a.spotNotice == nil
 }
 
-// machineFor names a machine that could take a task of the job that waits; empty: none could.
+// machineFor returns the name of a machine that could run a waiting task of the job; empty: there is
+// no such task or machine.
 func (w *World) machineFor(job *userJob, candidates []candidate, placed map[string]bool) string {
 	if !w.mayStart(job) || !w.hasUnplacedTask(job, placed) {
 		return ""
@@ -51,8 +54,9 @@
 	return ""
 }
 
-// mayStart reports whether a task of the job may start somewhere: it is accepted, wanted, waits for no
-// other job, and its team's quota allows one more.
+// mayStart reports whether a task of the job may start on some machine: the job is accepted and not
+// cancelled, its tasks don't fail everywhere, its dependencies are done, and its team's quota allows one
+// more task.
 func (w *World) mayStart(job *userJob) bool {
 	if job.acceptedAt == 0 || job.cancelRequested || job.failing || job.rejectedStatus > 0 {
 		return false
