--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -10,13 +10,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// violationCase breaks one rule.
+// violationCase is a sequence of events that breaks exactly one rule.
 type violationCase struct {
 	rule    Rule
 	provoke func(c *Checker)
 }
 
-// TestCheckerCatches breaks each rule once and sees that it is noticed.
+// TestCheckerCatches breaks each rule at least once and checks that exactly this violation is reported.
 func TestCheckerCatches(t *testing.T) {
 	for _, tc := range slices.Concat(placementViolations(), answerViolations(), serviceViolations()) {
 		c := NewChecker()
@@ -27,12 +27,13 @@
 		c.submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
 		tc.provoke(c)
 		if len(c.Violations) != 1 || c.Violations[0].Rule != tc.rule {
-			t.Errorf("%s: noticed %v", tc.rule, c.Violations)
+			t.Errorf("%s: reported violations %v, want exactly this one", tc.rule, c.Violations)
 		}
 	}
 }
 
-// submission, poll and cancellationConfirmed give the checker an answer that was not overtaken by another.
+// submission, poll and cancellationConfirmed pass the checker an answer that no other answer overtook on
+// its way to the user.
 func submission(c *Checker, id string, status int, stage string) {
 	c.submissionAnswered(id, userAnswer{status: status, stage: stage, knownStage: c.lastStage(id)})
 }
@@ -45,7 +46,7 @@
 	c.cancellationAnswered(id, userAnswer{status: http.StatusOK, stage: stage, knownStage: c.lastStage(id)})
 }
 
-// placementViolations are those of tasks: where and when they run.
+// placementViolations breaks the rules on where and when tasks run.
 func placementViolations() []violationCase {
 	spot := cloud.ListedMachine{Type: "big", Zone: "a", Spot: true}
 	a, b := cloud.ListedMachine{Type: "big", Zone: "a"}, cloud.ListedMachine{Type: "big", Zone: "b"}
@@ -72,13 +73,13 @@
 			c.now += c.cancelDeadline + 1
 			c.taskStarted("m1", a, "j-1", 0)
 		}},
-		{"ran_cancelled", func(c *Checker) { // a start is commanded long after the confirmation
+		{"ran_cancelled", func(c *Checker) { // a start command is sent too late after the confirmation
 			c.cancelRequested("j-1")
 			cancellationConfirmed(c, "j-1", "cancelled")
 			c.now += startDeadlineAfterCancel + 1
 			c.startCommanded("j-1", 0, "m1", c.now)
 		}},
-		{"ran_cancelled", func(c *Checker) { // it goes on after its machine hung
+		{"ran_cancelled", func(c *Checker) { // the task keeps running past the deadline, as after its machine hung
 			c.taskStarted("m1", a, "j-1", 0)
 			c.cancelRequested("j-1")
 			cancellationConfirmed(c, "j-1", "cancelled")
@@ -87,7 +88,7 @@
 				c.checkDeadlines()
 			}
 		}},
-		{"too_early", func(c *Checker) { // one of two needed tasks is not done
+		{"too_early", func(c *Checker) { // one of the two tasks of the dependency is not done
 			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
 			c.taskCompleted("j-2", 0)
 			c.taskStarted("m1", a, "j-4", 0)
@@ -103,7 +104,7 @@
 	}
 }
 
-// serviceViolations are those of which jobs are served.
+// serviceViolations breaks the rules on which jobs start, and how soon.
 func serviceViolations() []violationCase {
 	a := cloud.ListedMachine{Type: "big", Zone: "a"}
 	return []violationCase{
@@ -111,7 +112,7 @@
 			submission(c, "j-1", http.StatusCreated, "pending")
 			c.checkHalfStarted("team red", []*jobHistory{c.jobs["j-1"]})
 		}},
-		{"unserved", func(c *Checker) { // it began, but late
+		{"unserved", func(c *Checker) { // the job started, but too late
 			submission(c, "j-1", http.StatusCreated, "pending")
 			c.now += startDeadline + 1
 			c.taskStarted("m1", a, "j-1", 0)
@@ -121,7 +122,7 @@
 	}
 }
 
-// answerViolations are those of what users are told.
+// answerViolations breaks the rules on what users are told.
 func answerViolations() []violationCase {
 	return []violationCase{
 		{"accepted_bad", func(c *Checker) {
@@ -145,7 +146,7 @@
 				poll(c, "j-3", http.StatusNotFound, "")
 			}
 		}},
-		{"forgotten", func(c *Checker) { // however others fare
+		{"forgotten", func(c *Checker) { // after all faults, even if the polls of other jobs fail too
 			submission(c, "j-1", http.StatusCreated, "pending")
 			c.faultsEndAt = 10 * units.Second
 			for range 30 {
@@ -154,7 +155,7 @@
 				poll(c, "j-2", http.StatusServiceUnavailable, "")
 			}
 		}},
-		{"orphaned", func(c *Checker) { // through another job
+		{"orphaned", func(c *Checker) { // by a transitive dependency
 			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-1"}})
 			c.submitted(&schema.Job{ID: "j-5", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-4"}})
 			submission(c, "j-5", http.StatusCreated, "pending")
@@ -163,7 +164,7 @@
 			c.now += c.cancelDeadline + 1
 			poll(c, "j-5", http.StatusOK, "pending")
 		}},
-		{"went_back", func(c *Checker) { // cancelled with a job that is done
+		{"went_back", func(c *Checker) { // cancelled with a dependency that was done before
 			c.submitted(&schema.Job{ID: "j-4", Team: "blue", Tasks: 1, CPUs: 1, Needs: schema.JobIDs{"j-2"}})
 			c.taskCompleted("j-2", 0)
 			c.taskCompleted("j-2", 1)
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -6,25 +6,26 @@
 	"testing"
 )
 
-// TestMeetings plays random days on which faults coincide in pairs.
+// TestMeetings runs random scenarios in which faults coincide in pairs.
 func TestMeetings(t *testing.T) { runSeeds(t, coincidingFaultsScenario, "MEETINGS", 24) }
 
-// TestMeetingsFound plays the days that have broken a rule before: 585 a team's quota, the others left
-// tasks waiting beside free capacity for them.
+// TestMeetingsFound runs the seeds that once broke a rule. Seed 585 exceeded a team's quota; with the
+// others, tasks kept waiting although machines had free capacity for them.
 func TestMeetingsFound(t *testing.T) {
 	for _, seed := range []int{47, 286, 315, 335, 396, 585, 771, 812, 827, 1144} {
 		runSeed(t, coincidingFaultsScenario, seed)
 	}
 }
 
-// TestHeldAnswers plays random days on which answers are delayed.
+// TestHeldAnswers runs random scenarios in which answers to worker heartbeats are delayed.
 func TestHeldAnswers(t *testing.T) { runSeeds(t, delayedAnswersScenario, "HELD", 6) }
 
-// TestFewSockets plays random days of coinciding faults with so few sockets that calls of agents must wait.
+// TestFewSockets runs random scenarios with coinciding faults and so few sockets that calls to agents must
+// wait.
 func TestFewSockets(t *testing.T) { runSeeds(t, fewSocketsScenario, "SOCKETS", 6) }
 
-// fewSocketsScenario writes a day of coinciding faults, or every third time of a large fleet, on which a
-// controller may have eight calls of agents of each kind under way.
+// fewSocketsScenario generates a scenario of coinciding faults, or for every third seed one of a large
+// fleet, in which a controller may have eight calls of each kind to agents in progress.
 func fewSocketsScenario(seed uint64) string {
 	scenario := coincidingFaultsScenario(seed)
 	if seed%3 == 0 {
@@ -33,8 +34,8 @@
 	return strings.Replace(scenario, "set ", "set sockets=64 ", 1)
 }
 
-// delayedAnswersScenario writes a day of coinciding faults on which answers to worker heartbeats are delayed
-// as well.
+// delayedAnswersScenario generates a scenario of coinciding faults in which answers to worker heartbeats
+// are delayed as well.
 func delayedAnswersScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 17)
 	g.text.WriteString(coincidingFaultsScenario(seed))
@@ -44,8 +45,9 @@
 	return g.text.String()
 }
 
-// coincidingFaultsScenario writes a scenario in which faults coincide in pairs, within seconds of each other:
-// those that operators have listed, on a small fleet with leases and cancel times like those of sites.
+// coincidingFaultsScenario generates a scenario in which faults coincide in pairs, within seconds of each
+// other. The faults are those that operators listed; the small fleet has leases and cancellation deadlines
+// like those of real sites.
 func coincidingFaultsScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 13)
 	writeFleetInTwoZones(g, seed)
@@ -67,7 +69,7 @@
 	g.line("machines big n=5 zone=a\nmachines big n=4 zone=b\nmachines small n=3 zone=b")
 }
 
-// writeMixedJobs writes arrays of many lengths, and a few services.
+// writeMixedJobs writes arrays with run times from 5 to 144 seconds, and a few services.
 func writeMixedJobs(g *scenarioGenerator) {
 	for i := range 34 {
 		tasks := 1 + g.rng.IntN(12)
@@ -83,13 +85,14 @@
 	}
 }
 
-// node draws one of the controllers that all days have.
+// node returns a random one of the first three controllers, which every generated scenario has.
 func (g *scenarioGenerator) node() string { return fmt.Sprintf("node%d", g.rng.IntN(3)) }
 
-// subSecondDowntime draws a length below a second.
+// subSecondDowntime returns a random downtime of 0.15 to 0.95 seconds, for a controller that restarts
+// within a second.
 func (g *scenarioGenerator) subSecondDowntime() float64 { return 0.15 + g.upTo(0.8) }
 
-// coincidingFaults are drawn in pairs; some are chains of faults themselves.
+// coincidingFaults are the faults that occur in pairs. Some consist of several successive faults.
 var coincidingFaults = []fault{
 	leaderLosesStoreBeforeOutage,
 	isolatedLeader,
@@ -126,7 +129,7 @@
 	func(g *scenarioGenerator, at, duration float64) {
 		g.at(at, "%s any n=%d for=%.1f", g.pick("die", "reboot", "sick", "notice"), 1+g.rng.IntN(3), duration)
 	},
-	func(g *scenarioGenerator, at, duration float64) { // all controllers are away for long
+	func(g *scenarioGenerator, at, duration float64) { // three controllers, mostly all there are, are down for a long time
 		g.at(at, "crash node0,node1,node2,node%d for=%.1f", g.rng.IntN(3), 10+duration)
 	},
 	func(g *scenarioGenerator, at, duration float64) { g.at(at, "freeze %s for=%.1f", g.node(), duration) },
@@ -142,8 +145,8 @@
 	},
 }
 
-// leaderLosesStoreBeforeOutage takes the key-value store from one controller, has users cancel, and then
-// takes it from all.
+// leaderLosesStoreBeforeOutage makes the key-value store unavailable to one controller, has users cancel
+// jobs, and then makes it unavailable to all.
 func leaderLosesStoreBeforeOutage(g *scenarioGenerator, at, duration float64) {
 	node := g.node()
 	if g.rng.IntN(2) == 0 {
@@ -158,7 +161,7 @@
 	}
 }
 
-// isolatedLeader cuts a controller off from the store and its peers, while users cancel.
+// isolatedLeader partitions a controller from the store and its peers while users cancel jobs.
 func isolatedLeader(g *scenarioGenerator, at, duration float64) {
 	node := g.node()
 	g.at(at, "cut %s state for=%.1f mode=%s", node, duration, g.partitionMode())
@@ -182,8 +185,8 @@
 	g.at(at+1+g.upTo(1), "crash %s for=%.2f", g.node(), g.subSecondDowntime())
 }
 
-// failoverWithUnreachableMachines cuts machines off, so that a new leader can't ask them what runs there,
-// while users cancel.
+// failoverWithUnreachableMachines partitions machines from the rest, so that a new leader can't query the
+// tasks that run on them, while users cancel jobs.
 func failoverWithUnreachableMachines(g *scenarioGenerator, at, duration float64) {
 	g.at(at, "lose n=%d mode=%s for=%.1f", 1+g.rng.IntN(5), g.partitionMode(), duration)
 	g.at(at+g.upTo(4), "crash %s for=%.2f", g.node(), g.pickScaled(0.3, 6))
@@ -195,8 +198,8 @@
 	g.at(at, "odd for=%.1f", duration)
 }
 
-// delayedCommandsAndHungMachines delays commands or their answers, while users cancel jobs whose machines
-// hang and go on.
+// delayedCommandsAndHungMachines delays commands or their answers while users cancel jobs whose machines
+// hang and then resume.
 func delayedCommandsAndHungMachines(g *scenarioGenerator, at, duration float64) {
 	g.at(at, "cut %s %s mode=hold for=%.1f", g.pick("node*", "n-*"), g.pick("n-*", "node*"), 2+duration/6)
 	g.at(at+g.upTo(3), "cancel_now count=%d hang=%.1f", 1+g.rng.IntN(4), 2+duration/3)
--- a/internal/simulator/large_fleet_days_test.go
+++ b/internal/simulator/large_fleet_days_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// TestFleets plays random days of large fleets.
+// TestFleets runs random scenarios of large fleets.
 func TestFleets(t *testing.T) { runSeeds(t, largeFleetScenario, "FLEETS", 4) }
 
-// largeFleetScenario writes a scenario of a fleet that fills many documents, in two zones, with faults that
-// take many machines or all controllers at once, within moments of each other.
+// largeFleetScenario generates a scenario with a fleet in two zones that fills many documents. Its faults
+// affect many machines or all controllers at once, and up to three occur within seconds of each other.
 func largeFleetScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 11)
 	writeLargeFleet(g, seed)
 	writeLargeFleetJobs(g)
 	writeLargeFleetCancellations(g)
 	for at := 20.0; at < 300; at += 15 + g.upTo(45) {
-		for range 1 + g.rng.IntN(3) { // some together
+		for range 1 + g.rng.IntN(3) { // up to three at about the same time
 			start, duration := at+g.upTo(8), 5+g.upTo(60)
 			node := fmt.Sprintf("node%d", g.rng.IntN(5))
 			largeFleetFaults[g.rng.IntN(len(largeFleetFaults))](g, node, start, duration)
@@ -33,8 +33,8 @@
 	g.line("machines small n=70 zone=a\nmachines small n=60 zone=b\nmachines big n=10 zone=a\nmachines big n=6 zone=b")
 }
 
-// writeLargeFleetJobs writes 130 services at the start and more later, arrays throughout, and a burst
-// of them.
+// writeLargeFleetJobs writes 130 services at the start and more later, arrays throughout the run, and a
+// burst of arrays.
 func writeLargeFleetJobs(g *scenarioGenerator) {
 	for i := range 13 {
 		writeServices(g, 1+g.upTo(1), 1000+10*i, 10)
@@ -56,7 +56,7 @@
 		2+g.rng.IntN(5), g.pick("red", "blue", "green"), g.rng.IntN(6), g.pick("yes", "no"))
 }
 
-// writeArray writes an array of up to 150 tasks; small ones are more frequent.
+// writeArray writes an array of up to 150 tasks; small arrays are more frequent.
 func writeArray(g *scenarioGenerator, at float64, number int) {
 	tasks := 1 + int(150*g.rng.Float64()*g.rng.Float64())
 	g.line("at %.1f submit j-%d class=%s n=%d team=%s run=%d cpus=%s mem=4 spot=yes grade=%s ckpt=%s save=2 gb=0.5 image=img%d broken=%s", at, number,
@@ -75,13 +75,14 @@
 	}
 }
 
-// downtime draws how long a controller is away: its restart is quick or slow.
+// downtime returns a random downtime of a controller, for a quick or a slow restart.
 func (g *scenarioGenerator) downtime() float64 { return g.pickScaled(0.2, 6) }
 
-// largeFleetFaults are the faults of large fleets; node is the controller of those that have one.
+// largeFleetFaults are the faults of large fleets. node is the controller that a fault affects, for faults
+// that affect one.
 var largeFleetFaults = []func(g *scenarioGenerator, node string, at, duration float64){
 	crashAllOfFive,
-	crashAllOfFive, // twice as often as the others
+	crashAllOfFive, // listed twice, to occur twice as often as the others
 	func(g *scenarioGenerator, node string, at, _ float64) {
 		g.line("at %.1f crash %s for=%.2f\nat %.1f crash %s for=%.2f", at, node, g.downtime(), at+g.upTo(7), node, g.downtime())
 	},
--- a/internal/simulator/parser_test.go
+++ b/internal/simulator/parser_test.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestParseRejects shows that mistakes are found before a run begins.
+// TestParseRejects checks that mistakes in a scenario are found before a run starts.
 func TestParseRejects(t *testing.T) {
 	for line, want := range map[string]string{
 		"machine big":                     `unknown word "machine"`,
@@ -34,7 +34,7 @@
 	}
 }
 
-// TestFaultsEnd shows how long the waiting check holds back.
+// TestFaultsEnd checks when the last fault of a scenario ends, until which the waiting check is disabled.
 func TestFaultsEnd(t *testing.T) {
 	for line, want := range map[string]units.Micros{
 		"at 5 submit j-1":                0,
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestReadmeNamesAllWords shows that the description of the text format is complete.
+// TestReadmeNamesAllWords checks that README.md names every keyword of the text format.
 func TestReadmeNamesAllWords(t *testing.T) {
 	readme, err := os.ReadFile("testdata/README.md")
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 	for _, word := range words {
 		if !strings.Contains(string(readme), "`"+word+"`") && !strings.Contains(string(readme), "`"+word+" ") {
-			t.Errorf("the word %q is missing", word)
+			t.Errorf("README.md does not name the word %q", word)
 		}
 	}
 }
--- a/internal/simulator/random_days_test.go
+++ b/internal/simulator/random_days_test.go
@@ -10,13 +10,14 @@
 	"testing"
 )
 
-// scenarioGenerator writes a random scenario, line by line.
+// scenarioGenerator generates a random scenario in the text format, line by line.
 type scenarioGenerator struct {
 	text strings.Builder
 	rng  *rand.Rand
 }
 
-// newScenarioGenerator returns an empty day. Each kind of day draws from a stream of its own.
+// newScenarioGenerator returns a generator with an empty scenario. Each kind of scenario has its own stream
+// of random numbers.
 func newScenarioGenerator(seed, stream uint64) *scenarioGenerator {
 	return &scenarioGenerator{rng: rand.New(rand.NewPCG(seed, stream))}
 }
@@ -25,21 +26,21 @@
 	fmt.Fprintf(&g.text, format+"\n", args...)
 }
 
-// at writes a step. None comes before the day has begun.
+// at writes a step at the given time, but not earlier than 0.5 seconds after the start of the run.
 func (g *scenarioGenerator) at(seconds float64, format string, args ...any) {
 	g.line("at %.2f "+format, append([]any{max(seconds, 0.5)}, args...)...)
 }
 
-// pick draws one of some words.
+// pick returns a random one of the given words.
 func (g *scenarioGenerator) pick(words ...string) string { return words[g.rng.IntN(len(words))] }
 
-// partitionMode draws a mode of a network partition.
+// partitionMode returns a random mode of a network partition.
 func (g *scenarioGenerator) partitionMode() string { return g.pick("hold", "drop") }
 
-// upTo draws a length below the given one.
+// upTo returns a random number from 0 to limit, excluding limit.
 func (g *scenarioGenerator) upTo(limit float64) float64 { return g.rng.Float64() * limit }
 
-// pickScaled is about one of two lengths.
+// pickScaled picks one of two numbers and multiplies it by a random factor from 1 to 2.
 func (g *scenarioGenerator) pickScaled(x, y float64) float64 {
 	if g.rng.IntN(2) == 0 {
 		return x * (1 + g.rng.Float64())
@@ -47,10 +48,12 @@
 	return y * (1 + g.rng.Float64())
 }
 
-// fault writes a random fault of some kind that begins at a time and lasts so long.
+// fault writes the steps of a random fault. at is when it starts and duration about how long it lasts, both
+// in seconds.
 type fault func(g *scenarioGenerator, at, duration float64)
 
-// runSeeds plays the days of some seeds from 1 on; the variable named env may hold others, FROM-TO.
+// runSeeds runs the scenarios of the seeds from 1 to last. The environment variable named env may give
+// another range, as FROM-TO.
 func runSeeds(t *testing.T, generate func(seed uint64) string, env string, last int) {
 	t.Helper()
 	first := 1
@@ -62,7 +65,7 @@
 	}
 }
 
-// seedRange parses FROM-TO.
+// seedRange parses a range of seeds given as FROM-TO.
 func seedRange(t *testing.T, value string) (first, last int) {
 	t.Helper()
 	from, to, _ := strings.Cut(value, "-")
@@ -76,7 +79,7 @@
 	return first, last
 }
 
-// runSeed plays one day. A fault for which no machine is left is skipped.
+// runSeed runs the scenario of one seed. A fault whose machine does not exist is skipped.
 func runSeed(t *testing.T, generate func(seed uint64) string, seed int) {
 	t.Helper()
 	t.Run(strconv.Itoa(seed), func(t *testing.T) {
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestScenarios plays every text file in testdata.
+// TestScenarios runs every scenario file in testdata.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scenarios: %v", err)
+		t.Fatalf("no scenario files in testdata: %v", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -46,12 +46,12 @@
 	return problems
 }
 
-// TestSameAgain shows that a run depends on its scenario and seed alone.
+// TestSameAgain checks that a run depends only on its scenario and seed.
 func TestSameAgain(t *testing.T) {
 	var first, second bytes.Buffer
 	runScenario(t, "testdata/storm.txt", &first)
 	runScenario(t, "testdata/storm.txt", &second)
 	if first.Len() == 0 || first.String() != second.String() {
-		t.Fatal("two runs of one scenario differ")
+		t.Fatal("two runs of the same scenario have no log or different logs")
 	}
 }
--- a/internal/simulator/small_fleet_days_test.go
+++ b/internal/simulator/small_fleet_days_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestChaos plays random days of small fleets.
+// TestChaos runs random scenarios of small fleets.
 func TestChaos(t *testing.T) { runSeeds(t, smallFleetScenario, "CHAOS", 20) }
 
-// smallFleetScenario writes a scenario of random jobs and overlapping faults.
+// smallFleetScenario generates a scenario with random jobs and overlapping faults on a small fleet.
 func smallFleetScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 7)
 	writeSmallFleet(g, seed)
@@ -21,13 +21,13 @@
 
 func writeSmallFleet(g *scenarioGenerator, seed uint64) {
 	g.line("set nodes=%d end=420 seed=%d flaky=%.3f keep=%s copies=%s lease=%s cancel=%s value=%s", 2+g.rng.IntN(3), seed, g.upTo(0.06),
-		g.pick("20", "10000"), g.pick("0", "0.1"), g.pick("12", "22"), g.pick("40", "47"), g.pick("4", "100")) // large values: many machines in one document
+		g.pick("20", "10000"), g.pick("0", "0.1"), g.pick("12", "22"), g.pick("40", "47"), g.pick("4", "100")) // a large value limit puts many machines into one document
 	g.line("team red cpus=20 max=40\nteam blue max=60\nteam green cpus=30")
 	g.line("type big cpus=16 mem=64 gpus=1 zones=a,b count=5 spot=3\ntype small cpus=4 mem=16 zones=a,b count=6 spot=4")
 	g.line("machines big n=%d zone=a\nmachines small n=%d zone=b\nmachines big n=1 zone=b spot=yes", 1+g.rng.IntN(4), 1+g.rng.IntN(4))
 }
 
-// writeSmallFleetJob writes a job that may be cancelled and submitted again later.
+// writeSmallFleetJob writes a job. Some jobs are cancelled later, and some are submitted again.
 func writeSmallFleetJob(g *scenarioGenerator, number int) {
 	kind := g.pick("service", "array", "array")
 	tasks := 1 + g.rng.IntN(3)
@@ -76,7 +76,7 @@
 	func(g *scenarioGenerator, at, duration float64) {
 		g.line("at %.1f cut n-00000%d * for=%.1f mode=deaf", at, 1+g.rng.IntN(5), duration*2)
 	},
-	func(g *scenarioGenerator, at, duration float64) { // workers are all that this controller reaches
+	func(g *scenarioGenerator, at, duration float64) { // the controller reaches workers, but neither the store nor its peers
 		g.line("at %.1f cut node0 state for=%.1f\nat %.1f cut node0 node* for=%.1f", at, duration*2, at, duration*2)
 	},
 	func(g *scenarioGenerator, at, _ float64) {
--- a/internal/simulator/trace.go
+++ b/internal/simulator/trace.go
@@ -26,7 +26,7 @@
 	effects int
 	lines   io.Writer // destination of the effects as text, one per line; nil: none
 
-	// Heartbeats pass through a single gob stream, as they do between two controllers.
+	// Heartbeats pass through one gob stream, as they do between two controllers.
 	wire    bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
--- a/internal/simulator/trace_test.go
+++ b/internal/simulator/trace_test.go
@@ -13,9 +13,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// traceFor returns the trace that tools/behavior-trace asks for with TRACE_DIR: the digest of the
-// test's day is written there, and with TRACE_LINES also a line for each effect. Without TRACE_DIR
-// there is none.
+// traceFor returns the trace of a test's scenario if tools/behavior-trace has set TRACE_DIR, else nil.
+// The digest is written to a file in that directory, and with TRACE_LINES also a line for each effect.
 func traceFor(t *testing.T) *Trace {
 	t.Helper()
 	dir := os.Getenv("TRACE_DIR")
@@ -48,8 +47,8 @@
 	return trace
 }
 
-// TestTraceTellsEffectsApart shows that each part of an effect enters the trace, and that what only
-// matches calls to answers does not.
+// TestTraceTellsEffectsApart checks that every part of an effect changes the digest, except the ID that
+// only matches an answer to its call.
 func TestTraceTellsEffectsApart(t *testing.T) {
 	digest := func(now units.Micros, controller string, e controller.Effect) string {
 		trace := NewTrace(nil)
@@ -72,17 +71,17 @@
 	}
 	for what, other := range different {
 		if other == base {
-			t.Errorf("another %s gives the same digest", what)
+			t.Errorf("a different %s gives the same digest", what)
 		}
 	}
 	if digest(1, "node0", commit(9, `{"a":1}`)) != base {
-		t.Error("the number that matches an answer to its call enters the digest")
+		t.Error("the ID of a call changes the digest")
 	}
 	first, second := digest(1, "node0", beat("a", 7)), digest(1, "node0", beat("a", 7))
 	if first != second {
-		t.Error("two digests of one heartbeat differ")
+		t.Error("two digests of the same heartbeat differ")
 	}
 	if digest(1, "node0", beat("a", 7)) == digest(1, "node0", beat("a", 8)) {
-		t.Error("another heartbeat gives the same digest")
+		t.Error("a different heartbeat gives the same digest")
 	}
 }
--- a/internal/simulator/upgrade_days_test.go
+++ b/internal/simulator/upgrade_days_test.go
@@ -7,39 +7,40 @@
 	"testing"
 )
 
-// TestUpgrades plays random days on which controllers are upgraded one after the other.
+// TestUpgrades runs random scenarios in which controllers are upgraded one after the other.
 func TestUpgrades(t *testing.T) { runSeeds(t, rollingUpgradeScenario, "UPGRADES", 12) }
 
-// TestUpgradesFound plays the days that have broken a rule before: 12, which is among those above, and
-// 84 lost machines of shards whose siblings were split differently, 197 repeated a transaction that had
-// become too large for ever.
+// TestUpgradesFound runs the seeds that once broke a rule. Seed 84, like seed 12, which TestUpgrades runs,
+// lost the machines of shards whose sibling shards were split differently. Seed 197 endlessly repeated a
+// transaction that had become too large.
 func TestUpgradesFound(t *testing.T) {
 	for _, seed := range []int{84, 197} {
 		runSeed(t, rollingUpgradeScenario, seed)
 	}
 }
 
-// TestMixedChanges plays random days of upgrades, with splits of documents, on which the changes of an
-// answer come in any order.
+// TestMixedChanges runs random scenarios with upgrades and splits of documents in which the changes in a
+// watch answer are in random order.
 func TestMixedChanges(t *testing.T) { runSeeds(t, mixedChangesScenario, "MIXED", 6) }
 
-// mixedChangesScenario writes a day of an upgrade on which answers of watches tell the newest change of each key,
-// in any order.
+// mixedChangesScenario generates a scenario with an upgrade in which a watch answer has only the newest
+// change of each key, in random order.
 func mixedChangesScenario(seed uint64) string {
 	return rollingUpgradeScenario(seed) + "at 5 mixed_changes for=500\n"
 }
 
-// rollingUpgradeScenario writes a day that begins with the previous version: its controllers are crashed one
-// after the other and come back upgraded. Afterwards users submit jobs with dependencies, and the limits
-// of the key-value store fall without notice. Faults coincide all the while.
+// rollingUpgradeScenario generates a scenario that starts with the previous version. The controllers crash
+// one after the other and restart upgraded. Afterwards users submit jobs with dependencies, and the
+// announced lower limits of the key-value store come into force at an unannounced time. Faults coincide
+// throughout.
 func rollingUpgradeScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 19)
 	base, pipelines := coincidingFaultsScenario(seed), 5
-	if seed%6 == 0 { // a fleet that fills its documents
+	if seed%6 == 0 { // a large fleet, which fills many documents
 		base, pipelines = largeFleetScenario(seed), 12
 	}
 	settings, rest, _ := strings.Cut(base, "\n")
-	settings = regexp.MustCompile(`value=\d+`).ReplaceAllString(settings, "value="+g.pick("4", "100", "100")) // the larger, the fuller the documents
+	settings = regexp.MustCompile(`value=\d+`).ReplaceAllString(settings, "value="+g.pick("4", "100", "100")) // the larger the limit, the fuller the documents
 	g.line("%s old=yes nextvalue=%s nextops=%s nextwrites=%s", settings, g.pick("1", "2", "2"), g.pick("4", "10"), g.pick("18", "28"))
 	g.text.WriteString(rest)
 	at, interval := 15+g.upTo(40), 4+g.upTo(12)
@@ -53,8 +54,8 @@
 	return g.text.String()
 }
 
-// writePipeline writes jobs with dependencies on each other as users submit them: each as soon as those
-// that it needs are accepted, the last one sometimes late, and some cancelled in the middle.
+// writePipeline writes jobs that depend on each other. Each is submitted as soon as its dependencies are
+// accepted, the last one sometimes later; in some pipelines one of the jobs is cancelled meanwhile.
 func writePipeline(g *scenarioGenerator, firstNumber int, at float64) {
 	id := func(stage int) string { return fmt.Sprintf("j-%06d", firstNumber+stage) }
 	submit := func(at float64, stage, tasks, seconds int, grade string, needs ...string) {
