--- a/internal/simulator/checker_service.go
+++ b/internal/simulator/checker_service.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// shouldHaveStarted reports whether a job must have started by now. Cancelled jobs don't count, nor do
-// jobs that became ready less than startDeadline before the end of the run.
+// shouldHaveStarted reports whether a job must have started by now: it is accepted and not cancelled, and
+// its dependencies were done more than startDeadline ago.
 func (c *Checker) shouldHaveStarted(job *jobHistory) bool {
 	readyAt, ready := c.readyAt(job)
 	return job.accepted && !c.mayBeCancelled(job) && ready && c.now-readyAt > startDeadline
--- a/internal/simulator/checker_tasks.go
+++ b/internal/simulator/checker_tasks.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// jobAllowsMachine reports whether a job allows a machine's type and zone, and spot if it is one.
+// jobAllowsMachine reports whether a job allows a machine's type, zone and price (spot or on demand).
 func jobAllowsMachine(spec *schema.Job, listed cloud.ListedMachine) bool {
 	typeAllowed := len(spec.Types) == 0 || slices.Contains(spec.Types, listed.Type)
 	zoneAllowed := spec.Zone == "" || spec.Zone == listed.Zone
@@ -117,10 +117,10 @@
 func (c *Checker) checkQuota(spec *schema.Job, id, machine string) {
 	usage, quota := c.usageWith(spec), c.quota[spec.Team]
 	if exceeds(usage.cpus, quota.cpus) {
-		c.violate(RuleQuota, "team %s uses %v CPUs, its quota is %v, when %s starts on %s in addition to %s", spec.Team, usage.cpus, quota.cpus, id, machine, c.describePlacements(spec.Team))
+		c.violate(RuleQuota, "team %s uses %v CPUs of its quota of %v when %s starts on %s; its other tasks: %s", spec.Team, usage.cpus, quota.cpus, id, machine, c.describePlacements(spec.Team))
 	}
 	if exceeds(usage.gpus, quota.gpus) {
-		c.violate(RuleQuota, "team %s uses %v GPUs, its quota is %v", spec.Team, usage.gpus, quota.gpus)
+		c.violate(RuleQuota, "team %s uses %v GPUs of its quota of %v", spec.Team, usage.gpus, quota.gpus)
 	}
 }
 
--- a/internal/simulator/checker_test.go
+++ b/internal/simulator/checker_test.go
@@ -16,7 +16,7 @@
 	provoke func(c *Checker)
 }
 
-// TestCheckerCatches breaks each rule at least once and checks that exactly this violation is reported.
+// TestCheckerCatches breaks one rule in each case and checks that exactly this violation is reported.
 func TestCheckerCatches(t *testing.T) {
 	for _, tc := range slices.Concat(placementViolations(), answerViolations(), serviceViolations()) {
 		c := NewChecker()
@@ -27,7 +27,7 @@
 		c.submitted(&schema.Job{ID: "j-3", Team: "blue", Tasks: 2, CPUs: 1, OneZone: true})
 		tc.provoke(c)
 		if len(c.Violations) != 1 || c.Violations[0].Rule != tc.rule {
-			t.Errorf("%s: reported violations %v, want exactly this one", tc.rule, c.Violations)
+			t.Errorf("%s: reported violations %v, want exactly one, of this rule", tc.rule, c.Violations)
 		}
 	}
 }
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -129,7 +129,7 @@
 	func(g *scenarioGenerator, at, duration float64) {
 		g.at(at, "%s any n=%d for=%.1f", g.pick("die", "reboot", "sick", "notice"), 1+g.rng.IntN(3), duration)
 	},
-	func(g *scenarioGenerator, at, duration float64) { // three controllers, mostly all there are, are down for a long time
+	func(g *scenarioGenerator, at, duration float64) { // three controllers, of three or five, are down for a long time
 		g.at(at, "crash node0,node1,node2,node%d for=%.1f", g.rng.IntN(3), 10+duration)
 	},
 	func(g *scenarioGenerator, at, duration float64) { g.at(at, "freeze %s for=%.1f", g.node(), duration) },
--- a/internal/simulator/parser_arguments.go
+++ b/internal/simulator/parser_arguments.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// word returns the positional word at index i. A missing word is an error.
+// word returns the positional word at index i. If it is missing, word sets err.
 func (a *arguments) word(i int) string {
 	if i < len(a.words) {
 		return a.words[i]
--- a/internal/simulator/parser_steps.go
+++ b/internal/simulator/parser_steps.go
@@ -15,8 +15,10 @@
 	parse   func(args *arguments) (step, error)
 }
 
-// userStep returns the parser of a step that starts no fault.
-func userStep(parse func(args *arguments) (step, error)) stepParser { return stepParser{parse: parse} }
+// regularStep returns the parser of a step that starts no fault.
+func regularStep(parse func(args *arguments) (step, error)) stepParser {
+	return stepParser{parse: parse}
+}
 
 // faultStep returns the parser of a step that starts a fault. parse gets the arguments and the duration.
 func faultStep(parse func(args *arguments, duration units.Micros) step) stepParser {
@@ -25,11 +27,11 @@
 
 // stepParsers holds the parsers of steps, by keyword.
 var stepParsers = map[string]stepParser{
-	"submit":     userStep(parseSubmission),
-	"cancel":     userStep(func(args *arguments) (step, error) { return cancelJob{args.word(0)}, nil }),
-	"repeat":     userStep(func(args *arguments) (step, error) { return resubmitJob{args.word(0), args.flag("broken")}, nil }),
-	"cancel_now": userStep(parseCancelRunning),
-	"limits":     userStep(func(*arguments) (step, error) { return applyNextLimits{}, nil }),
+	"submit":     regularStep(parseSubmission),
+	"cancel":     regularStep(func(args *arguments) (step, error) { return cancelJob{args.word(0)}, nil }),
+	"repeat":     regularStep(func(args *arguments) (step, error) { return resubmitJob{args.word(0), args.flag("broken")}, nil }),
+	"cancel_now": regularStep(parseCancelRunning),
+	"limits":     regularStep(func(*arguments) (step, error) { return applyNextLimits{}, nil }),
 
 	"crash":   faultStep(parseCrash),
 	"roll":    faultStep(parseRoll),
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -68,7 +68,7 @@
 	word string // keyword of the step, for error messages
 	step step
 
-	isFault  bool         // the waiting check starts once the last fault is over
+	isFault  bool         // the step starts a fault; the waiting check starts once the last fault is over
 	duration units.Micros // duration of the fault
 }
 
