--- a/internal/simulator/parser.go
+++ b/internal/simulator/parser.go
@@ -14,7 +14,7 @@
 )
 
 // Only the parser files know the keywords of the text format. They turn a file into typed settings, steps
-// and expectations, so that every mistake in the file is found before its run begins.
+// and expectations, and report mistakes in the file before its run begins.
 
 // lineParsers holds a parser for each kind of line, by the line's first word.
 var lineParsers = map[string]func(s *Scenario, args *arguments) error{
