--- a/internal/simulator/parser_expectations.go
+++ b/internal/simulator/parser_expectations.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// expectationParsers are the expectations, by their word.
+// expectationParsers holds the parsers of expectations, by keyword.
 var expectationParsers = map[string]func(args *arguments) expectation{
 	"done":      func(args *arguments) expectation { return jobsInStage{args.words, stageDone} },
 	"cancelled": func(args *arguments) expectation { return jobsInStage{args.words, stageCancelled} },
@@ -29,5 +29,5 @@
 }
 
 func parseRange(args *arguments) countRange {
-	return countRange{least: args.count("min", 0), most: args.count("max", math.MaxInt32)}
+	return countRange{min: args.count("min", 0), max: args.count("max", math.MaxInt32)}
 }
