--- a/internal/controller/plan.go
+++ b/internal/controller/plan.go
@@ -8,13 +8,13 @@
 // entries, jobs and machines to remove. It owns its budget, its staged documents (stagedShard,
 // stagedMachine, jointChanges) and its count of the teams' usage; no other component writes these.
 //
-// Nothing becomes visible before it is durable: agents are told only what a stored document says, and
+// Nothing becomes visible before it is durable: agents are sent only what a stored document says, and
 // a binding is withdrawn if it could not be stored. Each document is written whole, on the condition
 // that its mod revision is the one that the replica shows, and each transaction on the condition that
 // this controller still leads the partition.
 //
-// A plan never calls an agent or the cloud. Package guard and authority decide what may be started,
-// released or forgotten.
+// A plan never calls an agent or the cloud. Package guard and the authority component decide what may be
+// started, released or forgotten.
 type plan struct {
 	*planner
 	leadership *leadership
@@ -31,7 +31,7 @@
 	usage             usageByTeam
 	guaranteed        map[*job]bool      // jobs within their teams' guarantees
 	partitionsWaiting map[int]bool       // other partitions with waiting tasks
-	unplaceable       map[taskShape]bool // shapes that fit on no machine in this plan, even by preemption
+	unplaceable       map[taskShape]bool // shapes that fit on no machine in this plan, even with preemption
 	shardsPicked      bool               // arrays may use picked machine shards only
 	freedTasks        []freedTask
 }
@@ -52,12 +52,12 @@
 	taskEntryBytes        = 26  // upper estimate of the size of one task entry in a document
 	documentOverheadBytes = 200 // allowance for each document besides its entries
 	maxTransactionBytes   = 56 << 10
-	minPlanChanges        = 12 // changes that a plan with enough credit may make, in several transactions if one takes fewer
-	reservedChanges       = 4  // changes reserved for accepts, cancellations and services
-	minPlanCredit         = 2  // one change for the plan and one reserved for accepts
+	minPlanChanges        = 12 // always allowed to a plan with enough credit, in several transactions if one holds fewer
+	reservedChanges       = 4  // credit that placeArrays and later phases leave for accepts, cancellations and services
+	minPlanCredit         = 2  // write credit that a plan needs: one change for itself and one reserved for accepts
 
-	// planCostPerObject spaces plans, in microseconds: a partition has at most one plan per
-	// planCostPerObject x (machines + jobs), since each plan examines all of them.
+	// planCostPerObject is the minimum time between a partition's plans, in microseconds for each machine
+	// and job: at most one plan per planCostPerObject x (machines + jobs), since a plan examines them all.
 	planCostPerObject = 120
 
 	// commitRetryDelay is how long a partition's planning pauses after one of its commits has failed.
@@ -119,8 +119,8 @@
 	return jobs
 }
 
-// planBudget is what a plan may still write. Staged changes are deducted at once, so that a plan never
-// stages more than its transactions can hold.
+// planBudget is what a plan may still write. Each change is deducted when it is staged, so that a plan
+// never stages more than its transactions can hold.
 type planBudget struct {
 	changes      int // store operations left, in any of the plan's transactions
 	jointChanges int // of these, operations left in the one transaction of joint changes
--- a/internal/controller/plan_commit.go
+++ b/internal/controller/plan_commit.go
@@ -30,7 +30,7 @@
 	return jointChanges{removedJobs: map[*jobShard]map[string]bool{}}
 }
 
-// addJoint stages an operation on the condition that its key has modRevision; 0: that the key is absent.
+// addJoint stages an operation, on the condition that its key has modRevision, or is absent if that is 0.
 func (p *plan) addJoint(operation kv.Operation, modRevision uint64) {
 	p.joint.operations = append(p.joint.operations, operation)
 	p.joint.conditions = append(p.joint.conditions, kv.Condition{Key: operation.Set + operation.Delete, ModRevision: modRevision})
@@ -158,7 +158,7 @@
 	p.outcomes.learnConflicting(conflict.failedKeys)
 }
 
-// forgetSavedRuns subtracts the run times that are now part of stored averages from those not stored yet.
+// forgetSavedRuns deducts from the jobs' unstored run times those that the commit has stored.
 func (j *jointChanges) forgetSavedRuns() {
 	for _, saved := range j.savedRuns {
 		saved.job.subtractRuns(saved.sum, saved.count)
--- a/internal/controller/plan_outcomes.go
+++ b/internal/controller/plan_outcomes.go
@@ -9,8 +9,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// progressFlushPeriod is how long the storing of a job's progress may be delayed while changes are
-// scarce or tasks wait for capacity. Nothing is lost meanwhile, since no entry is released before its
+// progressFlushPeriod is how long the storing of a job's progress may be delayed while write credit is
+// scarce or tasks wait for capacity. The delay loses nothing, since no entry is released before its
 // task's completion is stored.
 const progressFlushPeriod = 20 * units.Second
 
@@ -46,7 +46,8 @@
 	}
 }
 
-// removeCancelled removes a job and its cancellation document, which was written with its outcome.
+// removeCancelled removes a cancelled job and its cancellation document. The job's outcome was stored
+// together with that document.
 func (p *plan) removeCancelled(j *job) {
 	key := schema.CancellationPrefix + j.id
 	p.removeJob(j)
@@ -61,8 +62,8 @@
 	p.removeJob(j)
 }
 
-// storeDerivedCancellation stores the outcome of a job that was cancelled by a dependency, when changes
-// can be spared for it, and removes the job. Such a job never had a task.
+// storeDerivedCancellation stores the outcome of a job that was cancelled by a dependency, and removes the
+// job. Such a job never had a task.
 func (p *plan) storeDerivedCancellation(j *job) {
 	p.removeJob(j)
 	if _, stored := p.replica.outcomes.get(j.id); stored {
@@ -78,7 +79,7 @@
 func (p *plan) canRemoveJob(j *job) bool {
 	const outcomeBytes = 300 // upper estimate of a stored outcome
 	shard := j.shard
-	if shard == nil { // the replica does not show yet the job shard that the job moved to
+	if shard == nil { // the replica does not yet show the job shard that the job moved to
 		return false
 	}
 	changes, bytes := 1, outcomeBytes
@@ -91,7 +92,8 @@
 }
 
 // removeJob removes a job from its job shard; its outcome is stored already, or in the same transaction.
-// Its progress is removed when its segment is next written; while changes are plentiful, at once.
+// The job's progress is removed by this plan if write credit is plentiful, else when its segment is next
+// written.
 func (p *plan) removeJob(j *job) {
 	shard := j.shard
 	if p.joint.removedJobs[shard] == nil {
@@ -105,7 +107,7 @@
 	}
 }
 
-// mayRemoveProgress reports whether the progress of a removed job can be removed at once.
+// mayRemoveProgress reports whether this plan can remove the progress of a job that it removes.
 func (p *plan) mayRemoveProgress(j *job) bool {
 	segment := j.progressSegment
 	if segment == nil || p.commits.isInFlight(segment.key) || p.oversized(segment) {
@@ -155,11 +157,11 @@
 
 // anyWaiting reports whether tasks of the jobs wait for capacity. Progress is stored less often then:
 // each change that stores progress leaves one change less for giving the capacity of completed tasks to
-// waiting ones, here or at another controller, which may use the changes left over. With short tasks,
-// progress would take most of all changes.
+// waiting ones, here or at another controller, which may use the credit left over. With short tasks,
+// storing progress as usual would take most of all changes.
 func anyWaiting(jobs []*job) bool {
 	return slices.ContainsFunc(jobs, func(j *job) bool { return !j.cancelled() && j.waiting() > 0 })
 }
 
-// plentiful reports whether more than half of the changes that may be saved up are available.
+// plentiful reports whether more than half of the maximum write credit is available.
 func (b *writeBudget) plentiful() bool { return b.credit > b.maxCredit/2 }
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -10,9 +10,9 @@
 }
 
 // dropDeletedMachines drops machines whose deletion the cloud has confirmed, and frees the tasks of
-// this partition's jobs that were bound to them. The same change that drops a machine can then start
-// its tasks on other machines of the shard, so that the services of many lost machines are restored
-// with half as many changes as with one change for each step.
+// this partition's jobs that were bound to them. The change that drops a machine can then also place its
+// tasks on other machines of the shard: the services of many lost machines are restored with half as many
+// changes as if dropping and placing took one change each.
 func (p *plan) dropDeletedMachines() {
 	for _, shard := range p.shards {
 		if !shard.ownShard {
@@ -41,8 +41,8 @@
 	}
 }
 
-// restoreBindings undoes freeTasks when the plan was not stored: while the stored document has the
-// entries, the partition's next leader would take them over.
+// restoreBindings undoes freeTasks when the plan was not stored: the stored document still has the
+// entries, from which the partition's next leader would derive the same bindings.
 func (p *plan) restoreBindings() {
 	for _, freed := range p.freedTasks {
 		m := freed.binding.machine
@@ -71,9 +71,9 @@
 	return !m.deleted && m.agent != nil && m.agent.decommission.decided() && !m.agent.decommission.atOnce && !m.doc.Decommissioned
 }
 
-// stageReleases stages shards that must be written to release the entries of tasks that must run again,
-// to record completions that the leader of another partition's job must learn, or to raise a fencing
-// token, which invalidates commands whose result is unclear.
+// stageReleases stages shards that must be written to release entries (see mustReleaseEntries), to record
+// completions (see mustRecordCompletion), or to raise a fencing token, which invalidates commands whose
+// result is unclear.
 func (p *plan) stageReleases() {
 	for _, shard := range p.shards {
 		if !shard.ownShard {
@@ -133,8 +133,8 @@
 }
 
 // mustRecordCompletion reports whether the completion of a task must be recorded in its entry, because
-// its team is at its quota, or because another controller leads its job and is not sure to store the
-// completion.
+// tasks of its job wait while the team is at its quota, or because another controller leads the job and
+// is not sure to store the completion.
 func (p *planner) mustRecordCompletion(m *machine, task *schema.Task, usage usageByTeam) bool {
 	if task.DoneTenths > 0 || p.recordedRunTenths(m, task) == 0 {
 		return false
--- a/internal/controller/planner.go
+++ b/internal/controller/planner.go
@@ -4,8 +4,8 @@
 
 // planner runs plans for the partitions that this controller leads. It owns the timing of plans, of
 // machine shard transfers and of service moves, and the estimates of task times; the decisions are up
-// to each plan. At most one plan is in flight for each partition. Of a plan, planner keeps nothing but
-// planningState, and it writes no state that another component owns.
+// to each plan. At most one plan is in flight for each partition. planner keeps nothing of a finished
+// plan but planningState, and it writes no state that another component owns.
 type planner struct {
 	*environment
 	store       *storeClient
@@ -32,7 +32,7 @@
 	weightLog       period
 }
 
-// machineView tells which machines accept tasks, which neither documents nor agents show by themselves.
+// machineView reports which machines accept tasks: neither stored documents nor agents alone show that.
 type machineView interface {
 	// acceptsTasks reports whether a machine that this controller commands may be given tasks.
 	acceptsTasks(m *machine) bool
@@ -65,8 +65,8 @@
 	}
 }
 
-// planPartition makes one plan for a led partition and commits it. Agents are told only after the plan
-// is stored.
+// planPartition makes one plan for a led partition and commits it. Agents are sent its changes only after
+// the plan is stored.
 func (p *planner) planPartition(partition int) {
 	led := p.partitions.led[partition]
 	if led == nil || !p.mayPlan(led) {
@@ -80,9 +80,9 @@
 	newPlan(p, led).run()
 }
 
-// mayPlan reports whether a led partition can be planned for now: the results of its last commits are
-// known, the replica shows the changes that they conflicted with, and the store, write credit and the
-// catalog of machine types are available.
+// mayPlan reports whether a led partition can be planned for now: authority permits it, the results of
+// its last commits are known, the pause after a failed one is over, the replica shows the changes that
+// they conflicted with, and the store, write credit and the catalog of machine types are available.
 func (p *planner) mayPlan(led *leadership) bool {
 	return led.commitsInFlight == 0 && p.authority.leads(led.partition) && !p.store.failing && p.now >= led.planning.pausedUntil &&
 		p.replica.watchRevision >= led.planning.requiredRevision && p.writes.credit >= minPlanCredit && p.catalog.known()
--- a/internal/controller/staged_machine.go
+++ b/internal/controller/staged_machine.go
@@ -23,7 +23,7 @@
 	decommission bool
 }
 
-// hasImage reports whether the image is on the machine, as far as is known.
+// hasImage reports whether the image is on the machine, as far as this controller knows.
 func (m *stagedMachine) hasImage(image string) bool {
 	if m.machine.agent != nil {
 		_, ok := m.machine.agent.images[image]
@@ -45,7 +45,7 @@
 	m.shard.bytesLeft -= taskEntryBytes
 }
 
-// requestStop marks a task's entry as to be stopped.
+// requestStop requests in a task's entry that the task be stopped in the given mode.
 func (m *stagedMachine) requestStop(key taskKey, mode schema.StopMode) {
 	if m.stops == nil {
 		m.stops = map[taskKey]schema.StopMode{}
@@ -53,13 +53,13 @@
 	m.stops[key] = mode
 }
 
-// preempt stops a task at once and counts its capacity as free.
+// preempt requests an immediate stop of a task and counts its capacity as free.
 func (m *stagedMachine) preempt(key taskKey, spec *schema.Job) {
 	m.requestStop(key, schema.StopImmediately)
 	m.reserve(spec, -1)
 }
 
-// setAsideForMove reserves capacity for a service that moves here after it has stopped elsewhere.
+// setAsideForMove reserves capacity for a service's task that moves here once it has stopped elsewhere.
 func (m *stagedMachine) setAsideForMove(spec *schema.Job) {
 	m.cpus, m.memoryGB = m.cpus-spec.CPUs, m.memoryGB-spec.MemGB
 }
@@ -131,8 +131,8 @@
 	return document
 }
 
-// withdrawAdded removes the bindings of the added tasks, except those that the replica shows: the others
-// have not been stored.
+// withdrawAdded removes the bindings of the added tasks whose entries the replica does not show, since
+// these were not stored.
 func (m *stagedMachine) withdrawAdded() {
 	for _, task := range m.added {
 		j := m.shard.planner.replica.jobs[task.Job]
--- a/internal/controller/staged_shard.go
+++ b/internal/controller/staged_shard.go
@@ -22,7 +22,7 @@
 	splitParts  int              // documents that the shard is split into; 0: it is not split
 	transferTo  int              // partition that the shard is transferred to, or -1
 	newMachines []schema.Machine // machines that this plan registers
-	oversized   bool             // longer than what may be written: the shard must be split first
+	oversized   bool             // longer than a stored value may be: the shard must be split first
 	bytesLeft   int              // bytes by which the document may still grow
 }
 
@@ -83,19 +83,19 @@
 // pick lets arrays use the shard in this plan.
 func (s *stagedShard) pick() { s.picked = true }
 
-// markChanged marks the shard as to be written. It reports whether it was not marked before.
+// markChanged marks the shard to be written. It reports whether the shard was not marked before.
 func (s *stagedShard) markChanged() bool {
 	first := !s.changed
 	s.changed = true
 	return first
 }
 
-// markSplit marks the shard as to be written in several documents; nothing more can be added to it then.
+// markSplit marks the shard to be written in several documents; nothing more can be added to it then.
 func (s *stagedShard) markSplit(documents int) {
 	s.changed, s.splitParts, s.bytesLeft = true, documents, 0
 }
 
-// markTransferred marks the shard as to be transferred to another partition.
+// markTransferred marks the shard to be transferred to another partition.
 func (s *stagedShard) markTransferred(to int) { s.transferTo = to }
 
 // addMachine adds the entry of a machine whose agent has registered.
@@ -105,7 +105,7 @@
 }
 
 // noteEntriesBeingRemoved records the entries that a commit in flight removes from the document: their
-// tasks must not be started again meanwhile.
+// tasks must not be started until its result is known.
 func (s *stagedShard) noteEntriesBeingRemoved() {
 	s.clearEntriesBeingRemoved()
 	if !s.ownShard {
@@ -126,7 +126,7 @@
 	}
 }
 
-// clearEntriesBeingRemoved clears that record when the commit's result is known.
+// clearEntriesBeingRemoved clears the record of noteEntriesBeingRemoved when the commit's result is known.
 func (s *stagedShard) clearEntriesBeingRemoved() {
 	if !s.ownShard {
 		return
