--- a/internal/controller/completions.go
+++ b/internal/controller/completions.go
@@ -75,8 +75,8 @@
 // leadsJob reports whether this controller leads the partition of a job.
 func (e *completionExchange) leadsJob(j *job) bool { return e.partitions.led[j.partition] != nil }
 
-// leaderStores reports whether storing the completion of a task that was seen at seenAt can be left to the
-// leader of its job, to which heartbeats report it.
+// leaderStores reports whether the leader of a job can be left to store a completion that was seen at
+// seenAt and that heartbeats report to it.
 func (e *completionExchange) leaderStores(j *job, seenAt units.Micros) bool {
 	if !e.replica.dependenciesEnabled() || e.now-seenAt > leaderStoreTimeout {
 		return false
--- a/internal/controller/estimates.go
+++ b/internal/controller/estimates.go
@@ -42,7 +42,7 @@
 
 // assumedTaskTime returns the task time that is assumed for a job while none of its tasks has completed:
 // the average of its class, or else its user's estimate, or else defaultTaskTime. The average over all
-// jobs would put a new job of short tasks behind jobs of long ones.
+// jobs is not used: it would put a new job of short tasks behind jobs of long ones.
 func (e *estimates) assumedTaskTime(j *job) units.Micros {
 	if average := e.classAverages[j.spec.Class]; average > 0 {
 		return average
@@ -53,7 +53,7 @@
 	return defaultTaskTime
 }
 
-// subtractRuns subtracts run times that are now part of the stored average from those not stored yet.
+// subtractRuns deducts from the job's unstored run times those that have been stored.
 func (j *job) subtractRuns(sum units.Micros, count int) {
 	j.runSum -= sum
 	j.runCount -= count
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -60,7 +60,7 @@
 		(team.QuotaGPUs <= 0 || used.gpus+j.spec.GPUs <= team.QuotaGPUs+roundingTolerance)
 }
 
-// tasksWithinQuota returns how many more tasks of a job its team's quota allows at once, by CPUs.
+// tasksWithinQuota returns how many more tasks of a job its team's CPU quota allows.
 func (e *environment) tasksWithinQuota(j *job, usage usageByTeam) int {
 	team := e.team(j.spec.Team)
 	if team == nil || team.QuotaCPUs <= 0 {
@@ -69,7 +69,7 @@
 	return max(0, int((team.QuotaCPUs-usage.of(j.spec.Team).cpus)/j.spec.CPUs+roundingTolerance))
 }
 
-// withinGuarantee reports whether a team stays within its guarantee when it uses cpus and gpus more.
+// withinGuarantee reports whether a team stays within its guarantee if its usage grows by cpus and gpus.
 func (p *plan) withinGuarantee(team string, cpus, gpus float64) bool {
 	t := p.team(team)
 	used := p.usage.of(team)
@@ -93,8 +93,8 @@
 }
 
 // preemptForGuarantee places a task of a job within its team's guarantee by preempting tasks of teams
-// that use more than theirs. Only jobs within the guarantee may do so: a team that wants more waits as
-// others do, since teams that all want more than there is would stop each other's tasks without end.
+// that use more than theirs. Only jobs within the guarantee may preempt; a team's other jobs wait, since
+// teams that all want more capacity than exists would stop each other's tasks without end.
 // It reports whether the task was placed.
 func (p *plan) preemptForGuarantee(j *job, index int) bool {
 	if !p.guaranteed[j] || !p.withinGuarantee(j.spec.Team, j.spec.CPUs, j.spec.GPUs) {
@@ -114,8 +114,8 @@
 }
 
 // mayPreemptForGuarantee reports whether a task of the victim may be stopped to place j within its team's
-// guarantee. A service of a higher priority may not be stopped: it would preempt j's task at once, and so
-// on without end, with a change each time, while all others wait.
+// guarantee. A service of a higher priority may not be stopped: it would immediately preempt j's task, and
+// so on without end; each round would use up a change, and all other jobs would wait.
 func (p *plan) mayPreemptForGuarantee(victim, j *job) bool {
 	return victim.spec.Team != j.spec.Team && (!victim.spec.Service || victim.spec.Priority <= j.spec.Priority) &&
 		!p.withinGuarantee(victim.spec.Team, 0, 0)
@@ -124,7 +124,7 @@
 // maxPreemptionLoss returns how much work one task that is stopped for j may lose, in whole seconds, so
 // that jobs that have waited equally long need not be tried one by one (see taskShape). Capacity becomes
 // free all the time, and a job within its guarantee is the first to get it. So a task that has just begun
-// may be stopped at once, but a task that has run for long only for a job that has waited for half as
+// may be stopped immediately, but a task that has run for long only for a job that has waited for half as
 // long, or is starving. Otherwise a large part of all CPU time would be lost by preemption.
 func (j *job) maxPreemptionLoss(now units.Micros) units.Micros {
 	if j.starving(now) {
--- a/internal/controller/offers.go
+++ b/internal/controller/offers.go
@@ -15,8 +15,8 @@
 	imagesAfterBoot      = 3     // images that a new machine fetches before it has the most requested ones
 )
 
-// offerSearch looks for the offer with the cheapest CPUs for the waiting jobs that may use spot instances,
-// or for the other waiting jobs.
+// offerSearch looks for the offer with the cheapest CPUs, either for the waiting jobs that may use spot
+// instances (if spotJobs) or for the other waiting jobs.
 type offerSearch struct {
 	autoscaler *autoscaler
 	unmet      []unmetDemand
@@ -88,7 +88,8 @@
 	return 1 + (machineType.BootSeconds+fetchSeconds)/rentalHorizonSeconds
 }
 
-// averageImageGB returns the average image size of the waiting tasks.
+// averageImageGB returns the average image size of the waiting tasks: of jobs that allow spot instances if
+// spotJobs, else of the other jobs.
 func averageImageGB(unmet []unmetDemand, spotJobs bool) float64 {
 	sum, tasks := 0.0, 0.0
 	for _, demand := range unmet {
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -53,9 +53,9 @@
 	return best
 }
 
-// withheldFrom reports whether an array may not use the capacity of a machine now: its shard is not
-// among those that this plan picked, jobs of its own partition wait for it, or it is reserved for
-// another job.
+// withheldFrom reports whether an array may not use the capacity of a machine now: the machine's shard is
+// neither picked nor changed by this plan, jobs of the machine's own partition wait for the capacity, or
+// the machine is reserved for another job.
 func (p *plan) withheldFrom(j *job, m *stagedMachine, mayUseUnpickedShards bool) bool {
 	if p.shardsPicked && !mayUseUnpickedShards && !m.shard.picked && !m.shard.changed || p.reservedForLeader(m.shard) {
 		return true
@@ -63,7 +63,7 @@
 	return p.leadership.planning.reservations.reservedForOther(m.machine.name, j)
 }
 
-// Bonuses in the score of a machine, in CPUs of free capacity that have the same weight.
+// Bonuses in the score of a machine: a bonus of n offsets n free CPUs, which lower the score.
 const (
 	scoreServiceImage  = 1000.0 // the machine has the service's image: a start must not wait for a fetch
 	scoreArrayImage    = 120.0  // the machine has the array's image
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -37,7 +37,7 @@
 	return shape
 }
 
-// Extra costs of preemption on a machine, in seconds of lost work that have the same weight.
+// Extra costs of preemption on a machine, as equivalent seconds of lost work.
 const (
 	costImageMissing = 60 // the image must be fetched
 	costForeign      = 10 // another controller commands the machine
@@ -107,8 +107,8 @@
 	return preemption{m, victims, cost}
 }
 
-// priorityCost is the cost of one priority level, in seconds of lost work. It keeps the priorities apart
-// when losses are compared: the task of lower priority is stopped first, whatever it loses.
+// priorityCost is the cost of one priority level, in seconds of lost work: of two tasks with equal CPUs,
+// the one of lower priority is stopped first unless it loses at least that much more work per level.
 const priorityCost = 1000
 
 // cheapestVictim finds the eligible task on a machine that costs least to stop, apart from those that are
@@ -137,9 +137,9 @@
 	return victim, cost, found
 }
 
-// workLost returns how many seconds of work are lost when a task is stopped. How long a task on another
-// controller's machine has run is known to that controller only; it is no more than the time since the
-// task was entered there.
+// workLost returns how many seconds of work are lost when a task is stopped. Only the controller that
+// commands a machine knows how long its tasks have run; on another controller's machine, a task counts as
+// running since this controller first saw its entry.
 func (p *plan) workLost(m *machine, j *job, key taskKey) float64 {
 	var began units.Micros
 	if m.agent == nil {
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -27,7 +27,7 @@
 
 const (
 	// maxFirstTaskWait is how long a job may wait for its first task before a machine is reserved for
-	// it. It leaves tasks that run for a minute time to end within the four minutes in which the largest
+	// it. Tasks that run there for a minute then still end within the four minutes in which the largest
 	// jobs must begin.
 	maxFirstTaskWait = 60 * units.Second
 
@@ -56,8 +56,8 @@
 	return false
 }
 
-// expire drops the reservations that are no longer needed, or that have lasted longer than
-// reservationPeriod; after one of the latter, none is made for half of that period.
+// expire drops the reservations that are no longer needed, and those that have lasted longer than
+// reservationPeriod. After dropping one that was still needed, no new one is made for half of that period.
 func (r *reservationTable) expire(now units.Micros, needed func(jobID string) bool) {
 	for name, reserved := range r.byMachine {
 		stillNeeded, overdue := needed(reserved.job), now-reserved.since > reservationPeriod
--- a/internal/controller/services.go
+++ b/internal/controller/services.go
@@ -7,13 +7,13 @@
 
 const (
 	minServiceRun     = 35 * units.Second // a service's task runs at least this long before it is moved
-	stopLeadTime      = 3 * units.Second  // for a stop to be stored and carried out before a machine is reclaimed
-	maxServiceMoves   = 2                 // services that one plan may move
+	stopLeadTime      = 3 * units.Second  // time for a stop to be stored and carried out before a machine is reclaimed
+	maxServiceMoves   = 2                 // most services that one plan may move
 	objectiveKindWait = "wait"            // kind of the objectives that bound how long a start may take
 )
 
-// placeServices places services first, with all tasks that capacity allows, and frees capacity for them
-// by preempting tasks of lower priority.
+// placeServices places as many tasks of services as capacity allows, before any array, and frees capacity
+// for them by preempting tasks of lower priority.
 func (p *plan) placeServices(jobs []*job) {
 	for _, j := range jobs {
 		if j.spec.Service && !j.cancelled() && !j.blocked() && p.now >= j.retryAt {
@@ -42,8 +42,8 @@
 	}
 }
 
-// placeServiceTask places one task of a service, if necessary by preempting tasks of lower priority,
-// also where that avoids fetching its image when this takes too long. It reports whether the task was
+// placeServiceTask places one task of a service. It preempts tasks of lower priority if no machine has
+// capacity, or if that avoids an image fetch that would take too long. It reports whether the task was
 // placed.
 func (p *plan) placeServiceTask(j *job, index int) bool {
 	m := p.chooseMachine(j)
@@ -63,8 +63,8 @@
 func (p *plan) fetchTooSlow(j *job, m *machine) bool {
 	machineType := p.catalog.machineType(m.doc.Type)
 	// A fetch at the nominal rate may take half of the objective, hence three quarters of it if the rate
-	// is a third lower. That leaves time equal to a third of the longer fetch for what comes before and
-	// after it.
+	// is a third lower. The rest, a third of that longer fetch time, is for the steps before and after the
+	// fetch.
 	for _, objective := range p.cfg.Settings.Objectives {
 		if objective.Kind == objectiveKindWait && objective.Class == j.spec.Class && machineType != nil && machineType.FetchGBPerSecond > 0 {
 			return j.spec.ImageGB/machineType.FetchGBPerSecond > objective.WithinS/2
@@ -73,8 +73,8 @@
 	return false
 }
 
-// drainReclaimed stops tasks on machines that the cloud is about to reclaim: services at once, tasks with
-// checkpoints as late as possible. Other tasks run on, since they may complete in time.
+// drainReclaimed stops tasks on machines that the cloud is about to reclaim: services without delay, tasks
+// with checkpoints as late as possible. Other tasks run on, since they may complete in time.
 func (p *plan) drainReclaimed() {
 	for _, m := range p.machinesToEmpty(func(m *machine) bool { return m.agent.notice.announced }) {
 		remaining := m.machine.agent.notice.endsAt - p.now
@@ -88,15 +88,15 @@
 	}
 }
 
-// mustLeaveReclaimed reports whether a task of the job must be stopped now on a machine that is reclaimed
-// after the remaining time.
+// mustLeaveReclaimed reports whether a task of the job must be stopped now on a machine that will be
+// reclaimed after the remaining time.
 func (j *job) mustLeaveReclaimed(remaining units.Micros) bool {
 	return j.spec.Service ||
 		j.spec.CheckpointIntervalSeconds > 0 && remaining < units.FromSeconds(j.spec.CheckpointSeconds)+stopLeadTime
 }
 
-// machinesToEmpty lists this partition's selected machines, which are to be emptied. They accept no more
-// tasks, so they are not among the machines that tasks are placed on.
+// machinesToEmpty lists this partition's machines that are to be emptied, as chosen by selected. They
+// accept no more tasks, so plan.machines does not have them.
 func (p *plan) machinesToEmpty(selected func(*machine) bool) []*stagedMachine {
 	var machines []*stagedMachine
 	for _, shard := range p.shards {
