--- a/internal/controller/catalog.go
+++ b/internal/controller/catalog.go
@@ -74,7 +74,7 @@
 		c.types = result.Catalog.Types
 		c.planNeeded = true
 	}
-	if c.known() { // a failed refresh is not repeated at once either
+	if c.known() { // a failed refresh, too, is repeated only after catalogRefreshPeriod
 		c.readAt = c.now
 	}
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -20,7 +20,7 @@
 }
 
 // demandFinder finds demand that the existing machines cannot serve: tasks that no machine has capacity
-// for, and starving jobs. It maintains nothing but each job's waiting time, and places nothing.
+// for, and starving jobs. It updates only each job's waiting time and failure count, and places nothing.
 type demandFinder struct {
 	*environment
 	replica *replica
@@ -61,7 +61,7 @@
 	return unmet
 }
 
-// poolOf returns the key in free of the machines that the jobs of a partition may use.
+// poolOf returns the pool of the machines that the jobs of a partition may use: their key in f.free.
 func (f *demandFitter) poolOf(partition int) int {
 	if f.allPartitions {
 		return 0
@@ -138,8 +138,8 @@
 	failureResetPeriod = 30 * units.Second
 )
 
-// starvingJobs updates since when each job has waited and lists the jobs that starve. It must be called
-// every second: nothing else starts the clock of waitingTime.
+// starvingJobs updates since when each job has waited and lists the starving jobs. It must be called every
+// second: nothing else records when a job's waiting time begins.
 func (d *demandFinder) starvingJobs() []*job {
 	var starving []*job
 	usage := d.replica.teamUsage()
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -66,8 +66,8 @@
 	r.autoscaler.applyMachineList(r)
 }
 
-// applyMachineList acts on a complete list. It decommissions machines that are missing from it or listed
-// as failed, which are certainly gone, and deletes machines that never register.
+// applyMachineList acts on a complete list. It decommissions silent machines that are missing from it or
+// listed as failed, since the cloud thereby reports them as gone, and deletes machines that never register.
 func (a *autoscaler) applyMachineList(read *machineListRead) {
 	a.machineList.machines, a.machineList.requestedAt = read.machines, read.requestedAt
 	a.machineList.names = slices.Sorted(maps.Keys(read.machines))
@@ -87,7 +87,7 @@
 }
 
 // decommissionUnlisted decommissions silent machines that are missing from a complete list although they
-// have been up for longer than the list can lag: by the list, the cloud reports that they are gone. A
+// have been up for longer than the list can lag: by omitting them, the cloud reports them as gone. A
 // leader that receives no heartbeats from any of its machines has no other way to tell whether the
 // machines or its own network failed.
 func (a *autoscaler) decommissionUnlisted() {
@@ -116,8 +116,8 @@
 	}
 }
 
-// orphans records, by name, since when a listed machine without an entry has failed, or has been silent
-// for too long.
+// orphans maps the name of each orphan to the time since when it has been one. An orphan is a listed
+// machine without an entry that has failed, or has been silent for too long.
 type orphans map[string]units.Micros
 
 // add records a machine as an orphan, unless it is one already, and returns since when it has been one.
@@ -169,14 +169,14 @@
 	return failed || a.now-since > units.FromSeconds(orphanListLagFactor*a.cfg.Settings.Cloud.ListLagS)
 }
 
-// heardWithinPeriods is for how many heartbeat periods after its last heartbeat a machine counts as
-// heard.
+// heardWithinPeriods is the number of heartbeat periods after its last heartbeat in which a machine does
+// not count as silent.
 const heardWithinPeriods = 3
 
 // heardRecently reports whether a machine without an entry sends heartbeats to this or another
 // controller: then it is not silent, only the store is slow to register it. A controller that does not
-// answer is not assumed to hear the machine: nothing runs on a machine without an entry, and one that
-// never comes up would be paid for as long as one peer's heartbeat is missing.
+// answer is not assumed to hear the machine. Deleting it is safe, since nothing runs on a machine without
+// an entry, and one that never comes up would be paid for as long as one peer's heartbeat is missing.
 func (a *autoscaler) heardRecently(name string) bool {
 	recent := heardWithinPeriods * a.cfg.Settings.HeartbeatPeriod()
 	return a.agents.heardWithin(name, recent) || a.peers.anyHeardWithin(name, recent)
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -26,7 +26,7 @@
 // has changed.
 func (m *machine) invalidateOccupancy() { m.occupancies = [2]occupancy{} }
 
-// occupancyOf computes a machine's occupancy, as the controller that commands it (own) or as another.
+// occupancyOf computes a machine's occupancy; own means that this controller commands it.
 func (p *planner) occupancyOf(m *machine, own bool) occupancy {
 	if own {
 		return p.ownOccupancy(m)
@@ -34,8 +34,8 @@
 	return p.foreignOccupancy(m)
 }
 
-// foreignOccupancy uses the entries alone. All of them stay: only the controller that commands the
-// machine may release them.
+// foreignOccupancy computes the occupancy of another controller's machine from its entries alone. All of
+// them stay: only the controller that commands the machine may release them.
 func (p *planner) foreignOccupancy(m *machine) occupancy {
 	o := occupancy{validUntil: p.now + occupancyMaxAge}
 	for _, task := range m.doc.Tasks {
@@ -49,8 +49,9 @@
 	return o
 }
 
-// ownOccupancy uses the entries and the heartbeats of the machine's agent: an entry stays unless it may
-// be released, and takes capacity even then while its task is reported as running.
+// ownOccupancy computes the occupancy of a machine that this controller commands from its entries and its
+// agent's heartbeats: an entry stays unless it may be released, and even a task whose entry may be released
+// takes capacity while it is reported as running.
 func (p *planner) ownOccupancy(m *machine) occupancy {
 	o := occupancy{validUntil: p.now + occupancyMaxAge}
 	o.expireAfter(p.now, m.agent.leaseEnd)
@@ -111,7 +112,8 @@
 	}
 }
 
-// queueAheadPeriod is how long before a task's expected completion its capacity may be given to the next.
+// queueAheadPeriod is how long before a task's expected completion its capacity may be given to the next
+// task.
 const queueAheadPeriod = 6 * units.Second
 
 // endingSoonFrom returns when an array task that runs on the machine is so close to completion, by the
--- a/internal/controller/outcomereads.go
+++ b/internal/controller/outcomereads.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// outcomeReads reads outcomes of jobs from the store: the replica holds at most those that it was shown
+// outcomeReads reads outcomes of jobs from the store: the replica holds only outcomes that it has received
 // since it was loaded, and not all of these. It owns the reads of outcomes that other jobs depend on, and
 // bounds how many of them are in flight. Every outcome that is read is cached in the replica and passed
 // on to the dependents. It never writes.
@@ -27,9 +27,9 @@
 }
 
 const (
-	// maxOutcomeReads bounds the outcomes that are read at once for the dependents of their jobs.
+	// maxOutcomeReads bounds the outcomes that are read concurrently for the dependents of their jobs.
 	maxOutcomeReads = 4
-	// outcomeReadShare is the share of the permitted requests that such reads may take.
+	// outcomeReadShare is the share of the permitted store requests that such reads may take.
 	outcomeReadShare = 0.2
 	// outcomeReadRetryDelay is the delay before an outcome that a read did not find is read again.
 	outcomeReadRetryDelay = units.Second
@@ -56,14 +56,15 @@
 			clearInFlight()
 			return
 		}
-		// The job is not over after all, and will soon be shown as accepted; or the store did not answer.
+		// Either the job is not over, and the replica will soon show it as accepted, or the store did not
+		// answer.
 		o.after(outcomeReadRetryDelay, clearInFlight)
 	})
 }
 
-// learnConflicting reads the outcomes among the documents that failed a transaction, unless they are
-// known. An outcome that the replica does not show may still exist: a plan that relies on its absence
-// would be refused again and again, and its partition could store nothing more.
+// learnConflicting reads the outcomes among the keys whose conditions failed a transaction, unless they
+// are known. An outcome that the replica does not show may still exist: a plan that relies on its absence
+// would conflict again and again, and its partition could store nothing more.
 func (o *outcomeReads) learnConflicting(failedKeys []string) {
 	for _, key := range failedKeys {
 		id, isOutcome := strings.CutPrefix(key, schema.OutcomePrefix)
--- a/internal/controller/progress.go
+++ b/internal/controller/progress.go
@@ -16,8 +16,8 @@
 const jobProgressBytes = 60
 
 // progressWriter stages the progress segments that a plan writes. Only the partition's leader writes
-// them, so a job may be in any of them. A staged segment is written whole with the joint changes, and
-// taken from the plan's budget at once.
+// them, so a job's progress may be in any of them. A staged segment is written whole with the joint
+// changes, and is deducted from the plan's budget when it is staged.
 type progressWriter struct {
 	plan     *plan
 	segments map[string]*stagedSegment // by key
@@ -39,7 +39,7 @@
 	return j.progressSegment != nil && w.segments[j.progressSegment.key] != nil
 }
 
-// segment returns a segment staged for changes, without the jobs that are over.
+// segment returns a staged segment, which it stages first if necessary, without the jobs that are over.
 func (w *progressWriter) segment(key string) *stagedSegment {
 	if staged := w.segments[key]; staged != nil {
 		return staged
@@ -71,8 +71,8 @@
 // remove removes a job's progress from its segment.
 func (w *progressWriter) remove(j *job) { delete(w.segment(j.progressSegment.key).jobs, j.id) }
 
-// put stages a job's progress, in another segment than before if that one is full. It reports whether the
-// plan had space for it.
+// put stages a job's progress in the segment that has it, or in another if that one is full. It reports
+// whether the plan had space for the progress.
 func (w *progressWriter) put(j *job, progress schema.JobProgress) bool {
 	if key, moved := w.movedTo[j.id]; moved {
 		return w.putAgain(w.segments[key], j, progress)
@@ -104,7 +104,7 @@
 	return true
 }
 
-// mayWrite reports whether this plan can write a stored segment with cost more bytes in it.
+// mayWrite reports whether this plan can write a stored segment to which it adds cost bytes.
 func (w *progressWriter) mayWrite(segment *progressSegment, cost int) bool {
 	if w.plan.commits.isInFlight(segment.key) {
 		return false
@@ -145,7 +145,7 @@
 }
 
 // segmentWithSpace returns the key of a segment with space for cost bytes: one that is written anyway, or
-// else the first with space, or else a new one. It is empty if no value may be that long.
+// else the first with space, or else a new one. The key is empty if no stored value may be that long.
 func (w *progressWriter) segmentWithSpace(cost int) string {
 	maxBytes := w.plan.store.limits.maxValueBytes()
 	for _, key := range w.changedKeys() {
@@ -180,8 +180,8 @@
 }
 
 // emptyOversizedSegments moves progress out of segments that are too long to be written any more, and
-// then deletes these segments, which is possible at any length. A job may be in two segments meanwhile;
-// the progress in either is valid.
+// then deletes these segments, which is possible at any length. Until then a job's progress may be in two
+// segments; that in either is valid.
 func (p *plan) emptyOversizedSegments() {
 	if !p.replica.dependenciesEnabled() {
 		return
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// grant records the machines that a rental has got. If they are fewer than requested, the cloud has no
-// more of the offer.
+// grant records the machines that the cloud granted to a rental. If they are fewer than requested, the
+// cloud has no more of the offer.
 func (r *rentals) grant(granted *rental, machines []string) {
 	request := &granted.request
 	granted.granted, granted.grantedAt = true, r.now
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// steadilyReachable reports whether a machine has been reachable for some time without interruption. A
-// machine that was not may be empty for that reason alone.
+// steadilyReachable reports whether a machine has been reachable for some time without interruption. If
+// not, it may be empty merely because it could not be reached.
 func (a *autoscaler) steadilyReachable(m *machine) bool {
 	return a.now-m.agent.since > steadyBeforeDrain && m.agent.responses.steady(a.now, a.cfg.Settings.HeartbeatPeriod(), steadyBeforeDrain)
 }
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -12,11 +12,11 @@
 
 // Limits on renting.
 const (
-	minRentalCalls       = 2  // rental requests a second, even if the cloud's rate limit is lower: it tolerates that many for a while
+	minRentalCalls       = 2  // rental requests a second, even if the cloud's rate limit is lower: the cloud tolerates that many for a while
 	rentalCallsDivisor   = 2  // rental requests may use 1/2 of the requests a second that the cloud permits
 	maxMachinesPerRental = 50 // machines in one request
 	maxFleetShareDivisor = 8  // a request asks for at most 1/8 of the fleet, so that one price or one zone does not get all machines
-	rentalRounds         = 4  // or, if that is more, for at most its part of 1/4 of the shortfall, split over the permitted requests of one second
+	rentalRounds         = 4  // or, if that is more, for at most 1/4 of the shortfall, divided by the requests permitted in one second
 	maxRentalsPending    = 40 // requests that are unanswered, or whose machines have not all registered yet
 )
 
@@ -28,7 +28,7 @@
 )
 
 // firstLeaderWithin is how soon after the start of its process a leader must begin to rent to count as
-// the first leader ever, before which nobody has rented.
+// the first leader ever, which has no predecessor that may have rented machines.
 const firstLeaderWithin = 3 * units.Second
 
 // unmetCapacity is the number of CPUs that waiting tasks need beyond the existing capacity.
@@ -77,7 +77,7 @@
 }
 
 // rent requests machines of an offer and subtracts their CPUs from the shortfall. If few requests are
-// permitted, each asks for more machines, so that a fleet that is needed at once is rented at once.
+// permitted, each asks for more machines, so that a large shortfall does not take many rounds to cover.
 func (a *autoscaler) rent(wanted offer, shortfallCPUs *float64, permitted int) {
 	cpus := a.catalog.machineType(wanted.machineType).CPUs
 	machines := int(math.Ceil(*shortfallCPUs / cpus))
@@ -103,8 +103,8 @@
 			shortfall.onDemandOnly += cpus
 		}
 	}
-	// Tasks that may use spot instances but run on on-demand machines give way to tasks that may not. The
-	// capacity that is missing then is capacity for the former.
+	// Tasks that may use spot instances but run on on-demand machines give way to tasks that may not. What
+	// is missing then is capacity for the displaced tasks, which may be spot instances.
 	displaced := 0.0
 	if a.policy.UseSpot {
 		displaced = min(shortfall.onDemandOnly, a.displaceableCPUs())
@@ -185,8 +185,8 @@
 	return onDemand, spot
 }
 
-// recordFirstRented stores, only once, the name of the first machine that was rented. Machines before it
-// were present from the start, and services are placed there first.
+// recordFirstRented stores, only once, the name of the first machine that was rented. Machines whose names
+// sort before it were present from the start, and services are placed there first.
 func (a *autoscaler) recordFirstRented(machines []string) {
 	if a.replica.firstRented != nil || len(machines) == 0 {
 		return
