--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -8,14 +8,15 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// agentState is what the controller that commands a machine knows of the machine's worker agent. It is
-// volatile: it is created anew with each leadership of the machine's partition, and is never stored.
+// agentState is the state that the controller that commands a machine keeps about the machine's worker
+// agent. It is volatile: each leadership of the machine's partition begins with a new one, and it is never
+// stored.
 type agentState struct {
 	leadership *leadership  // leadership under which the machine is commanded
 	since      units.Micros // when this controller began to command the machine under it
 
-	// State from the latest heartbeat, which the agent sent by itself or as the answer to a probe or a
-	// direct command.
+	// State from the heartbeats: from periodic ones and from those that answer a probe or a direct
+	// command.
 	epoch        uint64
 	sequence     uint64
 	tokenSeen    uint64       // highest fencing token in any heartbeat
@@ -39,9 +40,9 @@
 	decommission        decommissionDecision
 }
 
-// newAgentState returns the state of an agent that was not heard yet. Another controller may have renewed
-// the agent's lease until one staleness bound after its own last proof of freshness, so the lease counts as
-// renewed one staleness bound from now.
+// newAgentState returns the state of an agent that has not been heard yet. Another controller may go on
+// renewing the agent's lease for one staleness bound after that controller's last proof of freshness, so
+// the lease counts as renewed one staleness bound from now.
 func newAgentState(led *leadership, now, stalenessBound, lease units.Micros) *agentState {
 	state := &agentState{
 		leadership: led, since: now, heardSince: now, idleSince: now,
@@ -53,7 +54,7 @@
 	return state
 }
 
-// forgetEpoch clears the agent's epoch and all that is counted within it, because the agent was restarted.
+// forgetEpoch clears the agent's epoch and the values that hold only within it; the agent was restarted.
 func (s *agentState) forgetEpoch() {
 	s.epoch, s.sequence, s.tokenSeen = 0, 0, 0
 	s.runningSince = map[taskKey]runStart{}
@@ -64,8 +65,8 @@
 	s.leaseEnd = max(s.leaseEnd, renewedAt+lease+leaseMargin(lease))
 }
 
-// leaseMargin returns what is added to a lease for the drift of the monotonic clocks, and for messages
-// that were in flight when the response was sent.
+// leaseMargin returns the time that is added to a lease for the drift of the monotonic clocks, and for
+// messages that were in flight when the response was sent.
 func leaseMargin(lease units.Micros) units.Micros {
 	const driftDivisor = 500 // the clocks drift by at most one part in 500
 	return lease/driftDivisor + units.Second
@@ -146,11 +147,12 @@
 	p.failures++
 }
 
-// minLostResponses is how many consecutive heartbeats must show that earlier responses were lost for the
-// machine to count as unreachable outbound without failed probes. Fewer may be due to random packet loss.
+// minLostResponses is the number of consecutive heartbeats, each showing that earlier responses were lost,
+// from which on a machine counts as unreachable outbound even without failed probes. Fewer may be due to
+// random packet loss.
 const minLostResponses = 3
 
-// responseState is what is known of the responses to an agent's heartbeats.
+// responseState records the responses to an agent's heartbeats, and the evidence that they get lost.
 type responseState struct {
 	givenAt    units.Micros // when the latest response was sent
 	givenSince units.Micros // since when responses are sent without a pause longer than a lease
@@ -164,14 +166,14 @@
 // the agent's lease has expired since the previous heartbeat.
 //
 // It detects a machine whose heartbeats arrive while responses and commands do not reach it. Such a machine
-// looks alive, but its lease expires, which ends its tasks, and a task that it was told to stop runs until
+// looks alive, but its lease expires, which ends its tasks; a task whose stop command was lost runs until
 // then.
 func (r *responseState) heartbeatReceived(now, lease units.Micros, newEpoch bool, tokenShown, token uint64) {
 	switch {
 	case newEpoch && now-r.givenAt < lease && now-r.givenSince > lease:
 		// The lease expired although heartbeats arrived and were answered throughout that time. A new
-		// epoch alone proves nothing: after a network partition the delayed heartbeats may arrive all
-		// at once, or only one of the new epoch.
+		// epoch alone proves nothing: after a network partition, the delayed heartbeats may arrive
+		// together, or only one from the new epoch may arrive.
 		r.lost = minLostResponses
 	case tokenShown >= token:
 		r.lost = 0
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -70,7 +70,7 @@
 	machine     *machine
 	permissions guard.Permissions
 	free        *resources       // capacity left for starts
-	expected    map[taskKey]bool // tasks that may be on the machine for now
+	expected    map[taskKey]bool // tasks that clearUnexpected leaves on the machine
 	commands    []agent.Command
 }
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// stop adds the stop of a task that is entered but should not run. Tasks of jobs that are over are left to
-// clearUnexpected.
+// stop adds the stop of a task that is entered but should not run. It leaves tasks whose job is over, or
+// whose completion is stored, to clearUnexpected.
 func (l *commandList) stop(task schema.Task) {
 	j := l.replica.unstoredJobOf(task)
 	if j == nil {
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -8,16 +8,16 @@
 )
 
 // agentGateway exchanges messages with worker agents: it answers their heartbeats, sends them direct
-// commands and probes, and starts the registration of unregistered machines. It owns the calls to agents
-// that have no answer yet, the heartbeats and changed machines of a step, the time at which this controller
-// last heard each machine, and the registrations in progress.
+// commands and probes, and starts the registration of unregistered machines. It owns the unanswered calls to
+// agents, the heartbeats and changed machines of a step, the time at which this controller last heard each
+// machine, and the registrations in progress.
 //
 // Agents receive responses and commands only after a step has read all of its messages (see
 // answerHeartbeats and pushCommands), and no command is sent that the audit has not allowed. The gateway
 // never decides what may run: commandPlanner asks package guard for that.
 type agentGateway struct {
 	*environment
-	store      *storeClient // asked only whether it fails
+	store      *storeClient // used only to see whether the store fails
 	replica    *replica
 	partitions *partitionTable
 	authority  *authority
@@ -41,7 +41,8 @@
 	notSent()
 }
 
-// callWaits counts the calls that had to wait for their turn, since the counts were last taken.
+// callWaits counts the calls to agents that had to wait for a free slot or were never sent, since take was
+// last called.
 type callWaits struct {
 	waited  int          // calls that had to wait
 	notSent int          // calls that were never sent
@@ -67,8 +68,8 @@
 }
 
 // call sends an agent commands or, if commands is nil, only asks for its heartbeat. Each machine has at
-// most one command and one probe in flight, so that the number of calls that wait for their turn is bounded
-// by the number of machines.
+// most one command and one probe in flight, so that the number of calls that wait for a free slot is
+// bounded by the number of machines.
 func (g *agentGateway) call(address string, commands *agent.CommandRequest, pending pendingAgentCall) {
 	id := g.newCallID()
 	g.calls[id] = pending
@@ -130,8 +131,8 @@
 	return ago
 }
 
-// isLeader reports whether this controller leads a partition, even if it may not yet, or may currently not,
-// act as its leader.
+// isLeader reports whether this controller leads a partition, even if it may not act as the leader yet or at
+// present.
 func (g *agentGateway) isLeader(partition int) bool { return g.partitions.led[partition] != nil }
 
 // leaderOf returns the name of the controller that leads a partition; empty if that controller is not
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -6,8 +6,8 @@
 )
 
 // pushCommands sends commands to the machines whose entries have changed. It runs after a step has read all
-// of its messages: in one answer of the key-value store, the change that enters a task may be followed by
-// the one that cancels its job, and then the task must not be started.
+// of its messages: one answer of the key-value store may contain the change that enters a task and, after
+// it, the change that cancels the task's job; that task must not be started.
 func (g *agentGateway) pushCommands() {
 	changed := g.changed
 	g.changed = nil
@@ -63,12 +63,12 @@
 	g.log.Info("direct command unanswered, fencing", "machine", m.name, "fencing_token", p.state.command.token)
 }
 
-// commandRetryDelay is how long after a direct command or a probe could not be sent the next one is
-// decided. The machine's next heartbeat may arrive before that.
+// commandRetryDelay is the delay before the retry of a direct command or a probe that could not be sent.
+// The machine's next heartbeat may arrive earlier.
 const commandRetryDelay = 250 * units.Millisecond
 
-// notSent has the command decided again after a delay, from what is known by then. Nothing was sent, so
-// there is nothing to fence off.
+// notSent repeats the push after a delay, with the commands that are right by then. Nothing was sent, so there
+// is nothing to fence off.
 func (p *pushCall) notSent() {
 	g, m := p.gateway, p.machine
 	if m.agent != p.state {
@@ -128,9 +128,9 @@
 	}
 	state.probe.answered()
 	if !heartbeat.Newer(p.epoch, p.sequence) && state.epoch == p.epoch && state.sequence == p.sequence {
-		// The answer to a probe is no late duplicate. That its sequence number is not newer means that
-		// the agent counts from the start again: it was restarted and has lost its tasks. Without
-		// forgetEpoch its heartbeats would be ignored for ever.
+		// The answer to a probe is never a late duplicate. If its sequence number is not newer, the agent
+		// was restarted: it counts from the start again and has lost its tasks. Without forgetEpoch, all
+		// its later heartbeats would be ignored.
 		g.log.Info("agent restarted", "machine", m.name)
 		state.forgetEpoch()
 	}
