--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -13,10 +13,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// audit checks effects a last time before they are sent, whichever code they come from: it asks package
-// guard once more, refuses what an invariant forbids, and counts the rest. It owns the counts of decisions
-// by reason since the last log line, and the counts of violations since the start. It never permits
-// anything by itself, and no decision depends on its counts.
+// audit makes the last check of effects before they are sent, whichever code they come from: it asks package
+// guard once more, refuses effects that an invariant forbids, and counts the others. It owns the counts of
+// decisions by reason since the last log line, and the counts of violations since the process started. It
+// can only refuse or correct an effect, never cause one, and no decision depends on its counts.
 type audit struct {
 	*environment
 	replica    *replica
@@ -101,8 +101,8 @@
 	invariantAnswer  = "no answer older than a stored outcome"
 )
 
-// reportViolation logs, with its facts, and counts something that was refused because an invariant forbids
-// it. It should never be called.
+// reportViolation logs and counts an effect that was refused because it violates an invariant; facts are
+// the log attributes that describe the effect. It should never be called.
 func (a *audit) reportViolation(invariant string, facts ...any) {
 	a.violations[invariant]++
 	attrs := append([]any{"invariant", invariant}, facts...)
@@ -206,7 +206,7 @@
 	}
 }
 
-// checkRelease reports whether an entry may be released, and counts it.
+// checkRelease reports whether an entry may be released, and counts the release or the violation.
 func (a *audit) checkRelease(m *machine, task schema.Task) bool {
 	reason := guard.ReleaseMachineDeleted // the machine may have no agent state to check
 	if !m.deleted {
@@ -245,7 +245,7 @@
 }
 
 // checkAnswer checks an answer to a user and returns the answer to send. An answer that differs from the
-// job's stored outcome is replaced by the outcome: another controller may have told the user already.
+// job's stored outcome is replaced by the outcome, which another controller may already have sent to a user.
 func (a *audit) checkAnswer(answer *JobStatus) *JobStatus {
 	outcome, stored := a.replica.outcomes.get(answer.ID)
 	facts := answer.facts(outcome, stored)
--- a/internal/controller/facts.go
+++ b/internal/controller/facts.go
@@ -6,8 +6,8 @@
 	"frostdock.example/frostdock/internal/schema"
 )
 
-// factSource gathers the facts on which package guard bases its decisions: what the replica shows, what
-// agents have reported, and what this controller may do. It decides nothing and has no state of its own.
+// factSource gathers the facts on which package guard bases its decisions: the contents of the replica, the
+// reports of agents, and the permissions of this controller. It decides nothing and has no state of its own.
 type factSource struct {
 	*environment
 	replica   *replica
@@ -55,8 +55,8 @@
 	}
 }
 
-// countUndecided counts the tasks entered on machines that this controller commands whose jobs the replica
-// neither shows as accepted nor proves to be over. Their entries stay until it does one or the other.
+// countUndecided counts the entered tasks, on machines that this controller commands, whose jobs the replica
+// neither shows as accepted nor proves to be over. Their entries stay until the replica does either.
 func (f *factSource) countUndecided() int {
 	undecided := 0
 	for _, m := range f.replica.machines {
--- a/internal/controller/fencing.go
+++ b/internal/controller/fencing.go
@@ -6,7 +6,7 @@
 // machine. Releases of entries for that reason (guard.ReleaseProvenAbsent) rely on it.
 //
 // Invariant: while a machine is quiesced, its latest heartbeat lists all tasks that are on the machine,
-// and no task starts there unless this controller commands it from now on.
+// and no task starts there until this controller sends a new start command.
 //
 // Proof: a start reaches an agent in one of three ways.
 //
@@ -22,8 +22,8 @@
 //     sends its next heartbeat only after it has received the response or stopped waiting for it. So
 //     either that heartbeat has arrived and lists the started task, or the lifetime has passed. The
 //     answer to a probe or a direct command proves nothing here: an agent may send it while a response
-//     is still on its way, and a task whose start is delayed would look free and be placed on a second
-//     machine.
+//     is still on its way, and a task whose start is delayed would count as absent and be placed on a
+//     second machine.
 
 // termBits is how many low bits of a fencing token hold the term of the machine's partition. The higher
 // bits count how often the machine changed partitions and how often its token was raised.
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -44,8 +44,8 @@
 	}
 	state.epoch, state.sequence, state.heardAt = heartbeat.Epoch, heartbeat.Sequence, r.now
 	state.probe.failures = 0
-	// The agent's lease had not expired when it sent the heartbeat, and its epoch may have begun at that
-	// moment: the expiry that was known for an earlier lease does not apply to the present one.
+	// The agent's lease had not expired when the agent sent the heartbeat, and its epoch may have begun
+	// only then, so the end that was computed for an earlier lease does not apply to the present one.
 	state.extendLease(r.now, r.cfg.Settings.Lease())
 	state.tokenSeen = max(state.tokenSeen, heartbeat.FencingToken)
 	state.command.heartbeatReceived(heartbeat.FencingToken, heartbeat.Epoch)
@@ -116,8 +116,8 @@
 	}
 }
 
-// noteEnded records a task that has ended since the previous heartbeat, if the task is bound to that
-// machine.
+// noteEnded records a task that has ended since the previous heartbeat, if this attempt of the task is
+// bound to the machine.
 func (r *reconciler) noteEnded(m *machine, j *job, key taskKey, status agent.TaskStatus) {
 	bound, ok := j.bindings[key.index]
 	if !ok || bound.machine != m || bound.attempt != key.attempt {
@@ -141,7 +141,7 @@
 	}
 	r.quarantine.succeeded(j)
 	// The run time is known only for a task that was seen from its start to its end. It is taken only
-	// from completed tasks: failed ones end in seconds and would make the job look tiny.
+	// from completed tasks: failed ones end in seconds and would make the average far too short.
 	ran := units.Micros(0)
 	if run, ok := m.agent.runningSince[key]; ok && run.exact {
 		ran = r.now - run.at
