--- a/internal/controller/heartbeat.go
+++ b/internal/controller/heartbeat.go
@@ -42,8 +42,8 @@
 	g.reply(request.RequestID, http.StatusServiceUnavailable, nil)
 }
 
-// redirect answers that another controller commands the machine; leader is empty if that controller is not
-// known.
+// redirect answers that this controller does not command the machine; leader is the controller that does,
+// or empty if there is none or it is not known.
 func (g *agentGateway) redirect(request HeartbeatRequest, leader string) {
 	g.reply(request.RequestID, http.StatusMisdirectedRequest, agent.Redirect{LeaderAddr: leader})
 }
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -7,15 +7,15 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// machine is one machine: its stored document, and what the controller that commands it has learnt of its
-// worker agent since it took command.
+// machine is one machine: its stored document and, if this controller commands it, the state of its worker
+// agent.
 type machine struct {
 	name        string
 	shard       *machineShard
 	doc         schema.Machine
 	agent       *agentState  // nil unless this controller commands it
 	deleted     bool         // the cloud has confirmed the deletion: the entry may be dropped
-	occupancies [2]occupancy // cached for plans: as another controller sees it, and as its commander does
+	occupancies [2]occupancy // cached for plans; [0]: as other controllers see it, [1]: as the commanding one does
 
 	entriesSeen map[taskKey]entrySeen // when this controller first saw each task in the machine's entry
 }
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// unfinishedJobOf returns the job of an entered task that is not known to be done, or nil.
+// unfinishedJobOf returns the job of an entered task, or nil if the job is not accepted or the task is known
+// to be done.
 func (r *replica) unfinishedJobOf(t schema.Task) *job {
 	if j := r.acceptedJob(t.Job); j != nil && !j.isDone(t.Index) {
 		return j
@@ -67,8 +68,9 @@
 	return nil
 }
 
-// unstoredJobOf returns the job of an entered task whose completion is not stored yet, or nil. It goes by
-// stored documents alone, so that every controller gets the same result.
+// unstoredJobOf returns the job of an entered task, or nil if the job is not accepted or the task's
+// completion is stored in the job's progress. It uses only stored documents, so that every controller gets
+// the same result.
 func (r *replica) unstoredJobOf(t schema.Task) *job {
 	if j := r.acceptedJob(t.Job); j != nil && !j.done.Contains(t.Index) {
 		return j
--- a/internal/controller/registration.go
+++ b/internal/controller/registration.go
@@ -8,8 +8,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// registration is a machine that is about to be entered into its machine shard: a machine that ran before
-// there were any documents, or one from a rental whose answer was lost or late.
+// registration is the pending entry of a running machine into its machine shard. Either the machine ran
+// before the store had any documents, or the answer to the rental request that started it was lost or late.
 type registration struct {
 	request   HeartbeatRequest // the latest one
 	heardAt   units.Micros     // when the latest request arrived
@@ -18,16 +18,17 @@
 	token     uint64           // the highest fencing token that the machine has seen
 }
 
-// A registration outlives its heartbeat: a thousand machines that register at once need more writes than
-// can be made before their agents give up, and otherwise each registration would start over.
+// A registration outlives its heartbeat: a thousand machines that register at the same time need more
+// writes than can be made before their agents stop waiting, and otherwise each registration would start
+// over.
 const (
-	registrationReplyWait = 3500 * units.Millisecond // how long the heartbeat may wait for the entry
+	registrationReplyWait = 3500 * units.Millisecond // how long a heartbeat's answer may wait for the entry
 	registrationLifetime  = 20 * units.Second        // how long after the latest heartbeat the entry may be written
 )
 
 // register starts the registration of an unregistered machine if this controller leads the partition of its
 // machine shard. The machine itself must first answer a probe: a heartbeat may be a late duplicate from a
-// machine that no longer exists, and must not bring it back.
+// machine that no longer exists, which must not be entered.
 func (g *agentGateway) register(request HeartbeatRequest) {
 	name := request.Heartbeat.Machine
 	g.noteHeard(name)
@@ -76,7 +77,7 @@
 	g.planNeeded = true
 }
 
-// declineRegistration answers a heartbeat that is still waiting: the agent may try again.
+// declineRegistration refuses a registration's heartbeat if it is still unanswered; the agent may try again.
 func (g *agentGateway) declineRegistration(r *registration) {
 	if r.waiting {
 		r.waiting = false
--- a/internal/controller/zones.go
+++ b/internal/controller/zones.go
@@ -7,13 +7,13 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// zoneSuspicion is what is known of a zone that may be cut off.
+// zoneSuspicion is the state of the checks on a zone that may be cut off.
 type zoneSuspicion struct {
 	probedAt  units.Micros // when all machines of the zone were probed
 	suspected bool         // the zone may still be cut off
 }
 
-// zoneHealth is what a controller observes of its machines in one zone.
+// zoneHealth is the state of the machines in one zone, as the controller that commands them observes it.
 type zoneHealth struct {
 	machines []*machine
 	heard    int // machines whose heartbeats arrive
@@ -31,10 +31,10 @@
 // answered one.
 const recentlyHeardPeriod = units.Second
 
-// How many of a zone's machines are evidence about the whole zone.
+// Thresholds for conclusions from a zone's machines about the whole zone.
 const (
-	minFailingInZone        = 3  // a zone is suspected when at least that many machines fail at once,
-	failingZoneDivisor      = 20 // and at least 1/20 of its machines
+	minFailingInZone        = 3  // a zone may be cut off if at least 3 of its machines fail at the same time,
+	failingZoneDivisor      = 20 // and these are at least 1/20 of its machines
 	answeringZoneDivisor    = 4  // a zone counts as cut off if fewer than 1/4 of its machines answer
 	minMachinesForReachable = 4  // in a smaller zone, heard machines do not show that the zone can be reached
 )
@@ -49,7 +49,8 @@
 	return zone
 }
 
-// severalFailing reports whether so many of a zone's machines fail at once that the zone may be cut off.
+// severalFailing reports whether enough of a zone's machines fail at the same time to indicate that the zone
+// may be cut off.
 func (z *zoneHealth) severalFailing() bool {
 	return z != nil && z.failing >= max(minFailingInZone, len(z.machines)/failingZoneDivisor)
 }
@@ -71,10 +72,10 @@
 	return heard
 }
 
-// clearSuspicion is called when a zone is no longer suspected. Probes that failed during the outage say
-// nothing about the zone's machines, and none of the machines was idle. Without this reset, the last
-// machines to be heard again would be given up as silent, and those that were being drained would be
-// deleted as idle.
+// clearSuspicion resets the failed probes and the draining of a zone's machines if the zone was suspected
+// until now. Probes that failed during the outage say nothing about the machines, and none of the machines
+// was idle. Without the reset, the last machines to be heard again would be given up as silent, and those
+// that were being drained would be deleted as idle.
 func (z *zoneHealth) clearSuspicion(wasSuspected bool) {
 	if z == nil || !wasSuspected {
 		return
@@ -84,12 +85,12 @@
 	}
 }
 
-// judgeZones detects zones that may be cut off. When several machines of a zone fall silent at once, all
-// machines of the zone are probed, so that those that died at the same time are known before their
-// heartbeats are overdue. If almost none of them answers, the network path to the zone is lost: the
-// machines keep running, their tasks until their leases expire, and all machines are back once the path is.
-// Deleting them would remove a large part of the fleet for minutes. The cloud's machine list will show
-// which of them are really gone.
+// judgeZones detects zones that may be cut off. When several machines of a zone fall silent at the same
+// time, all machines of the zone are probed, so that those that died with them are known before their
+// heartbeats are overdue. If almost no machine answers, the network path to the zone is lost: the machines
+// keep running, their tasks run until the leases expire, and all machines are heard again once the path is
+// restored. Deleting them would remove a large part of the fleet for minutes. The cloud's machine list will
+// show which of them no longer exist.
 func (f *fleetMonitor) judgeZones(zones map[string]*zoneHealth) {
 	for name, suspicion := range f.suspectZones {
 		if !zones[name].severalFailing() {
@@ -97,7 +98,7 @@
 			zones[name].clearSuspicion(suspicion.suspected)
 		}
 	}
-	otherZones := len(zones) > 1 // with one zone alone, check does not trust a silent majority anyway
+	otherZones := len(zones) > 1 // with only one zone, check disregards a silent majority anyway
 	for _, name := range slices.Sorted(maps.Keys(zones)) {
 		zone := zones[name]
 		suspicion, known := f.suspectZones[name]
