--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -8,21 +8,20 @@
 // maxDeletions is how many machines one request may delete.
 const maxDeletions = 100
 
-// deletionRetryDelay is how long after a failed deletion of decommissioned machines the next request is
-// sent.
+// deletionRetryDelay is the delay between a failed request to delete decommissioned machines and the next.
 const deletionRetryDelay = 300 * units.Millisecond
 
 // decommissioner marks machines as decommissioned, that is, to be deleted in the cloud. The first reason
-// counts, and the decision is never revoked; but it is part of the machine's agent state, and lost with it.
-// The decommissioner deletes nothing and releases no task: plans store the decision, and the autoscaler
-// deletes the machines.
+// counts, and the decision is never revoked; but until it is stored, it exists only in the machine's agent
+// state, and is lost with that state. The decommissioner deletes nothing and releases no task: plans store
+// the decision, and the autoscaler deletes the machines.
 type decommissioner struct {
 	*environment
 	replica *replica
 }
 
-// mark marks machines as decommissioned; the next write of their machine shard stores it. Their tasks stay
-// bound until the cloud has confirmed that the machines are deleted.
+// mark marks machines as decommissioned; the next write of their machine shard stores the decision. Their
+// tasks stay bound until the cloud has confirmed that the machines are deleted.
 func (d *decommissioner) mark(reason string, machines ...*machine) {
 	for _, m := range machines {
 		d.markOne(m, reason, false)
@@ -30,8 +29,8 @@
 }
 
 // giveUp marks lost machines whose tasks wait to be placed again. The machines are deleted before the
-// decision is stored: nothing is placed on a machine that is not heard, and entries that a controller with
-// an outdated replica still adds there are dropped with the machine.
+// decision is stored, which is safe: no task is placed on a machine that is not heard, and entries that a
+// controller with an outdated replica still adds there are dropped with the machine.
 func (d *decommissioner) giveUp(reason string, machines ...*machine) {
 	for _, m := range machines {
 		d.markOne(m, reason, true)
@@ -78,8 +77,8 @@
 	})
 }
 
-// deletableMachines returns the machines to be deleted, of the partitions that this process leads, at most
-// maxDeletions of them.
+// deletableMachines returns the names of at most maxDeletions machines that are to be deleted, from the
+// partitions that this process leads.
 func (a *autoscaler) deletableMachines() []string {
 	var names []string
 	for _, m := range a.replica.sortedMachines() {
--- a/internal/controller/quarantine.go
+++ b/internal/controller/quarantine.go
@@ -18,7 +18,7 @@
 // quarantineState is whether a machine is kept from new tasks.
 type quarantineState struct {
 	active     bool
-	changedAt  units.Micros    // when active last changed
+	changedAt  units.Micros    // when judgeMachine last changed active
 	failedJobs map[string]bool // IDs of jobs of which a task failed on the machine
 }
 
@@ -59,7 +59,7 @@
 }
 
 // jobAtFault reports whether the job itself seems to be at fault: its tasks failed on several machines, or
-// on all that there are, and none of its tasks completed.
+// on all that are heard, and none of its tasks completed.
 func (q *quarantineMonitor) jobAtFault(j *job) bool {
 	if len(j.failedOn) < minJobFaultMachines || j.succeeded || j.doneCount() > 0 {
 		return false
--- a/internal/controller/silentpartitions.go
+++ b/internal/controller/silentpartitions.go
@@ -2,10 +2,10 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// silentPartitions hands over a partition to a controller that hears most of its machines, when this
-// controller hears none: its own network is then at fault, and as long as it leads the partition, the
-// leases of the partition's machines run out. It decides nothing else, and writes through leadershipManager
-// alone.
+// silentPartitions hands over a partition while this controller hears none of the machines that it commands,
+// if another controller hears most of the partition's machines. The network of this controller is then at
+// fault, and while it leads the partition, the leases of the partition's machines run out. silentPartitions
+// decides nothing else, and writes only through leadershipManager.
 type silentPartitions struct {
 	*environment
 	store       *storeClient
@@ -16,11 +16,11 @@
 	peers       *peerTable
 }
 
-// minPeriodsLed is for how many heartbeat periods a partition must have been led before it may be handed
-// over because no machine is heard.
+// minPeriodsLed is the number of heartbeat periods for which this controller must have led a partition
+// before it may hand it over because no machine is heard.
 const minPeriodsLed = 3
 
-// transfer hands over at most one partition.
+// transfer hands over at most one partition. The caller ensures that this controller hears no machine.
 func (s *silentPartitions) transfer() {
 	for _, partition := range s.partitions.ledPartitions() {
 		led := s.partitions.led[partition]
