--- a/internal/controller/acceptance.go
+++ b/internal/controller/acceptance.go
@@ -1,7 +1,7 @@
 package controller
 
-// machineAcceptance decides which machines may be given tasks: for machines that this controller commands
-// by the state of their agents, for others by the heartbeats of their leaders. It keeps no state.
+// machineAcceptance decides which machines may be given tasks: those that this controller commands by the
+// state of their agents, others by the heartbeats of the controllers that command them. It keeps no state.
 type machineAcceptance struct {
 	*environment
 	replica *replica
@@ -17,8 +17,8 @@
 		state.tokenSeen == a.replica.fencingToken(m) && !state.command.unclear() && !a.fleet.unreachableInbound(m)
 }
 
-// foreignMachineAcceptsTasks reports whether the heartbeat of the leader that commands a machine lists it
-// as accepting tasks, and which images the machine holds.
+// foreignMachineAcceptsTasks reports whether the heartbeat of the controller that commands a machine lists
+// the machine as accepting tasks, and returns the images that the machine holds.
 func (a *machineAcceptance) foreignMachineAcceptsTasks(m *machine) ([]string, bool) {
 	partition := a.replica.partitions[m.shard.partition]
 	if partition == nil {
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -15,7 +15,7 @@
 // acceptQueue stores submissions. It owns the submissions that wait to be stored and the one transaction in
 // flight that stores some of them. It guarantees that a job is durable before its submission is answered
 // 201, that a job is stored once, and that no job with an outcome is stored. It never decides whether a
-// submission may be accepted: queued submissions are validated, and their dependencies are resolved.
+// submission may be accepted: submissions are validated and their dependencies resolved before enqueue.
 type acceptQueue struct {
 	*environment
 	store    *storeClient
@@ -57,13 +57,13 @@
 const (
 	// throttledRetry is the delay before a throttled transaction is retried.
 	throttledRetry = 150 * units.Millisecond
-	// urgencyPerSubmission is what each waiting submission adds to the urgency of its job shard, on top
-	// of its waiting time.
+	// urgencyPerSubmission is the time that each waiting submission adds to the urgency of its job shard,
+	// on top of its waiting time.
 	urgencyPerSubmission = units.Second / 4
 )
 
-// enqueue sets the acceptance time of a validated submission and queues it. It is stored at once if
-// possible.
+// enqueue sets the acceptance time of a validated submission, queues it and, if possible, stores it
+// immediately.
 func (q *acceptQueue) enqueue(request UserRequest) {
 	request.Job.AcceptedAt = int64(q.timeOfDay)
 	q.pending = append(q.pending, pendingSubmission{job: request.Job, requestID: request.RequestID, requestedAt: q.now})
@@ -165,9 +165,9 @@
 	submissions []pendingSubmission // stored by the transaction
 }
 
-// full reports whether no further job shard may be added. Only half of the limits of a transaction is
-// used: of many job shards in one transaction, one that another controller has just written makes the
-// whole transaction fail.
+// full reports whether no further job shard may be added. Only half of a transaction's limits is used: the
+// whole transaction fails if another controller has just written one of its job shards, which is likelier
+// the more of them there are.
 func (t *acceptTransaction) full() bool {
 	return len(t.txn.Operations) >= max(1, t.queue.store.limits.TxnOps/2) || t.bytes > maxTransactionBytes/2
 }
@@ -267,7 +267,7 @@
 	known := q.replica.jobs[submission.job.ID]
 	size := schema.MaxStoredGrowth(len(encode(submission.job)))
 	switch {
-	case known != nil && known.accepted: // stored meanwhile by another controller
+	case known != nil && known.accepted: // another controller has stored it since
 		q.answerExisting(submission)
 	case size > q.store.limits.maxValueBytes()-documentOverheadBytes:
 		q.users.reject(submission.requestID, http.StatusUnprocessableEntity, errTooLarge)
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -47,7 +47,8 @@
 	h.handleProven(request)
 }
 
-// canDecide reports whether the replica is loaded and the store has not failed for too long to decide requests.
+// canDecide reports whether requests can be decided: the replica is loaded, and the store is not failing or
+// has answered within failureGrace.
 func (h *requestHandler) canDecide() bool {
 	return h.replica.synced && !h.store.failingFor(failureGrace)
 }
@@ -59,7 +60,8 @@
 		h.replica.jobs[request.JobID] == nil && h.checkFeasible(request.Job) == nil
 }
 
-// handleProven looks up the job's current status, with a proof of freshness, and handles the request by it.
+// handleProven looks up the job's current status, with a proof of freshness, and handles the request
+// accordingly.
 func (h *requestHandler) handleProven(request UserRequest) {
 	h.statuses.current(request.JobID, func(result statusResult) { h.handleByStatus(request, result) })
 }
@@ -113,9 +115,9 @@
 	return api.CheckFeasible(submission, h.cfg.Settings.Teams, h.catalog.types)
 }
 
-// resolveDependencies looks up the state of a submission's dependencies. Until all members support jobs
-// with dependencies none is accepted: a process of an older version would drop the dependencies when it
-// rewrites the document.
+// resolveDependencies looks up the state of a submission's dependencies. No job with dependencies is
+// accepted until all members support them: a process of an older version would drop the dependencies when
+// it rewrites the document.
 func (h *requestHandler) resolveDependencies(request UserRequest) {
 	if len(request.Job.Needs) == 0 {
 		h.accepts.enqueue(request)
--- a/internal/controller/userrequests.go
+++ b/internal/controller/userrequests.go
@@ -10,11 +10,11 @@
 
 // userRequests owns the user requests that are not answered yet. It guarantees that each of them is
 // answered exactly once: with the result or, after a timeout, with 503 and a Retry-After time.
-// Each status passes the audit before it is sent. Other components decide what an answer says.
+// Each status passes the audit before it is sent. Other components decide the contents of the answers.
 type userRequests struct {
 	*environment
 	auditor   answerAuditor
-	deadlines map[uint64]units.Micros // by request id: when the request times out
+	deadlines map[uint64]units.Micros // by request ID: when the request times out
 }
 
 // answerAuditor makes the last check of a status before it is sent to a user, and returns the status to
@@ -27,10 +27,10 @@
 	return &userRequests{environment: env, auditor: auditor, deadlines: map[uint64]units.Micros{}}
 }
 
-// Request timeouts: how long a user waits for an answer at most.
+// Request timeouts: a user waits for an answer at most this long.
 const (
 	queryWait  = 1500 * units.Millisecond
-	submitWait = 2500 * units.Millisecond // also of cancellations: both must be stored before the answer
+	submitWait = 2500 * units.Millisecond // for submissions and cancellations, which are stored before they are answered
 )
 
 // retryAfterSeconds is the Retry-After value, in seconds, of a request that could not be decided.
