--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -19,8 +19,8 @@
 	commits  transactor
 }
 
-// cancel cancels an accepted job. If the job has got an outcome meanwhile, onConflict handles the request
-// again.
+// cancel cancels an accepted job. If the job gets an outcome before the cancellation is stored,
+// onConflict handles the request again.
 func (c *cancellations) cancel(request UserRequest, onConflict func(UserRequest)) {
 	cancellation := &pendingCancellation{cancellations: c, request: request, onConflict: onConflict}
 	cancellation.send()
@@ -111,7 +111,8 @@
 	}
 }
 
-// cancellationDocument tells all controllers that a job is cancelled, until its tasks have stopped.
+// cancellationDocument shows all controllers that a job is cancelled. It exists until the job's tasks have
+// stopped.
 type cancellationDocument struct {
 	WriteTag string `json:"w"`
 }
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -25,7 +25,7 @@
 	return dag.Outcome{State: state, At: units.Micros(outcome.RecordedAt)}
 }
 
-// learnOutcome records a stored outcome. A job has one, which is written once and never changes.
+// learnOutcome records a job's stored outcome, which is written only once and never changes.
 func (g *dependencyGraph) learnOutcome(id string, outcome schema.Outcome) {
 	g.replica.outcomes.put(id, outcome)
 	g.propagateOutcome(id, dagOutcome(outcome))
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// noteOutcome records the outcome of a dependency. A dependency that is done is met and not recorded.
+// noteOutcome records a dependency that was cancelled. One that is done is met and needs no record.
 func (d *dependencyCheck) noteOutcome(id string, outcome schema.Outcome) {
 	if dagOutcome(outcome).State == dag.Cancelled {
 		d.result.cancelledBy = id
--- a/internal/controller/job.go
+++ b/internal/controller/job.go
@@ -6,8 +6,9 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// job is what the replica and this controller know of a job that has not ended. It also exists, not
-// accepted, for a removed job while machines' entries still list its tasks.
+// job is the state of a job that has not ended, from the replica and from this controller's observations. It
+// also exists, not accepted, while only its cancellation document, its stored progress or entries of machines
+// refer to the job.
 type job struct {
 	id                 string
 	accepted           bool
@@ -22,7 +23,7 @@
 	cancellationShown  bool             // the replica shows its cancellation document
 	partition          int
 	dependency         *dag.Node // its node in the dependency graph; nil: not in the graph
-	maxGaps            *int      // limit of gaps in its stored progress; nil: the constant maxProgressGaps
+	maxGaps            *int      // limit on the gaps in its stored progress; nil: the constant maxProgressGaps
 
 	bindings        map[int]binding // by task number: where the task may be
 	activeCount     int             // bindings whose task is not known to be done; -1: to be counted again
@@ -37,7 +38,7 @@
 	fairShareCPUs         float64 // in CPUs, as last allocated by package fairshare
 	failures              int     // consecutive task failures
 	failedAt              units.Micros
-	failedOn              map[string]bool // machines commanded by this controller on which it failed
+	failedOn              map[string]bool // machines commanded by this controller on which its tasks failed
 	succeeded             bool            // at least one of its tasks has completed
 	retryAt               units.Micros    // no task of it is placed before this time
 	cachedObservedAverage units.Micros    // average run time, including the elapsed time of running tasks
@@ -64,8 +65,9 @@
 
 // countedForQuota returns how many tasks count against the team's quota: all bound tasks whose completion
 // is not stored. A completion that only this process knows is lost with the process, and if the machine's
-// lease expires too, the task is started once more, beside the tasks that took its place. If such
-// completions freed quota, a team could exceed its quota that way, and a job could run in two zones.
+// lease expires too, the task is started once more. If such a completion had freed quota, the task would
+// then run in addition to the tasks started in its place: a team could exceed its quota, and a job could
+// run in two zones.
 func (j *job) countedForQuota() int {
 	j.countBindings()
 	return j.unstoredCount
@@ -126,15 +128,16 @@
 	}
 	end := j.spec.Tasks
 	if maxGaps := j.maxProgressGaps(); max(j.done.RangeCount(), j.allDone.RangeCount()) > maxGaps {
-		// The stored progress must not become much longer, so only gaps are filled, with at most
-		// maxGaps/4 active tasks. Filled gaps make it shorter; a job with too many gaps could not go on
-		// otherwise.
+		// The stored progress must not become much longer, so only tasks in gaps are started, with at
+		// most maxGaps/4 tasks active. Filling gaps shortens the progress; if that were not allowed, a
+		// job with too many gaps could not go on.
 		if j.active() >= maxGaps/4 {
 			return -1
 		}
 		end = j.done.End()
 	}
-	// All tasks before the first gap are done: in an array of 100,000 tasks that may be most of them.
+	// Skip the tasks before the first gap, which are all done: in an array of 100,000 tasks, they may be
+	// most of them.
 	for n = max(n, j.done.FirstMissing()); n < end; n++ {
 		if _, ok := j.bindings[n]; !ok && !j.isDone(n) {
 			return n
@@ -166,10 +169,10 @@
 	return max(0, j.spec.Tasks-j.doneCount()-j.active())
 }
 
-// addBinding records where a task may be. Of two entries the one with the later attempt is valid: while a
-// replica is loaded, its documents are read at different revisions, and the watch then repeats changes
-// made since the first of them. An earlier entry that comes and goes that way must not make a running
-// task look unbound.
+// addBinding records where a task may be. Of two entries for a task, the one with the later attempt is valid:
+// while a replica is loaded, its documents are read at different revisions, and the watch then repeats the
+// changes made since the first of these. An outdated entry that appears and disappears in this way must not
+// make a running task look unbound.
 func (j *job) addBinding(index int, bound binding) {
 	if known, ok := j.bindings[index]; ok && known.attempt > bound.attempt {
 		return
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -21,7 +21,7 @@
 	Running int    `json:"running"`
 
 	WaitsOn     []string `json:"waitsOn,omitempty"`       // unmet dependencies
-	CancelledBy string   `json:"cancelledWith,omitempty"` // the dependency whose cancellation cancelled it
+	CancelledBy string   `json:"cancelledWith,omitempty"` // the dependency whose cancellation cancelled the job
 }
 
 // terminal reports whether the stage is final: done or cancelled.
@@ -127,9 +127,9 @@
 	q.derive()
 }
 
-// derive derives the status from the replica, which is recent enough, or reads an outcome that the replica
-// lacks from the store. While the outcome of a dependency is unknown, derive runs again later: that
-// outcome may cancel the job.
+// derive derives the status from the replica, which is recent enough, or reads the job's outcome from the
+// store if the replica lacks it. While the outcome of a dependency is unknown, derive runs again later:
+// that outcome may cancel the job.
 func (q *statusQuery) derive() {
 	r := q.reader
 	if !r.replica.dependencies.Resolved(q.jobID) {
--- a/internal/controller/readiness.go
+++ b/internal/controller/readiness.go
@@ -17,7 +17,7 @@
 	peers      *peerTable
 }
 
-// readinessGrace is how long after the store's last answer a failure of the store is ignored.
+// readinessGrace is the time after the store's last answer during which a failure of the store is ignored.
 const readinessGrace = 2 * units.Second
 
 // handle answers a health probe.
@@ -29,9 +29,9 @@
 	r.reply(request.RequestID, status, nil)
 }
 
-// ready reports whether this controller serves users as well as any other. It does not if it has lost the
-// store while a peer still reaches it. If no controller reaches the store, all stay ready, so that
-// requests are served as soon as the store is back.
+// ready reports whether this controller has loaded its state and serves users as well as any other. It does
+// not if it has lost the store while a peer still reaches the store. If no controller reaches the store,
+// all stay ready, so that requests are served as soon as the store is back.
 func (r *readiness) ready() bool {
 	if !r.replica.synced || !r.catalog.known() || !r.membership.registered {
 		return false
--- a/internal/controller/summary.go
+++ b/internal/controller/summary.go
@@ -4,8 +4,8 @@
 
 const summaryPeriod = 30 * units.Second
 
-// logSummary logs the controller's state in one line every summaryPeriod, so that a log can be read from any
-// point on.
+// logSummary logs the controller's state in one line. It runs every summaryPeriod, so that a reader of the
+// log can begin at any point.
 func (c *Controller) logSummary() {
 	jobs, calls := c.replica.countJobs(), c.agents.callWaits.take()
 	c.log.Info("summary", append(c.freshness.logAttrs(), "terms", c.partitions.terms(), "may_act", c.authority.mayAct(),
