--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -21,10 +21,10 @@
 	queueOnBusyMachines := p.pickShards()
 	p.expireReservations(active)
 	p.placeFirstTasks(order)
-	// Next are jobs within their team's guarantee: they need not wait for other teams, and take capacity
-	// that becomes free before tasks are preempted for them. Both within the guarantees and beyond them,
-	// jobs that are urgent themselves or have an urgent dependent go first: the user cares about the
-	// completion of the DAG, and each dependency that waits for its share delays all jobs after it.
+	// Next are jobs within their team's guarantee: they need not wait for other teams, and use free
+	// capacity before tasks are preempted for them. Both among these jobs and among all others, those
+	// that are urgent themselves or have an urgent dependent are placed first: the user cares about the
+	// completion of the DAG, and a dependency that waits for its share delays all of its dependents.
 	p.guaranteed = p.guaranteedJobs()
 	p.placeAll(order, func(j *job) bool { return p.guaranteed[j] && j.urgent() })
 	p.placeAll(order, func(j *job) bool { return p.guaranteed[j] })
@@ -121,7 +121,8 @@
 	}
 }
 
-// capacityFor returns how many tasks of a job the given machines, counted by type, can run at once, by CPUs.
+// capacityFor returns how many tasks of a job the CPUs of the given machines can run at the same time. The
+// machines are given as a count by type.
 func (p *plan) capacityFor(j *job, machinesByType map[string]int) int {
 	capacity := 0
 	types := p.catalog.types
@@ -181,7 +182,7 @@
 	placed := 0
 	var m *stagedMachine
 	for index := j.nextUnbound(0); index >= 0 && placed < limit && p.budget.changes >= 0 && p.underQuota(j); index = j.nextUnbound(index + 1) {
-		// Neighbouring tasks go together: the machine that is best for one task is kept for the next.
+		// Consecutive tasks go to the same machine, the best one for the first of them, while they fit.
 		if m == nil || !m.fits(j) || !placementAllowed(j, m.machine) {
 			m = p.chooseMachine(j)
 		}
@@ -194,9 +195,9 @@
 	}
 }
 
-// stageCapacityEndingSoon counts the capacity of tasks that are about to end as free. A task placed there
-// is started the moment that capacity is free, without waiting for the next write of the machine shard.
-// No other job loses capacity by that, since jobs that rank higher are placed first.
+// stageCapacityEndingSoon counts the capacity of tasks that are about to end as free. A task placed on it
+// is started as soon as the capacity is free, without waiting for the next write of the machine shard.
+// This takes no capacity from other jobs, since jobs that rank higher are placed first.
 func (p *plan) stageCapacityEndingSoon() {
 	for _, m := range p.machines {
 		if m.shard.ownShard && (m.shard.picked || m.shard.changed) && m.active > 0 {
@@ -205,7 +206,8 @@
 	}
 }
 
-// shardCapacity is the capacity for arrays on a machine shard, in CPUs: free now, and in addition soon.
+// shardCapacity is the capacity for arrays on a machine shard, in CPUs: what is free now, and what tasks
+// that end soon will add to it.
 type shardCapacity struct {
 	shard      *stagedShard
 	free, soon float64
@@ -267,9 +269,9 @@
 }
 
 // minRevisitToQueue is the revisit period above which tasks queue behind others that are expected to end
-// soon. Freed capacity waits half of the revisit period for the next write of its machine shard. A queued
-// task waits for longer when the expected end is wrong, as for a job whose tasks differ in length, and it
-// cannot be placed elsewhere meanwhile.
+// soon. Without queued tasks, freed capacity waits on average half of the revisit period for the next write
+// of its machine shard. A queued task may wait longer than that if the expected end is wrong, as for a job
+// whose tasks differ in length, and while it waits it cannot be placed elsewhere.
 const minRevisitToQueue = 2 * units.Second
 
 // reservedForLeader reports whether the capacity of another partition's machine shard is left to that
@@ -296,7 +298,7 @@
 func (p *plan) weight(j *job) float64 {
 	age := max(0, p.timeOfDay-j.eligibleSince())
 	dueInSeconds := 0.0
-	if dueAt := j.dependency.DueAt(); dueAt > 0 { // the earliest, including those of dependents
+	if dueAt := j.dependency.DueAt(); dueAt > 0 { // the earliest deadline of the job and its dependents
 		dueInSeconds = (dueAt - p.timeOfDay).Seconds()
 	}
 	weight, err := p.policy.Weight(policy.Job{
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -12,7 +12,7 @@
 	failoverPriorityPeriod = 2 * units.Second
 
 	minLeadershipTime = 5 * units.Second // minimum time for which a partition is led before it is transferred
-	minProcessAge     = 8 * units.Second // minimum time for which its new leader has been registered
+	minProcessAge     = 8 * units.Second // minimum time for which the receiving process has been registered
 )
 
 // machineCommander starts to command the agent of a machine whose partition this process leads.
@@ -23,10 +23,10 @@
 // leadershipManager acquires leadership of partitions, transfers it to other processes and follows
 // changes of the partitions' documents.
 //
-// A partition's document names the process that leads it, with a term that only increases. It is
-// written on the conditions that this process is registered, that the document is unchanged, and that
-// the former leader, unless it is this process, is no longer registered. So two processes never lead
-// one partition in one term. Every write of a leader has the document's revision as a condition, and
+// A partition's document names the process that leads it, with a term that only increases. A process
+// writes the document on the conditions that this process is registered, that the document is unchanged,
+// and that the former leader, unless it is this process, is no longer registered. So two processes never
+// lead one partition in one term. Every write of a leader has the document's revision as a condition, and
 // fails once another process leads. A process leads once its replica shows the document, never merely
 // because it has requested leadership.
 type leadershipManager struct {
@@ -119,8 +119,9 @@
 	return least
 }
 
-// mayTakeOver reports whether this process may take over an orphaned partition: at once if it is the
-// successor, the least loaded process, else once failoverPriorityPeriod has passed.
+// mayTakeOver reports whether this process may take over an orphaned partition: immediately if it is the
+// successor, which is the least loaded process, otherwise once the partition has been orphaned for
+// failoverPriorityPeriod.
 func (l *leadershipManager) mayTakeOver(partition int, successor processID) bool {
 	since, known := l.orphanedSince[partition]
 	if !known {
@@ -145,7 +146,7 @@
 }
 
 // transferSurplus transfers a partition to a process whose load, even with that partition, stays below
-// this process's own, and that has been registered long enough to be trusted with one.
+// this process's own, and that has been registered for at least minProcessAge.
 func (l *leadershipManager) transferSurplus(processes []processID, load map[processID]int) {
 	ownLoad := load[l.membership.process()]
 	for _, process := range processes {
@@ -177,16 +178,16 @@
 	}
 	own := l.partitions.led[partition] // nil unless this process transfers the partition
 	if own != nil {
-		own.commitsInFlight++ // no plan until the commit is answered
+		own.commitsInFlight++ // the partition is not planned until the commit is answered
 	}
 	l.log.Info("acquiring leadership", "partition", partition, "for", doc.Member, "term", doc.Term)
 	l.commits.commit(txn, writeTag, func(result commitResult) {
 		if result.outcome != commitApplied {
 			l.log.Info("acquiring leadership failed", "partition", partition, "failed", result.failedKeys)
 		}
-		// Only the count that was raised above is lowered: the watch may have shown the document before
-		// this answer, so that a plan of the new leadership is in flight. A second plan next to it
-		// could put a team over its quota.
+		// Decrement the count of the leadership that was incremented above, which may no longer be the
+		// current one: the watch may have shown the document before this answer, and a plan of the new
+		// leadership may be in flight. A second plan at the same time could put a team over its quota.
 		if own != nil {
 			own.commitsInFlight--
 		}
@@ -203,7 +204,7 @@
 	}
 	conditions = append(conditions, kv.Condition{Key: schema.PartitionKey(partition), ModRevision: p.revision})
 	if former := schema.RegistrationKey(p.doc.Member, p.doc.Incarnation); former != self {
-		conditions = append(conditions, kv.Condition{Key: former}) // that it is not registered
+		conditions = append(conditions, kv.Condition{Key: former}) // the former leader is not registered
 	}
 	if target := leader.registrationKey(); target != self {
 		conditions = append(conditions, l.unchanged(target))
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -9,11 +9,12 @@
 )
 
 // fleetMonitor watches the machines that this controller commands: it probes those whose heartbeat is
-// overdue, detects those that cannot be reached, and gives up those that are lost as far as can be known.
-// It owns the suspicion of zones that may be cut off (zones.go).
+// overdue, detects those that cannot be reached, and gives up those that are presumed lost. It also keeps
+// track of zones that may be cut off (zones.go).
 //
-// Silence counts as evidence only where this controller's own network cannot be the cause: most machines
-// must be heard here, no other live controller may hear the machine, and its zone must not be suspected.
+// A machine's silence counts as evidence only if this controller's own network cannot be the cause: this
+// controller hears most machines, no other live controller hears the silent one, and its zone is not
+// suspected of being cut off.
 // The monitor never releases a task's entry: a machine that is given up keeps its entries until the cloud
 // confirms that the machine is deleted.
 type fleetMonitor struct {
@@ -39,27 +40,27 @@
 
 // Periods and thresholds by which machines are judged.
 const (
-	// In tenths of the heartbeat period, from the latest heartbeat.
-	overdueTenths = 13 // the next heartbeat is overdue after that
-	heardTenths   = 15 // the machine counts as heard until then
+	// Times since the latest heartbeat, in tenths of the heartbeat period.
+	overdueTenths = 13 // after this time, the next heartbeat is overdue
+	heardTenths   = 15 // until this time, the machine counts as heard
 
 	probePeriod        = units.Second
 	reclaimProbePeriod = units.Second / 2
 	giveUpPeriod       = units.Second
-	minFailedProbes    = 2 // consecutive; fewer may be due to random packet loss
-	silentFleetDivisor = 8 // at most 1/8 of the machines, plus one, are given up as silent at once
+	minFailedProbes    = 2 // consecutive failed probes required; fewer may be due to random packet loss
+	silentFleetDivisor = 8 // at most 1/8 of the machines, plus one, are given up as silent in one survey
 )
 
-// fleetHealth is what a controller observes of the machines that it commands in one survey.
+// fleetHealth is the result of one survey of the machines that a controller commands.
 type fleetHealth struct {
 	total     int // machines commanded
 	heard     int // machines whose heartbeats arrive
-	reporting int // machines that are not unreachable inbound
+	reporting int // machines other than those in unreachableInbound
 	zones     map[string]*zoneHealth
 
 	silent              []*machine // neither heartbeats nor answers arrive
-	unreachableOutbound []*machine // heartbeats arrive, but no response or command reaches them
-	unreachableInbound  []*machine // answers arrive, but heartbeats reach no controller
+	unreachableOutbound []*machine // heartbeats arrive, but responses and commands do not reach the machine
+	unreachableInbound  []*machine // answers to calls arrive, but heartbeats reach no controller
 }
 
 // check surveys all machines and acts on the result.
@@ -84,8 +85,8 @@
 	f.giveUpUnreachable(health)
 }
 
-// silenceSuspectedWithin reports whether many machines were silent at once less than the given time ago; if
-// so, the cloud's machine list may show why.
+// silenceSuspectedWithin reports whether many machines were found silent together less than the given time
+// ago; if so, the cloud's machine list may show why.
 func (f *fleetMonitor) silenceSuspectedWithin(length units.Micros) bool {
 	return f.silenceSuspectedAt > 0 && f.now-f.silenceSuspectedAt < length
 }
@@ -118,7 +119,7 @@
 		return
 	}
 	heartbeatPeriod := f.cfg.Settings.HeartbeatPeriod()
-	// A new leader has probed its machines at once, and waits one heartbeat period less for the first
+	// A new leader probes its machines immediately, and waits one heartbeat period less for their first
 	// heartbeat.
 	silentFor := f.now - max(state.heardAt, state.since-heartbeatPeriod)
 	overdue := silentFor > heartbeatPeriod*overdueTenths/10
@@ -126,10 +127,11 @@
 		health.heard++
 		zone.heard++
 		if state.tokenSeen < f.replica.fencingToken(m) && state.heardAt > 0 {
-			f.agents.push(m) // the agent must show the present token before a task's absence proves anything
+			f.agents.push(m) // a task's absence proves nothing until the agent shows the current token
 		}
 	}
-	// In a zone where many machines fall silent, all are probed, and those that do not answer once more.
+	// In a zone where many machines fall silent, all machines are probed; those that do not answer are probed
+	// once more.
 	probedWithZone := state.probe.failures > 0 && f.suspectZones[m.doc.Zone].probedAt > 0
 	if (overdue || state.command.unclear() || probedWithZone) && f.now-state.probe.askedAt > probePeriod {
 		f.probe(m)
@@ -156,8 +158,8 @@
 }
 
 // unreachableInbound reports whether no heartbeat of a machine has arrived for longer than a lease, though
-// the machine may still answer calls. Direct commands renew no lease, so the tasks that such a machine is
-// given end with its epoch, again and again.
+// the machine may still answer calls. Direct commands do not renew the lease, so the tasks on such a machine
+// end with each epoch of its agent, that is, whenever the lease expires.
 func (f *fleetMonitor) unreachableInbound(m *machine) bool {
 	lastAnswered := max(m.agent.responses.givenAt, m.agent.heardSince, f.authority.gainedAt)
 	return f.now-lastAnswered > f.cfg.Settings.Lease()+2*f.cfg.Settings.HeartbeatPeriod()
@@ -189,9 +191,8 @@
 	return expired
 }
 
-// giveUpUnreachable gives up machines that are lost as far as can be known. Before a silent machine or one
-// that is unreachable inbound is given up, every other live controller must say that it does not hear the
-// machine (see heardByOthers).
+// giveUpUnreachable gives up machines that are presumed lost. A machine that is silent or unreachable
+// inbound is given up only if no other live controller hears it (see heardByOthers).
 func (f *fleetMonitor) giveUpUnreachable(health *fleetHealth) {
 	var lost []*machine
 	for _, m := range health.silent {
@@ -218,7 +219,7 @@
 		!f.heardByOthers(m.name, health.zones[m.doc.Zone].reachable())
 }
 
-// zoneHeardSince reports whether another machine of the same zone was heard after this one was overdue.
+// zoneHeardSince reports whether another machine of the same zone was heard after this one became overdue.
 // Without this check, a controller that commands only a few machines in a zone that is cut off would delete
 // the first overdue machine before it has probed the others.
 func (f *fleetMonitor) zoneHeardSince(health *fleetHealth, m *machine) bool {
@@ -232,7 +233,8 @@
 
 // heardByOthers reports whether another live controller hears the machine. A controller from which no
 // recent peer heartbeat has arrived counts as hearing it, unless the machine's zone can be reached from
-// here: while controllers refuse each other's connections, no lost machine would be replaced otherwise.
+// here: without this exception, no lost machine would be replaced while controllers refuse each other's
+// connections.
 func (f *fleetMonitor) heardByOthers(name string, zoneReachable bool) bool {
 	for key := range f.replica.registeredSince {
 		member, incarnation, _ := strings.Cut(strings.TrimPrefix(key, schema.RegistrationPrefix), "/")
--- a/internal/controller/resharding.go
+++ b/internal/controller/resharding.go
@@ -10,11 +10,10 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Documents that have become long, or too long for what the key-value store will allow, are split
-// online. One transaction writes all the parts, of which the first replaces the document, on the
-// condition of the document's mod revision: at no moment is an entry in two documents or in none, and a
-// crash, a change of leadership or a change of the limits leaves either the one document or all the
-// parts.
+// Documents that are long, or longer than a coming limit of the key-value store allows, are split online.
+// One transaction, conditional on the document's mod revision, writes all the parts; the first part
+// replaces the document. So no entry is ever in two documents or in none, and a crash, a change of
+// leadership or a change of the limits leaves either the one document or all the parts.
 
 const (
 	splitThreshold = 0.70 // share of the maximum value size above which a document is split
@@ -35,7 +34,7 @@
 	writes  *writeBudget
 }
 
-// partCount returns how many parts a document of size bytes is to be split into; 1: it is not split.
+// partCount returns how many parts a document of size bytes is to be split into; 1 if it is not to be split.
 func (d *documentSplitter) partCount(size int) int {
 	maxBytes := float64(d.store.limits.maxValueBytes())
 	if !d.replica.dependenciesEnabled() || float64(size) <= splitThreshold*maxBytes {
@@ -51,9 +50,9 @@
 }
 
 // splitToFit splits a document into the fewest parts, from minParts to maxParts, that all fit the limits
-// that this controller keeps to; split returns the document in the given number of parts. If there
-// is no such number, it falls back to maxParts parts that the store still accepts under its present
-// limits, as a first step. It returns nil if that is not possible either.
+// that this controller applies; split returns the document in the given number of parts. If even maxParts
+// parts are too long, splitToFit returns them as a first step, provided that the store still accepts them
+// under its present limits. If not, it returns nil.
 func (d *documentSplitter) splitToFit(minParts, maxParts int, split func(parts int) []splitDocument) []splitDocument {
 	for parts := minParts; parts <= maxParts; parts++ {
 		if documents := split(parts); longestDocument(documents) <= d.store.limits.maxValueBytes() {
@@ -156,7 +155,7 @@
 
 // jobShardSplitter splits job shards that have become too long, one at a time, and paces the splits. Only
 // the leader of partition 0 splits them, so that two controllers seldom try to split the same shard; if
-// two do, the conditions on mod revisions keep it safe.
+// two do, the conditions on mod revisions let only one of the splits succeed.
 type jobShardSplitter struct {
 	*documentSplitter
 	authority *authority
