--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -27,9 +27,9 @@
 	revisions     map[string]uint64 // mod revision of every live key under schema.ActivePrefix
 	tombstones    map[string]uint64 // keys that this controller deleted ahead of the watch, with the revision of the deletion
 	watchRevision uint64
-	// completeRevision is the latest revision of a loaded page. Pages are read at different times, and
-	// an entry that moved from one document to another meanwhile may be in neither, so a loaded replica
-	// is complete only when the watch has reached this revision.
+	// completeRevision is the latest revision of a loaded page. Pages are read at different times, so an
+	// entry that moves from one document to another during the load may be on no page: a loaded replica
+	// is complete only once the watch has reached this revision.
 	completeRevision uint64
 	synced           bool
 
--- a/internal/controller/replica_jobs.go
+++ b/internal/controller/replica_jobs.go
@@ -19,7 +19,7 @@
 	jobs      map[string]schema.JobProgress
 }
 
-// job returns what is known about a job, in a new record if nothing was known.
+// job returns the record of a job, and creates an empty one if there is none.
 func (r *replica) job(id string) *job {
 	j := r.jobs[id]
 	if j == nil {
@@ -134,8 +134,8 @@
 }
 
 // provenOver reports whether a job that is not among the accepted jobs is known to be over, rather than
-// just not shown yet. The absence of its id proves nothing by itself. The job is over if
-//   - the shard that owns the id was shown to have dropped it, or
+// just not shown yet. The absence of its id alone proves nothing. The job is over if
+//   - the shard that owns the id was shown, and no longer lists it, or
 //   - its outcome "done" is known (a cancelled job may still have tasks, and leaves its shard only when
 //     their entries are gone), or
 //   - the replica is complete as of enteredRevision, at which one of its tasks already had an entry. A
@@ -152,7 +152,7 @@
 	return shown && r.complete() && enteredRevision <= r.watchRevision
 }
 
-// knownCancelled reports whether a job is known to be cancelled, whether it is shown as accepted or not.
+// knownCancelled reports whether a job is known to be cancelled, even if it is not shown as accepted.
 func (r *replica) knownCancelled(id string) bool {
 	if j := r.jobs[id]; j != nil && j.cancelled() {
 		return true
--- a/internal/controller/replica_machines.go
+++ b/internal/controller/replica_machines.go
@@ -39,7 +39,7 @@
 }
 
 // placeInShard attaches a machine to the machine shard that lists it, and returns the partition that the
-// machine was in before: that of its former shard if it was split off from one, else previousPartition.
+// machine was in before: that of its former shard if it comes from another shard, else previousPartition.
 func (r *replica) placeInShard(name string, s *machineShard, previousPartition int) (*machine, int) {
 	m := r.machines[name]
 	if m == nil {
@@ -58,8 +58,8 @@
 	return m, previousPartition
 }
 
-// locateMachines handles machines that a shard has listed: a machine that no shard lists any more is
-// gone if the shard that owns its name has been shown, and waits for that shard if not.
+// locateMachines handles machines that a shard listed before: a machine that no shard lists any more is
+// removed if the shard that owns its name has been shown, and waits for that shard if not.
 func (r *replica) locateMachines(machines []*machine) {
 	for _, m := range machines {
 		if r.machines[m.name] != m || slices.Contains(m.shard.machines, m) {
--- a/internal/controller/replica_members.go
+++ b/internal/controller/replica_members.go
@@ -8,7 +8,7 @@
 )
 
 // partitionDoc is the document that names a partition's leader. Every write of that leader is
-// conditional on its revision.
+// conditional on the document's revision.
 type partitionDoc struct {
 	revision uint64
 	doc      schema.Partition
--- a/internal/controller/replica_observer.go
+++ b/internal/controller/replica_observer.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// noteUnrequestedReleases backs off jobs of this process's partitions whose tasks another leader released
-// from a machine that it commands though nobody requested their stop: they failed there. Otherwise a job
-// that fails everywhere would be placed on the machines of other partitions without end.
+// noteUnrequestedReleases backs off jobs of this process's partitions whose tasks failed on a machine that
+// another leader commands: that leader released their entries, though no stop was requested. Without this,
+// a job that fails everywhere would be placed on the machines of other partitions again and again.
 func (d *changeDispatcher) noteUnrequestedReleases(previous schema.Tasks) {
 	for _, task := range previous {
 		j := d.replica.acceptedJob(task.Job)
--- a/internal/controller/replica_shards.go
+++ b/internal/controller/replica_shards.go
@@ -12,7 +12,7 @@
 type machineShard struct {
 	number     int
 	key        string
-	shardCount int // it is one of this many machine shards, since it was split; 0: never split
+	shardCount int // number of machine shards that it became one of when it was split; 0: never split
 	revision   uint64
 	size       int // of the stored value, in bytes
 	partition  int
@@ -26,7 +26,7 @@
 type jobShard struct {
 	number     int
 	key        string
-	shardCount int // it is one of this many job shards, since it was split; 0: never split
+	shardCount int // number of job shards that it became one of when it was split; 0: never split
 	revision   uint64
 	size       int // of the stored value, in bytes
 	jobIDs     []string
@@ -78,8 +78,8 @@
 }
 
 // machineShardOf returns the machine shard that owns a machine's name. If that shard has not been shown
-// since the last split, it returns the shard that owned the name before: good for finding the leader,
-// not for writing.
+// since the last split, it returns the shard that owned the name before: callers may use it to find the
+// leader, but must not write it.
 func (r *replica) machineShardOf(machine string) *machineShard {
 	shard, _ := r.machineDirectory.owner(machine)
 	return r.machineShards[shard]
--- a/internal/controller/replication.go
+++ b/internal/controller/replication.go
@@ -11,7 +11,7 @@
 
 const (
 	loadRetryDelay     = 300 * units.Millisecond // before a failed read of a page is repeated
-	layoutRetryDelay   = 100 * units.Millisecond // before a reload with the layout that is stored by then
+	layoutRetryDelay   = 100 * units.Millisecond // before a reload that reads the layout stored by then
 	watchWait          = 10 * units.Second       // how long the store may hold a watch open without a change
 	watchRetryDelay    = 200 * units.Millisecond // before the next watch after an error
 	watchRefusalDelay  = 100 * units.Millisecond // before the next watch after a refused one
@@ -19,21 +19,22 @@
 
 	unlocatedLogPeriod = units.Second
 
-	// maxWatchLag is how long the watch may lag behind the revision that other answers show.
+	// maxWatchLag is how long the watch may lag behind the latest revision in other answers.
 	maxWatchLag = units.Second
 )
 
-// complete reports whether the replica is loaded and its watch has passed every page that was loaded.
+// complete reports whether the replica is loaded and its watch has reached the revision of each page that
+// was loaded.
 func (r *replica) complete() bool {
 	return r.synced && r.watchRevision >= r.completeRevision
 }
 
-// beginLoad marks the replica as unreliable until it has been reloaded.
+// beginLoad marks the replica as not synced until it has been reloaded.
 func (r *replica) beginLoad() { r.synced = false }
 
-// notePage records the revision of a page. Pages are read at different times, and an entry that moved
-// from one document to another meanwhile may be in neither: the replica is complete only once the watch
-// has passed the latest page.
+// notePage records the revision of a page. Pages are read at different times, so an entry that moves from
+// one document to another during the load may be on no page: the replica is complete only once the watch
+// has reached the revision of the latest page.
 func (r *replica) notePage(revision uint64) { r.completeRevision = max(r.completeRevision, revision) }
 
 // beginSync records that the replica follows the store from the revision as of which it was loaded.
@@ -49,14 +50,14 @@
 			delete(r.tombstones, key)
 		}
 	}
-	r.noteUnlocated()
+	r.logUnlocated()
 	r.machineDirectory.advance(r.watchRevision)
 	r.jobDirectory.advance(r.watchRevision)
 }
 
-// noteUnlocated logs jobs and machines whose shard after a split was not shown by the end of an answer.
-// The watch shows the shard later; it is unusual that the same answer does not.
-func (r *replica) noteUnlocated() {
+// logUnlocated logs, after an answer to the watch, how many jobs and machines belong to a part of a split
+// shard that was not shown yet. A later answer shows that part; usually one answer shows all parts.
+func (r *replica) logUnlocated() {
 	if count := len(r.unlocatedJobs) + len(r.unlocatedMachines); count > 0 && r.unlocatedLog.due(r.env.now, unlocatedLogPeriod) {
 		r.env.log.Info("shards after a split not shown yet", "jobs", len(r.unlocatedJobs), "machines", len(r.unlocatedMachines), "revision", r.watchRevision)
 	}
@@ -83,7 +84,7 @@
 	freshness *freshness
 
 	watchID     int          // of the current watch; answers to older ones are ignored
-	behindSince units.Micros // since when other answers show later revisions than the watch; 0: they do not
+	behindSince units.Micros // when other answers began to show later revisions than the watch; 0: they do not
 }
 
 // load reads everything under schema.ActivePrefix, then opens a watch. It runs at the start, and
@@ -99,7 +100,7 @@
 type replicaLoad struct {
 	*replicator
 	seen         map[string]bool // keys on the pages read so far
-	baseRevision uint64          // of the first page; the watch shows later changes
+	baseRevision uint64          // revision of the first page; the watch starts from it
 }
 
 // readPage reads the page after a key, and retries until the store returns it.
@@ -139,7 +140,7 @@
 	}
 }
 
-// removeUnlisted removes the keys that no page has and that were not written after the first page.
+// removeUnlisted removes the keys that are on no page and were not written after the first page was read.
 func (l *replicaLoad) removeUnlisted() {
 	for key, revision := range l.replica.revisions {
 		if !l.seen[key] && revision <= l.baseRevision {
@@ -188,8 +189,8 @@
 }
 
 // checkLag opens a new watch when the present one has fallen behind: after a network partition its
-// connection may be dead without an error, and if the store refused this controller alone, the watch
-// stays without changes as in an outage.
+// connection may be dead without an error, and if the store refused only this controller, the watch
+// receives no changes, as in an outage.
 func (r *replicator) checkLag() {
 	if !r.replica.synced || r.store.seenRevision <= r.replica.watchRevision {
 		r.behindSince = 0
--- a/internal/controller/shard_directory.go
+++ b/internal/controller/shard_directory.go
@@ -11,16 +11,18 @@
 // shardDirectory determines which of the shards that a replica was shown owns a name. The replica has one
 // for machines and one for jobs; it alone decides in which shard a name is listed.
 //
-// Every shard states its shard count: of how many shards it is one (schema.FindShard). At any revision of
-// the store exactly one shard owns a name. A split writes all parts at once, each with a larger shard
-// count than the shard had, and a name never moves back. So in whatever order documents are shown:
-//   - Of two shards that own a name by their last shown counts, the one with the larger count is the later.
+// Every shard states its shard count, the number of shards that it is one of (schema.FindShard). At any
+// revision of the store exactly one shard owns a name. A split writes all parts in one transaction, each
+// with a larger shard count than the shard had, and a name never moves back. So in whatever order documents
+// are shown:
+//   - Of two shards that own a name by their last shown counts, the one with the larger count is newer.
 //   - Once a part of a shard was shown, the contents of the shard from before the split are superseded.
 //   - A shard that owns a name, is not superseded and does not list the name proves that the name was
 //     removed.
-//   - If a shard no longer owns a name, the absence of the name from it proves nothing. The name stays as
-//     it was until the shard that owns it is shown. The wait is bounded: that shard was written in the
-//     same transaction or later, so it has been shown once the watch has reached that revision.
+//   - If a shard no longer owns a name, the absence of the name from that shard proves nothing. What is
+//     known of the name is kept until the shard that owns it is shown. The wait is bounded: the owning shard
+//     was written in the transaction of the split, or of a later split, so it has been shown once the watch
+//     has reached the revision of that transaction.
 type shardDirectory struct {
 	initialCount int           // number of shards in the layout
 	splitCountOf func(int) int // returns the last shown shard count of a shard; 0: it was never split, or was not shown
@@ -28,7 +30,7 @@
 	splitCounts      []int               // all shard counts that shards have stated, the largest first
 	splitShards      map[int]bool        // shards that have stated a shard count
 	supersededRanges map[shardRange]bool // shards as they were before a split of which a part was shown
-	removedAt        map[string]uint64   // removed names by the revision that proves it, until the watch has passed that
+	removedAt        map[string]uint64   // by removed name: revision of the proof, until the watch reaches it
 }
 
 // shardRange is the set of names that a shard owns under a shard count.
@@ -57,8 +59,8 @@
 	d.noteSupersededRanges(shard, count)
 }
 
-// noteSupersededRanges records that the ranges are superseded that a shard with the given shard count may
-// have been split from.
+// noteSupersededRanges records as superseded all ranges that a shard with the given shard count may have
+// been split from.
 func (d *shardDirectory) noteSupersededRanges(shard, count int) {
 	for _, former := range d.smallerCounts(count) {
 		d.supersededRanges[shardRange{shard % former, former}] = true
@@ -88,8 +90,9 @@
 	return max(d.splitCountOf(shard), d.initialCount)
 }
 
-// superseded reports whether another shard shows a later state of a name than the given shard. A name
-// that was written into a shard that does not own it is in no other shard, and no split has moved it.
+// superseded reports whether another shard shows a later state of a name than the given shard. A name that
+// was written into a shard that does not own it is not superseded: it is in no other shard, and no split has
+// moved it.
 func (d *shardDirectory) superseded(name string, shard int) bool {
 	owner, shown := d.owner(name)
 	owned := schema.MachineShardIndex(name, d.countOf(shard)) == shard
@@ -102,10 +105,10 @@
 }
 
 // noteRemoved records that a name was removed, as proven by a document of that revision. Until the watch
-// has passed the revision, older documents may still be shown.
+// has reached the revision, older documents may still be shown.
 func (d *shardDirectory) noteRemoved(name string, revision uint64) { d.removedAt[name] = revision }
 
-// advance forgets the removals that the watch has passed.
+// advance forgets the removals whose revision the watch has reached.
 func (d *shardDirectory) advance(revision uint64) {
 	maps.DeleteFunc(d.removedAt, func(_ string, revisionOfRemoval uint64) bool { return revisionOfRemoval <= revision })
 }
