--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -3,9 +3,9 @@
 // answer a user. These decisions are made nowhere else. Each one has a reason, which is logged.
 //
 // Invariants:
-//   - A task is started only by the leader of the machine's partition and with a recent replica, when its
-//     job is accepted and not cancelled, its dependencies are done, and it is neither completed nor to be
-//     stopped.
+//   - A task is started only by the leader of the machine's partition, with a recent replica, and only if
+//     the job is accepted and not cancelled, the job's dependencies are done, and the task is neither
+//     completed nor to be stopped.
 //   - A task's entry is released only when the task is certainly not active on the machine: its
 //     completion is stored, the machine's heartbeat reports under the current fencing token that the
 //     task ended, the machine's lease has expired, no command can still start the task and the heartbeat
@@ -15,20 +15,20 @@
 //
 // The absence of a job from a replica proves nothing: documents may be shown in an order in which none
 // of them lists the job for a while. A job that is not among the accepted jobs is over only if that is
-// proven. Until it is (NotProvenOver), its tasks are neither started nor stopped and their entries stay,
-// until the replica shows either the job or the proof.
+// proven. Until the replica shows either the job or that proof (NotProvenOver), the job's tasks are neither
+// started nor stopped, and their entries stay.
 //
 // The package keeps no state and does not depend on the controller: the caller gathers the facts, and
-// checks effects a second time before they leave.
+// checks outgoing effects a second time before they are carried out.
 package guard
 
 // TaskFacts is what is known about a task that has an entry on a machine, and about its job. The zero
 // value describes a task whose job was accepted and is over.
 type TaskFacts struct {
 	Accepted         bool // the job is among the accepted jobs
-	NotProvenOver    bool // it is not, and may only be missing from the replica: nothing proves that it is over
-	Cancelled        bool // the job is cancelled, itself or because of a job that it depends on
-	DependenciesDone bool // every job that it depends on has the stored outcome "done"
+	NotProvenOver    bool // the job is not among the accepted jobs, but not proven to be over: the replica may lack it
+	Cancelled        bool // the job is cancelled, directly or because of a job that it depends on
+	DependenciesDone bool // every job that the job depends on has the stored outcome "done"
 	Completed        bool // the task has completed, as far as this controller knows
 	CompletionStored bool // the task's completion is stored
 	StopRequested    bool // the task's entry requests that it be stopped
@@ -127,7 +127,7 @@
 	switch {
 	case machine.MachineDeleted:
 		return ReleaseMachineDeleted
-	case !f.Accepted && f.NotProvenOver: // the replica may lack its completions as well
+	case !f.Accepted && f.NotProvenOver: // the replica may lack the job's completions as well
 		return KeepEntry
 	case !f.Accepted: // a job is removed only with or after its stored outcome
 		return ReleaseJobOver
@@ -182,10 +182,10 @@
 	case f.CancelledByDependency:
 		return ForgetCancelledByDependency
 	}
-	return KeepJob // its outcome is known, and its cancellation document, written with the outcome, is shown next
+	return KeepJob // the outcome is known, but the cancellation document, written with it, is not shown yet
 }
 
-// AnswerFacts is what is known when a user is told a job's status.
+// AnswerFacts is what is known about an answer that states a job's status to a user.
 type AnswerFacts struct {
 	Final         bool // the answer says that the job is done or cancelled
 	Cancelled     bool // the answer says that the job is cancelled
@@ -215,7 +215,7 @@
 }
 
 // Outdated reports whether the answer is older than a stored outcome that differs from it: the user
-// must be told the outcome instead.
+// must receive that outcome instead.
 func (f AnswerFacts) Outdated() bool { return f.OutcomeStored && !f.Agrees }
 
 // Contradicts reports whether the answer violates the invariant: it is final, and states another
