--- a/internal/controller/authority.go
+++ b/internal/controller/authority.go
@@ -3,15 +3,15 @@
 import "frostdock.example/frostdock/internal/units"
 
 // maxStartProofAge is the maximum age of the proof of freshness for starting a task. Agents' leases may
-// be renewed on an older one, so that a short store outage costs no task; but a start can wait, and a
-// task that is cancelled meanwhile must not be started any more.
+// be renewed on an older proof, so that a short store outage ends no task; but a start can wait, and a
+// task that was cancelled after the proof must not be started any more.
 const maxStartProofAge = 3 * units.Second
 
-// authority decides whether this process may act on the contents of its replica. Every component that
-// acts must ask it; there is no second path.
+// authority decides whether this process may act on the contents of its replica. Every component must ask
+// it before it acts; no other component decides this.
 //
-// Acting requires a recent proof of freshness: within the staleness bound of the settings, the replica
-// must be proven to have been complete, leadership and cancellations included. A renewed registration
+// Acting requires a recent proof of freshness: the replica must be proven to have been complete, including
+// leadership and cancellations, at a time within the staleness bound of the settings. A renewed registration
 // proves nothing: after an outage every lease is granted its full time again, and a leader that relied
 // on its renewals alone would start tasks whose cancellation it has not seen.
 type authority struct {
@@ -39,9 +39,9 @@
 	return a.freshness.provenAt > 0 && a.now-a.freshness.provenAt < age
 }
 
-// commandsExpireAt returns the time before which commands decided now must be sent: when the proof of
-// freshness that they are based on becomes too old to decide them. One that is sent later might start a task
-// whose cancellation all other controllers have seen.
+// commandsExpireAt returns the time before which commands decided now must be sent: the time when the proof
+// of freshness that they are based on becomes too old for them. A command that is sent later might start a
+// task whose cancellation all other controllers have seen.
 func (a *authority) commandsExpireAt(withStart bool) units.Micros {
 	if withStart {
 		return a.freshness.provenAt + maxStartProofAge
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -28,17 +28,17 @@
 	failedKeys []string // conflict: keys whose conditions failed, as far as known
 }
 
-// Delays before a request is repeated whose answer did not settle the outcome.
+// Delays before the repeat of a transaction whose answer did not settle the outcome.
 const (
 	unknownOutcomeRetryDelay = 150 * units.Millisecond // the store may have carried it out
 	refusedRetryDelay        = 200 * units.Millisecond // this copy was refused, but an earlier one may have been carried out
 )
 
-// committer commits transactions and tracks which keys they are about to change.
+// committer commits transactions and tracks which keys those in flight change.
 //
 // It guarantees that the caller of commit receives the outcome of its transaction exactly once, and that
-// the changes of an applied one are in the replica by then. While the outcome is unknown it repeats the
-// identical transaction. It never decides to write: it neither builds transactions nor repeats one whose
+// the changes of an applied transaction are in the replica by then. While the outcome is unknown, it repeats
+// the identical transaction. It never decides to write: it neither builds transactions nor repeats one whose
 // outcome is known.
 type committer struct {
 	*environment
@@ -52,7 +52,7 @@
 	keysInFlight map[string]bool // keys of transactions whose outcome is not known yet
 }
 
-// newWriteTag returns a value that no other commit has, so that after an unknown outcome a reader can
+// newWriteTag returns a tag that no other commit has, so that after an unknown outcome a reader can
 // distinguish this commit's writes from all others.
 func (c *committer) newWriteTag() string {
 	c.lastWriteTag++
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -16,7 +16,7 @@
 // formatPeriod is the time between two attempts to raise the format.
 const formatPeriod = units.Second
 
-// dependenciesEnabled reports whether the feature gate is raised: whether all members know job
+// dependenciesEnabled reports whether the format has been raised, which shows that all members know job
 // dependencies and split documents. Until then, nothing may be written that a process of the previous
 // version would drop when it rewrites the document.
 func (r *replica) dependenciesEnabled() bool { return r.format >= schema.FormatDependencies }
@@ -38,8 +38,8 @@
 // raise raises the format once every configured member is registered as knowing it and no process is
 // registered with an earlier one. Each of these registrations is a condition of the transaction, which
 // fails if one of them has expired or been replaced meanwhile. A process of the previous version may
-// still have writes in flight when it is killed: each has the documents that it writes as conditions,
-// and fails if a later write was first.
+// still have writes in flight when it is killed: each of them is conditional on the revisions of the
+// documents that it replaces, and fails if a later write was applied first.
 func (g *formatGate) raise() {
 	if g.replica.dependenciesEnabled() || !g.authority.mayAct() || g.store.failing || !g.budget.hasCredit() || g.commits.isInFlight(schema.LayoutKey) {
 		return
--- a/internal/controller/freshness.go
+++ b/internal/controller/freshness.go
@@ -8,10 +8,10 @@
 
 const (
 	proofPeriod      = units.Second            // time between revision reads when no caller waits for one
-	proofRetryPeriod = 300 * units.Millisecond // the same, while the store fails
+	proofRetryPeriod = 300 * units.Millisecond // the same, while the store is failing
 
-	// failureGrace is how long a failing store may go without an answer before new callers are told
-	// at once that the replica can't be proven current.
+	// failureGrace is how long a failing store may go without an answer before whenCurrent reports to new
+	// callers immediately that the replica can't be proven current.
 	failureGrace = 500 * units.Millisecond
 
 	maxRevisionReads          = 2 // in flight at the same time
@@ -46,7 +46,7 @@
 	done     func(current bool)
 }
 
-// keepProofRecent requests a read of the revision from time to time even if no caller waits for one,
+// keepProofRecent requests a read of the revision periodically, even if no caller waits for one,
 // since the right to act depends on a recent proof.
 func (f *freshness) keepProofRecent() {
 	readInterval := proofPeriod
@@ -106,7 +106,7 @@
 
 // releaseWaiters runs the callbacks whose revision the replica has reached by its watch. All proofs are
 // recorded before the first callback runs. A replica that has just been reloaded proves nothing before
-// it is complete: its pages are of different revisions.
+// it is complete: its pages were read at different revisions.
 func (f *freshness) releaseWaiters() {
 	if !f.replica.complete() {
 		return
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -36,7 +36,7 @@
 // registrationKey returns the key under which the process is registered.
 func (id processID) registrationKey() string { return schema.RegistrationPrefix + string(id) }
 
-// registeredProcesses returns the registered processes, sorted by name.
+// registeredProcesses returns the registered processes, sorted by ID.
 func (r *replica) registeredProcesses() []processID {
 	var processes []processID
 	for key := range r.registeredSince {
@@ -55,9 +55,9 @@
 // membership registers this process as a live controller: a key attached to a lease, which is renewed.
 //
 // When the lease has expired, or when it is unknown whether the registration was stored, other processes
-// may lead the partitions that this process led. It then gives up all leadership and registers as a new
-// incarnation. An abandoned incarnation is never used again: nothing that was written in its name, or is
-// still in flight, counts for the next.
+// may lead the partitions that this process led. This process then gives up all leadership and registers
+// as a new incarnation. An abandoned incarnation is never used again: nothing that was written in its name,
+// even by a request still in flight, counts for the next incarnation.
 type membership struct {
 	*environment
 
@@ -66,7 +66,7 @@
 	partitions *partitionTable
 
 	firstIncarnation      string
-	abandonedIncarnations int // count
+	abandonedIncarnations int // number of incarnations abandoned so far
 	incarnation           string
 	leaseID               uint64
 	registered            bool // the registration was stored, and is not known to have expired
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -7,8 +7,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// teamPartitions lists the partitions that have teams, sorted; the first one if there are no teams.
-// They have most of the work.
+// teamPartitions lists the partitions that have teams, sorted, or only the first partition if there are no
+// teams. These partitions have most of the work.
 type teamPartitions []int
 
 func newTeamPartitions(env *environment) teamPartitions {
@@ -28,7 +28,7 @@
 // ofMachineShard returns the partition of a machine shard that has no document yet.
 func (t teamPartitions) ofMachineShard(shard int) int { return t[shard%len(t)] }
 
-// load returns the relative amount of work of a partition; one without teams has next to none.
+// load returns the relative amount of work of a partition; one without teams has almost no work.
 func (t teamPartitions) load(partition int) int {
 	if slices.Contains(t, partition) {
 		return 100
@@ -47,8 +47,8 @@
 	planning        planningState
 }
 
-// partitionTable holds the partitions that this process leads according to its replica. Whether it may
-// act on that is decided by authority.
+// partitionTable holds the partitions that this process leads according to its replica. authority decides
+// whether the process may act on that.
 type partitionTable struct {
 	replica   *replica
 	led       map[int]*leadership
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -62,8 +62,8 @@
 	return s.failing && s.now-s.answeredAt > duration
 }
 
-// requestInterval returns the time between requests of one kind that may use the given share of this
-// controller's part of the permitted requests.
+// requestInterval returns the time that must pass between requests of one kind, so that they use no more
+// than the given share of this controller's part of the permitted requests.
 func (s *storeClient) requestInterval(share float64) units.Micros {
 	return units.FromSeconds(float64(s.cfg.Settings.Size) / (s.limits.RPS * share))
 }
@@ -81,8 +81,8 @@
 	if done == nil {
 		return
 	}
-	// Before the gate is raised, processes of the previous version may be running. Their writes count
-	// as well, so a 429 says nothing about the limits.
+	// Before the format is raised, processes of the previous version may be running. The store counts
+	// their writes as well, so a 429 says nothing about the limits.
 	if result.Response.Status == kv.StatusThrottled && c.replica.dependenciesEnabled() {
 		c.store.noteThrottled()
 	}
--- a/internal/controller/storelimits.go
+++ b/internal/controller/storelimits.go
@@ -4,11 +4,11 @@
 
 const (
 	valueMarginBytes    = 100 // margin between the longest stored value and the store's limit
-	conditionsPerChange = 4   // conditions that the store permits for each change of a transaction
+	conditionsPerChange = 4   // conditions permitted in a transaction, for each change permitted in it
 )
 
-// storeLimits are the limits of the key-value store that this controller observes. They only ever
-// become tighter.
+// storeLimits are the limits of the key-value store that this controller applies. They only ever become
+// tighter.
 type storeLimits struct {
 	config.KVLimits
 	next         config.KVLimits // limits that will take effect at some later time
@@ -19,8 +19,8 @@
 	return storeLimits{KVLimits: s.KVStore.KVLimits, next: s.NextKVLimits()}
 }
 
-// adoptTighter restricts sizes to the tighter of the present and the next limits, since the change
-// comes without notice. The rates stay until the store is observed to permit lower ones.
+// adoptTighter restricts sizes to the tighter of the present and the next limits, since the next limits
+// take effect without notice. The rates stay until the store is observed to permit lower ones.
 func (l *storeLimits) adoptTighter() {
 	tighter := l.Min(l.next)
 	l.ValueKB, l.TxnOps = tighter.ValueKB, tighter.TxnOps
@@ -41,7 +41,7 @@
 }
 
 // maxValueBytes returns the maximum length of a stored value: within the store's limit, and short enough
-// for one transaction to take at least two.
+// for one transaction to hold at least two of them.
 func (l *storeLimits) maxValueBytes() int { return maxValueBytes(l.ValueKB) }
 
 func maxValueBytes(valueKB float64) int {
--- a/internal/controller/writebudget.go
+++ b/internal/controller/writebudget.go
@@ -9,18 +9,19 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// Shares of the changes per second that the store permits. Not all controllers are busy at once, so the
-// shares add up to a little more than the whole; the 429 of the store corrects what is too much.
+// Shares of the changes per second that the store permits. Not all controllers are busy at the same time,
+// so the shares add up to a little more than the whole; if the controllers exceed the permitted rate, the
+// store answers 429 and noteThrottled removes the credit.
 const (
 	baseWriteShare    = 0.2  // guaranteed to each controller, for accepts and cancellations
 	leadersWriteShare = 0.88 // divided among the leaders of partitions with teams
-	targetWriteUse    = 0.92 // that all controllers together aim to use
+	targetWriteUse    = 0.92 // used by all controllers together, as a target
 )
 
-// minSavedChanges is the lower bound of maxCredit, in changes, unless the store permits fewer changes a
+// minCreditCap is the lower bound of maxCredit, in changes, unless the store permits fewer changes a
 // second. A job's outcome takes several changes in one transaction: with a lower cap on a slow store, no
 // job would ever finish.
-const minSavedChanges = 8
+const minCreditCap = 8
 
 // changeRateWeight is the weight of the last second in the moving average of changes.
 const changeRateWeight = 0.4
@@ -32,7 +33,7 @@
 
 // writeBudget is this controller's share of the changes that the store permits: credit that grows with
 // time and is reduced by each change. It also counts the changes. It refuses nothing itself: a component
-// that writes checks it first.
+// must check the credit before it writes.
 type writeBudget struct {
 	*environment
 
@@ -56,7 +57,7 @@
 func (b *writeBudget) refill() {
 	rate := b.rate()
 	b.credit += rate * (b.now - b.refilledAt).Seconds()
-	b.maxCredit = max(rate, min(b.store.limits.WriteRPS, minSavedChanges))
+	b.maxCredit = max(rate, min(b.store.limits.WriteRPS, minCreditCap))
 	b.credit = min(b.credit, b.maxCredit)
 	b.refilledAt = b.now
 }
@@ -81,8 +82,8 @@
 }
 
 // unusedRate returns how many of the permitted changes per second the other controllers have left unused
-// in the last seconds; 0 while that is not known of each of them. One that needs more takes its own
-// share at once.
+// in the last seconds; 0 while the rate of any of them is unknown. A controller that needs more than it
+// has used can use its own share immediately.
 func (b *writeBudget) unusedRate() float64 {
 	if !b.replica.dependenciesEnabled() {
 		return 0
