--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -9,8 +9,8 @@
 )
 
 // Controller is the state of one controller process. Each duty keeps its state in a type of its own;
-// the controller passes messages to the duties and runs them in a fixed order. All of it belongs to
-// the one goroutine that calls Step.
+// the controller passes messages to the duties and runs them in a fixed order. Only the one goroutine
+// that calls Step may access it.
 type Controller struct {
 	*environment
 
--- a/internal/controller/duties.go
+++ b/internal/controller/duties.go
@@ -2,7 +2,7 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// period determines when a periodic action is due again. The zero value is due at once.
+// period determines when a periodic action is due again. With the zero value, the action is due immediately.
 type period struct {
 	lastAt units.Micros
 	begun  bool
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -11,7 +11,7 @@
 )
 
 // environment is the state that all duties of a controller share: its configuration, the clocks of the
-// present step, the effects that the step has so far, and timers.
+// present step, the effects that the step has emitted so far, and timers.
 type environment struct {
 	cfg    *config.Config
 	policy *policy.Policy
@@ -40,8 +40,8 @@
 	e.timers = append(e.timers, timer{e.now + delay, run})
 }
 
-// runTimers runs the timers that are due, in the order in which they were set, including those that
-// are set meanwhile.
+// runTimers runs the timers that are due, in the order in which they were set, including those that the
+// timers set.
 func (e *environment) runTimers() {
 	for {
 		i := slices.IndexFunc(e.timers, func(t timer) bool { return t.dueAt <= e.now })
@@ -65,7 +65,7 @@
 	e.emit(Reply{RequestID: requestID, Status: status, Body: body})
 }
 
-// team returns the team of that name in the settings, or nil if there is none.
+// team returns the team with the given name in the settings, or nil if there is none.
 func (e *environment) team(name string) *config.Team {
 	for i := range e.cfg.Settings.Teams {
 		if e.cfg.Settings.Teams[i].Name == name {
@@ -85,7 +85,7 @@
 	return 0
 }
 
-// decode reads a stored document and reports whether it could; an unreadable one is logged.
+// decode decodes a stored document and reports whether it succeeded; an unreadable document is logged.
 func (e *environment) decode(key string, value json.RawMessage, into any) bool {
 	if err := json.Unmarshal(value, into); err != nil {
 		e.log.Error("unreadable document", "key", key, "err", err)
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -129,8 +129,8 @@
 	CallID   uint64
 	Address  string
 	Commands *agent.CommandRequest
-	// LeaveBefore is the time, by the monotonic clock of Step, from which the commands must not be sent
-	// any more: the proof of freshness they were decided on is then too old. 0: no such time.
+	// LeaveBefore is the time, by the monotonic clock of Step, before which the commands must be sent: from
+	// then on, the proof of freshness that they are based on is too old. 0: there is no limit.
 	LeaveBefore units.Micros
 }
 
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,8 +5,8 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// peerTable keeps the latest heartbeat of each other controller. A heartbeat is evidence of a state a
-// moment ago, never permission to act: only the key-value store grants that.
+// peerTable keeps the latest heartbeat of each other controller. A heartbeat is evidence of its sender's
+// recent state, never permission to act: only the key-value store grants that.
 type peerTable struct {
 	*environment
 	latest map[string]peerState // by member
--- a/internal/controller/shard_transfers.go
+++ b/internal/controller/shard_transfers.go
@@ -4,8 +4,9 @@
 
 const (
 	// shardTransferCooldown is how long a machine shard stays in the partition that it was transferred
-	// to. Two leaders may each conclude that the other lacks machines, since only the leader knows which
-	// of its jobs back off; they must not transfer the same machine shards back and forth without end.
+	// to. Two leaders may each conclude that the other lacks machines, since only the leader of a job's
+	// partition knows whether the job backs off; without a cooldown, they could transfer the same machine
+	// shards back and forth endlessly.
 	shardTransferCooldown = 30 * units.Second
 
 	// maxShardsPerTransfer bounds how many machine shards are transferred together: their machines take
--- a/internal/controller/wiring.go
+++ b/internal/controller/wiring.go
@@ -2,8 +2,8 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// This file builds the components and connects them. New calls its functions from top to bottom: each
-// uses only components that the ones before it have built.
+// This file builds the components and connects them. New calls the functions in the order of this file:
+// each uses only components that the functions before it have built.
 
 // wireReplication connects the components that maintain the replica.
 func (c *Controller) wireReplication() {
