--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -116,12 +116,12 @@
 
 // Settings holds the settings of the deployment.
 type Settings struct {
-	Size       int         `toml:"size"`
-	Zones      []string    `toml:"zones"`
-	ClockOffMs float64     `toml:"clock_off_ms"`
-	Teams      []Team      `toml:"teams"`
-	Objectives []Objective `toml:"objectives"`
-	Workers    struct {
+	ControllerCount int         `toml:"size"`
+	Zones           []string    `toml:"zones"`
+	ClockOffMs      float64     `toml:"clock_off_ms"`
+	Teams           []Team      `toml:"teams"`
+	Objectives      []Objective `toml:"objectives"`
+	Workers         struct {
 		HeartbeatS float64 `toml:"report_s"`
 		LeaseS     float64 `toml:"lease_s"`
 		CancelS    float64 `toml:"cancel_s"`
@@ -188,7 +188,7 @@
 }
 
 func (s *Settings) validate(v *validator) {
-	v.require(s.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.Size))
+	v.require(s.ControllerCount >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.ControllerCount))
 	s.validateTeams(v)
 	s.validateWorkers(v)
 	s.KVStore.validate("settings.state", v)
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -74,7 +74,7 @@
 	g.calls[id] = pending
 	call := AgentCall{CallID: id, Address: address, Commands: commands}
 	if commands != nil {
-		call.LeaveBefore = g.authority.commandsExpireAt(hasStart(commands.Commands))
+		call.SendDeadline = g.authority.commandsExpireAt(hasStart(commands.Commands))
 	}
 	g.emit(call)
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -129,9 +129,9 @@
 	CallID   uint64
 	Address  string
 	Commands *agent.CommandRequest
-	// LeaveBefore is the time, by the monotonic clock of Step, from which the commands must not be sent
+	// SendDeadline is the time, by the monotonic clock of Step, from which the commands must not be sent
 	// any more: the proof of freshness they were decided on is then too old. 0: no such time.
-	LeaveBefore units.Micros
+	SendDeadline units.Micros
 }
 
 // BroadcastHeartbeat sends this controller's heartbeat to every other controller.
--- a/internal/controller/push_test.go
+++ b/internal/controller/push_test.go
@@ -163,10 +163,10 @@
 func TestCommandsLeaveWhileEntitled(t *testing.T) {
 	p := newPushCase(t)
 	starts := directCommands(p.enterTask(schema.KeepRunning), agent.Start)
-	if len(starts) != 1 || starts[0].LeaveBefore != p.c.freshness.provenAt+maxStartProofAge {
+	if len(starts) != 1 || starts[0].SendDeadline != p.c.freshness.provenAt+maxStartProofAge {
 		t.Errorf("starts %+v, proven at %v", starts, p.c.freshness.provenAt)
 	}
-	if remaining := starts[0].LeaveBefore - p.c.now; remaining <= 0 || remaining > maxStartProofAge {
+	if remaining := starts[0].SendDeadline - p.c.now; remaining <= 0 || remaining > maxStartProofAge {
 		t.Errorf("a start may be sent for another %v", remaining)
 	}
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -90,7 +90,7 @@
 			t.Errorf("%s: basis %q, want %q", name, got, tc.basis)
 		}
 		if got := tc.facts.Outdated(); got != tc.outdated {
-			t.Errorf("%s: overtaken %v", name, got)
+			t.Errorf("%s: outdated %v", name, got)
 		}
 		if got := tc.facts.Contradicts(); got != tc.contradicts {
 			t.Errorf("%s: contradicts %v", name, got)
--- a/internal/server/outbound_agent.go
+++ b/internal/server/outbound_agent.go
@@ -100,8 +100,8 @@
 		wait = maxCommandWait
 	}
 	latest := c.now() + wait
-	if call.LeaveBefore > 0 {
-		latest = min(latest, call.LeaveBefore)
+	if call.SendDeadline > 0 {
+		latest = min(latest, call.SendDeadline)
 	}
 	return latest
 }
--- a/internal/server/outbound_agent_test.go
+++ b/internal/server/outbound_agent_test.go
@@ -176,11 +176,11 @@
 func TestCommandOfLapsedRight(t *testing.T) {
 	s := newServer(newConfig(64))
 	answering, received := startAnsweringAgent(t)
-	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand(), LeaveBefore: s.now() - 1})
+	s.execute(controller.AgentCall{CallID: 1, Address: answering, Commands: startCommand(), SendDeadline: s.now() - 1})
 	if result := awaitResults(t, s, 1)[1]; !result.NotSent || received.Load() != 0 {
 		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
-	s.execute(controller.AgentCall{CallID: 2, Address: answering, Commands: startCommand(), LeaveBefore: s.now() + units.Second})
+	s.execute(controller.AgentCall{CallID: 2, Address: answering, Commands: startCommand(), SendDeadline: s.now() + units.Second})
 	if result := awaitResults(t, s, 1)[2]; result.NotSent || received.Load() != 1 {
 		t.Errorf("result %+v, agent received %d requests", result, received.Load())
 	}
--- a/internal/simulator/agent_calls.go
+++ b/internal/simulator/agent_calls.go
@@ -41,9 +41,9 @@
 
 // call makes a call as soon as a slot is free; done is called once, also if the call is not sent.
 func (c *agentCalls) call(caller string, request controller.AgentCall, done func(controller.AgentResult)) {
-	leaveBefore := c.world.now + c.maxWait
-	if request.LeaveBefore > 0 {
-		leaveBefore = min(leaveBefore, request.LeaveBefore)
+	sendDeadline := c.world.now + c.maxWait
+	if request.SendDeadline > 0 {
+		sendDeadline = min(sendDeadline, request.SendDeadline)
 	}
 	notSent := func(waited units.Micros) {
 		done(controller.AgentResult{CallID: request.CallID, NotSent: true, Waited: waited})
@@ -58,22 +58,22 @@
 		})
 	}
 	switch {
-	case c.world.now >= leaveBefore:
+	case c.world.now >= sendDeadline:
 		notSent(0)
 	case c.inFlight < c.slots:
 		begin(0)
 	default:
-		c.wait(&waitingCall{c.world.now, begin}, leaveBefore, notSent)
+		c.wait(&waitingCall{c.world.now, begin}, sendDeadline, notSent)
 	}
 }
 
 // drop discards the waiting calls, since the process has ended.
 func (c *agentCalls) drop() { c.waiting = nil }
 
-// wait queues a call for a free slot until leaveBefore; then the call is reported as not sent.
-func (c *agentCalls) wait(call *waitingCall, leaveBefore units.Micros, notSent func(waited units.Micros)) {
+// wait queues a call for a free slot until sendDeadline; then the call is reported as not sent.
+func (c *agentCalls) wait(call *waitingCall, sendDeadline units.Micros, notSent func(waited units.Micros)) {
 	c.waiting = append(c.waiting, call)
-	c.world.at(leaveBefore, func() {
+	c.world.at(sendDeadline, func() {
 		if i := slices.Index(c.waiting, call); i >= 0 {
 			c.waiting = slices.Delete(c.waiting, i, i+1)
 			notSent(c.world.now - call.queuedAt)
--- a/internal/simulator/agent_tasks.go
+++ b/internal/simulator/agent_tasks.go
@@ -112,7 +112,7 @@
 	switch {
 	case a.world.checker.isCompleted(t.jobID, t.number):
 		t.endsAt = now // the result of the first run is kept: this one ends at once
-	case a.failsTasks || job.failing:
+	case a.failsTasks || job.failsEverywhere:
 		t.endsAt = now + failAfter
 	default:
 		t.endsAt = now + units.FromSeconds(job.runSeconds*a.slowdown)
@@ -127,7 +127,7 @@
 	switch {
 	case now >= t.endsAt && !job.spec.Service:
 		cause := agent.CauseDone
-		if (a.failsTasks || job.failing) && !a.world.checker.isCompleted(t.jobID, t.number) {
+		if (a.failsTasks || job.failsEverywhere) && !a.world.checker.isCompleted(t.jobID, t.number) {
 			cause = agent.CauseError
 		}
 		a.endTask(t, cause)
--- a/internal/simulator/expectations.go
+++ b/internal/simulator/expectations.go
@@ -59,7 +59,7 @@
 
 func (allJobsOver) check(w *World) (string, error) {
 	for _, job := range w.users.sortedJobs() {
-		if job.rejectedStatus == 0 && !job.spec.Service && !job.failing && !job.over() {
+		if job.rejectedStatus == 0 && !job.spec.Service && !job.failsEverywhere && !job.over() {
 			return fmt.Sprintf("%s is %q", job.spec.ID, job.stage), nil
 		}
 	}
@@ -139,7 +139,7 @@
 type registeredMachines struct{ countRange }
 
 func (e registeredMachines) check(w *World) (string, error) {
-	registered := strings.Count(w.store.textUnder(schema.MachineShardPrefix), `"a":"`)
+	registered := strings.Count(w.store.decompressedValues(schema.MachineShardPrefix), `"a":"`)
 	if !e.contains(registered) {
 		return fmt.Sprintf("%d machines are registered", registered), nil
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -97,10 +97,10 @@
 }
 
 // delayAnswers delays answers to worker heartbeats; direct commands are not delayed.
-type delayAnswers struct{ most, duration units.Micros }
+type delayAnswers struct{ maxDelay, duration units.Micros }
 
 func (f delayAnswers) apply(w *World) error {
-	w.delayAnswers(f.most, f.duration)
+	w.delayAnswers(f.maxDelay, f.duration)
 	return nil
 }
 
@@ -153,10 +153,10 @@
 	return nil
 }
 
-// mixChanges makes watches return only the newest change of each key, in random order.
-type mixChanges struct{ duration units.Micros }
+// coalesceWatchEvents makes watches return only the newest change of each key, in random order.
+type coalesceWatchEvents struct{ duration units.Micros }
 
-func (f mixChanges) apply(w *World) error {
+func (f coalesceWatchEvents) apply(w *World) error {
 	w.store.coalesceChanges(f.duration)
 	return nil
 }
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -14,15 +14,15 @@
 	applyTo(w *World, worker *fakeAgent)
 }
 
-// faultyMachines applies a fault to some machines.
-type faultyMachines struct {
+// injectMachineFault applies a fault to some machines.
+type injectMachineFault struct {
 	name   string // of one machine, or busiestMachine
 	random bool   // apply the fault to random machines instead
 	count  int    // number of random machines
 	fault  machineFault
 }
 
-func (f faultyMachines) apply(w *World) error {
+func (f injectMachineFault) apply(w *World) error {
 	if f.random {
 		for _, worker := range w.randomWorkers(f.count) {
 			f.fault.applyTo(w, worker)
--- a/internal/simulator/parser_steps.go
+++ b/internal/simulator/parser_steps.go
@@ -53,7 +53,7 @@
 		return slowStore{args.duration("by", 0.5), duration}
 	}),
 	"blind":         faultStep(func(args *arguments, duration units.Micros) step { return loseWatches{args.word(0), duration} }),
-	"mixed_changes": faultStep(func(_ *arguments, duration units.Micros) step { return mixChanges{duration} }),
+	"mixed_changes": faultStep(func(_ *arguments, duration units.Micros) step { return coalesceWatchEvents{duration} }),
 	"cloud_outage":  faultStep(func(_ *arguments, duration units.Micros) step { return cloudOutage{duration} }),
 
 	"cancel_at_end": faultStep(func(args *arguments, duration units.Micros) step {
@@ -109,7 +109,7 @@
 }
 
 func parseDelayedAnswers(args *arguments, duration units.Micros) step {
-	return delayAnswers{most: args.duration("by", 3), duration: duration}
+	return delayAnswers{maxDelay: args.duration("by", 3), duration: duration}
 }
 
 func parseDuplicateHeartbeats(args *arguments, duration units.Micros) step {
@@ -125,7 +125,7 @@
 func machineFaultParser(parse func(args *arguments, duration units.Micros) machineFault) func(*arguments, units.Micros) step {
 	return func(args *arguments, duration units.Micros) step {
 		name := args.word(0)
-		return faultyMachines{name: name, random: name == "any", count: args.count("n", 1), fault: parse(args, duration)}
+		return injectMachineFault{name: name, random: name == "any", count: args.count("n", 1), fault: parse(args, duration)}
 	}
 }
 
@@ -136,11 +136,11 @@
 		return nil, fmt.Errorf("bad id %q", first)
 	}
 	return submitJobs{
-		firstNumber:  number,
-		count:        args.count("count", 1),
-		spec:         parseJob(args),
-		failing:      args.flag("broken"),
-		ignoresNeeds: args.flag("atonce"),
+		firstNumber:         number,
+		count:               args.count("count", 1),
+		spec:                parseJob(args),
+		failsEverywhere:     args.flag("broken"),
+		ignoresDependencies: args.flag("atonce"),
 	}, nil
 }
 
--- a/internal/simulator/parser_test.go
+++ b/internal/simulator/parser_test.go
@@ -39,11 +39,11 @@
 	for line, want := range map[string]units.Micros{
 		"at 5 submit j-1":                0,
 		"at 5 limits":                    0,
-		"at 5 outage":                    startOfTime + 35*units.Second,
-		"at 5 outage for=2":              startOfTime + 7*units.Second,
-		"at 5 roll for=2":                startOfTime + 67*units.Second,
-		"at 5 upgrade every=10 for=2":    startOfTime + 37*units.Second,
-		"at 5 outage\nat 1 outage for=1": startOfTime + 35*units.Second,
+		"at 5 outage":                    startTime + 35*units.Second,
+		"at 5 outage for=2":              startTime + 7*units.Second,
+		"at 5 roll for=2":                startTime + 67*units.Second,
+		"at 5 upgrade every=10 for=2":    startTime + 37*units.Second,
+		"at 5 outage\nat 1 outage for=1": startTime + 35*units.Second,
 	} {
 		s, err := Parse(strings.NewReader(line))
 		if err != nil {
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -89,7 +89,7 @@
 
 // controllerSettings returns the settings of all controllers.
 func (o *worldOptions) controllerSettings() config.Settings {
-	settings := config.Settings{Size: o.controllers, Teams: o.teams, Zones: []string{"a", "b"}}
+	settings := config.Settings{ControllerCount: o.controllers, Teams: o.teams, Zones: []string{"a", "b"}}
 	settings.Workers.HeartbeatS = o.heartbeatSeconds
 	settings.Workers.LeaseS = o.leaseSeconds
 	settings.Workers.CancelS = o.cancelSeconds
@@ -121,7 +121,7 @@
 			failure = err
 		}
 	})
-	w.run(startOfTime + s.options.duration)
+	w.run(startTime + s.options.duration)
 	problems, err := s.collectProblems(w)
 	return problems, errors.Join(failure, err)
 }
@@ -130,13 +130,13 @@
 // applied.
 func (s *Scenario) schedule(w *World, failed func(error)) {
 	for _, planned := range s.steps {
-		w.at(startOfTime+planned.at, func() {
+		w.at(startTime+planned.at, func() {
 			if err := planned.step.apply(w); err != nil {
 				failed(fmt.Errorf("at %v %s: %w", planned.at.Seconds(), planned.word, err))
 			}
 		})
 		if planned.isFault {
-			w.checker.expectFaultsUntil(startOfTime + planned.at + planned.faultDuration(s.options.controllers))
+			w.checker.expectFaultsUntil(startTime + planned.at + planned.faultDuration(s.options.controllers))
 		}
 	}
 	w.every(deadlineCheckPeriod, w.checker.checkDeadlines)
--- a/internal/simulator/scenario_test.go
+++ b/internal/simulator/scenario_test.go
@@ -46,8 +46,8 @@
 	return problems
 }
 
-// TestSameAgain checks that a run depends only on its scenario and seed.
-func TestSameAgain(t *testing.T) {
+// TestRunIsDeterministic checks that a run depends only on its scenario and seed.
+func TestRunIsDeterministic(t *testing.T) {
 	var first, second bytes.Buffer
 	runScenario(t, "testdata/storm.txt", &first)
 	runScenario(t, "testdata/storm.txt", &second)
--- a/internal/simulator/steps.go
+++ b/internal/simulator/steps.go
@@ -24,10 +24,10 @@
 
 // submitJobs makes users submit jobs that differ only in their ids.
 type submitJobs struct {
-	firstNumber, count int
-	spec               schema.Job
-	failing            bool // their program has a bug: their tasks fail on every machine
-	ignoresNeeds       bool // they are submitted at once, before their dependencies are known to be accepted
+	firstNumber, count  int
+	spec                schema.Job
+	failsEverywhere     bool // their program has a bug: their tasks fail on every machine
+	ignoresDependencies bool // they are submitted at once, before their dependencies are known to be accepted
 }
 
 func (s submitJobs) apply(w *World) error {
@@ -35,7 +35,7 @@
 		spec := s.spec
 		spec.ID = fmt.Sprintf("j-%06d", s.firstNumber+i)
 		spec.Types, spec.Needs = slices.Clone(spec.Types), slices.Clone(spec.Needs)
-		w.users.submit(&userJob{spec: spec, runSeconds: spec.EstimatedSeconds, failing: s.failing, ignoresNeeds: s.ignoresNeeds})
+		w.users.submit(&userJob{spec: spec, runSeconds: spec.EstimatedSeconds, failsEverywhere: s.failsEverywhere, ignoresDependencies: s.ignoresDependencies})
 	}
 	return nil
 }
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -145,8 +145,8 @@
 // sortedKeys returns all keys in order.
 func (s *fakeStore) sortedKeys() []string { return slices.Sorted(maps.Keys(s.keys)) }
 
-// textUnder returns all values under a prefix, decompressed and concatenated.
-func (s *fakeStore) textUnder(prefix string) string {
+// decompressedValues returns all values under a prefix, decompressed and concatenated.
+func (s *fakeStore) decompressedValues(prefix string) string {
 	var text strings.Builder
 	for _, key := range s.sortedKeys() {
 		if strings.HasPrefix(key, prefix) {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -41,16 +41,16 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec            schema.Job
-	runSeconds      float64
-	failing         bool // its program has a bug: its tasks fail on every machine
-	ignoresNeeds    bool // it is submitted before its dependencies are known to be accepted
-	rejectReason    rejectReason
-	submittedAt     units.Micros // when it was last submitted
-	acceptedAt      units.Micros
-	rejectedStatus  int // HTTP status of its permanent rejection; 0: not rejected
-	cancelRequested bool
-	stage           string // the last one reported to its user
+	spec                schema.Job
+	runSeconds          float64
+	failsEverywhere     bool // its program has a bug: its tasks fail on every machine
+	ignoresDependencies bool // it is submitted before its dependencies are known to be accepted
+	rejectReason        rejectReason
+	submittedAt         units.Micros // when it was last submitted
+	acceptedAt          units.Micros
+	rejectedStatus      int // HTTP status of its permanent rejection; 0: not rejected
+	cancelRequested     bool
+	stage               string // the last one reported to its user
 }
 
 // over reports whether the job's user was told that the job is done or cancelled.
@@ -163,7 +163,7 @@
 // trySubmit submits a job and retries until submissionRetryWindow after its first submission.
 func (u *fakeUsers) trySubmit(job *userJob, firstAttemptAt units.Micros) {
 	w := u.world
-	if !job.ignoresNeeds && !u.allAccepted(job.spec.Needs) {
+	if !job.ignoresDependencies && !u.allAccepted(job.spec.Needs) {
 		w.after(dependencyDelay, func() { u.trySubmit(job, firstAttemptAt) })
 		return
 	}
--- a/internal/simulator/waiting_check.go
+++ b/internal/simulator/waiting_check.go
@@ -58,7 +58,7 @@
 // cancelled, its tasks don't fail everywhere, its dependencies are done, and its team's quota allows one
 // more task.
 func (w *World) mayStart(job *userJob) bool {
-	if job.acceptedAt == 0 || job.cancelRequested || job.failing || job.rejectedStatus > 0 {
+	if job.acceptedAt == 0 || job.cancelRequested || job.failsEverywhere || job.rejectedStatus > 0 {
 		return false
 	}
 	history := w.checker.jobs[job.spec.ID]
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	startOfTime = units.Second // when a run begins; later than zero, which means "never" in many places
-	rngStream   = 42           // second half of the generator's seed; the first is the scenario's
+	startTime = units.Second // when a run begins; later than zero, which means "never" in many places
+	rngStream = 42           // second half of the generator's seed; the first is the scenario's
 )
 
 // World is the simulated region: its clock, its random number generator and everything in it.
@@ -37,7 +37,7 @@
 // newWorld returns a region without machines and controllers.
 func newWorld(options *worldOptions, log io.Writer, trace *Trace) *World {
 	w := &World{
-		now:      startOfTime,
+		now:      startTime,
 		rng:      rand.New(rand.NewPCG(options.seed, rngStream)),
 		log:      log,
 		trace:    trace,
