--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -129,9 +129,9 @@
 	CallID   uint64
 	Address  string
 	Commands *agent.CommandRequest
-	// LeaveBefore is the time, by the monotonic clock of Step, before which the commands must be sent: from
+	// SendDeadline is the time, by the monotonic clock of Step, before which the commands must be sent: from
 	// then on, the proof of freshness that they are based on is too old. 0: there is no limit.
-	LeaveBefore units.Micros
+	SendDeadline units.Micros
 }
 
 // BroadcastHeartbeat sends this controller's heartbeat to every other controller.
