--- a/docs/pages_test.go
+++ b/docs/pages_test.go
@@ -1,4 +1,4 @@
-// Package docs has the documentation, and tests that compare it with the code.
+// Package docs holds the documentation, and tests that compare it with the code.
 package docs
 
 import (
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// repositoryRoot is where the sources and pages are, from the directory of this test.
+// repositoryRoot is the path to the sources and pages from the directory of this test.
 const repositoryRoot = ".."
 
-// pages are checked: each names code, and is to name what is there.
+// pages are the checked pages: the names of code in them must exist in the sources.
 var pages = []string{
 	"README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/design.md", "docs/glossary.md",
 }
 
-// TestNamesInPages looks up every name of code that the pages give.
+// TestNamesInPages looks up every name of code in the pages.
 func TestNamesInPages(t *testing.T) {
 	sources := readSources(t, repositoryRoot)
 	for _, page := range pages {
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestArchitectureNamesCode guards against a change of form by which the check above would look up
-// next to nothing.
+// TestArchitectureNamesCode fails if the form of the page changes so that TestNamesInPages recognises
+// hardly any names in it.
 func TestArchitectureNamesCode(t *testing.T) {
 	text, err := os.ReadFile("architecture.md")
 	if err != nil {
@@ -48,19 +48,19 @@
 	}
 	for form, minimum := range map[form]int{pathForm: 15, qualifiedForm: 60} {
 		if counts[form] < minimum {
-			t.Errorf("%d names of form %v, want at least %d", counts[form], form, minimum)
+			t.Errorf("found %d names of the form %v, want at least %d", counts[form], form, minimum)
 		}
 	}
 }
 
-// testPrograms are packages that no other imports, and that may import any.
+// testPrograms are packages that no other package imports, and that may import any.
 var testPrograms = []string{"simulator", "soak"}
 
-// unitsPackage may be imported by all others.
+// unitsPackage may be imported by all packages.
 const unitsPackage = "units"
 
-// TestImports compares the table of packages with what the packages import. Each may import only
-// packages of later rows.
+// TestImports compares the imports in the table of packages with those in the sources. A package may
+// import only packages of later rows.
 func TestImports(t *testing.T) {
 	text, err := os.ReadFile("architecture.md")
 	if err != nil {
@@ -68,12 +68,12 @@
 	}
 	sources := readSources(t, repositoryRoot)
 	rows := findPackageRows(string(text))
-	listed := map[string]bool{"frostdock": true, unitsPackage: true} // the command line is not in the table
+	listed := map[string]bool{"frostdock": true, unitsPackage: true} // cmd/frostdock is not in the table
 	for i := len(rows) - 1; i >= 0; i-- {
 		row := rows[i]
 		d := sources.packages[row.name]
 		if d == nil {
-			t.Errorf("package %s is not in the sources", row.name)
+			t.Errorf("package %s of the table is not in the sources", row.name)
 			continue
 		}
 		imports := slices.DeleteFunc(slices.Sorted(maps.Keys(d.imports)), func(name string) bool { return name == unitsPackage })
@@ -82,7 +82,7 @@
 		}
 		for _, name := range imports {
 			if !listed[name] {
-				t.Errorf("package %s imports %s, which no later row has", row.name, name)
+				t.Errorf("package %s imports %s, which is in no later row of the table", row.name, name)
 			}
 		}
 		listed[row.name] = true
@@ -94,13 +94,13 @@
 	}
 }
 
-// packageRow is what the table of packages says of one package.
+// packageRow is a package's row in the table of packages.
 type packageRow struct {
 	name    string
 	imports []string
 }
 
-// findPackageRows reads the table of packages: paths, duty, state, imports.
+// findPackageRows parses the table of packages, whose columns are paths, duty, state and imports.
 func findPackageRows(text string) []packageRow {
 	const columns = 4
 	var rows []packageRow
@@ -120,11 +120,11 @@
 	return rows
 }
 
-// noImports is how the table says that a package imports no other.
+// noImports stands in the table for a package that imports no other.
 const noImports = "none"
 
-// TestLogLines looks up the lines and attributes that the table of log lines in operations.md begins its
-// rows with.
+// TestLogLines looks up the log messages and attributes in the first column of the table of log lines in
+// operations.md.
 func TestLogLines(t *testing.T) {
 	const minimumRows = 20
 	text, err := os.ReadFile("operations.md")
@@ -143,17 +143,17 @@
 		cell, _, _ := strings.Cut(strings.TrimPrefix(line, "| "), " | ")
 		for _, span := range codeSpansIn(cell) {
 			if !literals[span] {
-				t.Errorf("no log line %q in the sources", span)
+				t.Errorf("log line %q is not in the sources", span)
 			}
 		}
 	}
 	if rows < minimumRows {
-		t.Errorf("%d rows of log lines, want at least %d", rows, minimumRows)
+		t.Errorf("found %d rows of log lines, want at least %d", rows, minimumRows)
 	}
 }
 
-// TestWireWords compares the words of the wire in the glossary with the tags of the fields that they are
-// mapped at: each field has one of its row's words, and each word is that of one of the fields.
+// TestWireWords compares the words of the wire in the glossary with the tags of the fields in the same row:
+// the tag of each field must be one of the row's words, and each word must be the tag of one of the fields.
 func TestWireWords(t *testing.T) {
 	const minimumRows = 40
 	text, err := os.ReadFile("glossary.md")
@@ -174,21 +174,21 @@
 		for _, field := range codeSpansIn(cells[2]) {
 			used[tags[field]] = true
 			if !slices.Contains(words, tags[field]) {
-				t.Errorf("%s is %q on the wire, the glossary says %q", field, tags[field], words)
+				t.Errorf("%s is %q on the wire, but the glossary says %q", field, tags[field], words)
 			}
 		}
 		for _, word := range words {
 			if !used[word] {
-				t.Errorf("no field of its row is %q on the wire", word)
+				t.Errorf("the glossary lists the word %q, but no field of its row has it on the wire", word)
 			}
 		}
 	}
 	if rows < minimumRows {
-		t.Errorf("%d rows, want at least %d", rows, minimumRows)
+		t.Errorf("found %d rows of wire words, want at least %d", rows, minimumRows)
 	}
 }
 
-// codeSpansIn lists what stands between backticks.
+// codeSpansIn returns the texts between backticks.
 func codeSpansIn(text string) []string {
 	var spans []string
 	for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
@@ -197,7 +197,7 @@
 	return spans
 }
 
-// TestWrongNames has a small tree of sources, and pages with names that are there and that are not.
+// TestWrongNames checks pages against a small source tree: names that exist in it, and names that do not.
 func TestWrongNames(t *testing.T) {
 	root := t.TempDir()
 	writeFile(t, filepath.Join(root, "internal", "store", "store.go"), `package store
--- a/docs/references_test.go
+++ b/docs/references_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// form is how a page writes a name of code.
+// form is the syntactic form of a name of code in a page.
 type form string
 
 const (
@@ -29,7 +29,7 @@
 	wordPattern      = regexp.MustCompile(`^[a-z]+[A-Z][A-Za-z0-9]*$|^Test[A-Z][A-Za-z0-9]*$`)
 )
 
-// findReferences lists the names of code among the code spans of a page, fenced blocks left out.
+// findReferences returns the names of code among the code spans of a page, except in fenced blocks.
 func findReferences(text string) []reference {
 	var references []reference
 	fenced := false
@@ -50,7 +50,7 @@
 	return references
 }
 
-// formOf tells how a code span names code, if it does.
+// formOf returns the form of the name in a code span, and whether it is a name of code.
 func formOf(name string) (form, bool) {
 	switch {
 	case pathPattern.MatchString(name):
--- a/docs/sources_test.go
+++ b/docs/sources_test.go
@@ -16,24 +16,24 @@
 	"testing"
 )
 
-// sources is what the Go files below a root declare, tests included.
+// sources holds the declarations in the Go files below a root, tests included.
 type sources struct {
 	root     string
-	packages map[string]*declarations // by the name of the directory
+	packages map[string]*declarations // by directory name
 	words    map[string]bool          // all declared names, and all names in JSON tags
-	tags     map[string]string        // names in JSON or TOML of the fields package.Type.Field; without a tag, the field's own
-	literals map[string]bool          // texts of string literals, but for those of tests
+	tags     map[string]string        // JSON or TOML names, by field as package.Type.Field; without a tag, the field's own name
+	literals map[string]bool          // string literals, except in tests
 }
 
-// declarations are the names of one package, and the packages below internal that it imports.
+// declarations holds the names of one package, and the packages below internal that it imports.
 type declarations struct {
 	name    string
-	names   map[string]bool            // of the package's scope
+	names   map[string]bool            // in the package's scope
 	members map[string]map[string]bool // fields and methods, by type
-	imports map[string]bool            // but for those of tests
+	imports map[string]bool            // except in tests
 }
 
-// readSources parses what is below internal and cmd.
+// readSources parses the Go files below internal and cmd.
 func readSources(t *testing.T, root string) *sources {
 	t.Helper()
 	s := &sources{root: root, packages: map[string]*declarations{}, words: map[string]bool{}, tags: map[string]string{}, literals: map[string]bool{}}
@@ -62,7 +62,7 @@
 	return s
 }
 
-// declarationsOf finds the names of a package, or begins to gather them.
+// declarationsOf returns the declarations of a package. It creates them if the package is new.
 func (s *sources) declarationsOf(pkg string) *declarations {
 	d := s.packages[pkg]
 	if d == nil {
@@ -151,7 +151,7 @@
 	}
 }
 
-// wireNameOf is what a field's tag calls it in JSON or TOML; empty if it has no such tag.
+// wireNameOf returns a field's JSON or TOML name from its tag; empty if it has no such tag.
 func wireNameOf(field *ast.Field) string {
 	if field.Tag == nil {
 		return ""
@@ -178,7 +178,7 @@
 	s.words[name.Name] = true
 }
 
-// problems lists the names of code in a page that the sources do not have, each after its line.
+// problems returns the names of code in a page that are not in the sources, each with its line number.
 func (s *sources) problems(text string) []string {
 	var found []string
 	for _, reference := range findReferences(text) {
@@ -189,7 +189,7 @@
 	return found
 }
 
-// has reports whether what a page names is there.
+// has reports whether the sources have the name that a page refers to.
 func (s *sources) has(reference reference) bool {
 	switch reference.form {
 	case pathForm:
@@ -202,7 +202,7 @@
 	return false
 }
 
-// hasPath looks for a path from the root, or for a file in a package below internal.
+// hasPath reports whether a path exists below the root, or below internal.
 func (s *sources) hasPath(name string) bool {
 	for _, candidate := range []string{name, path.Join("internal", name)} {
 		if _, err := os.Stat(filepath.Join(s.root, filepath.FromSlash(candidate))); err == nil {
