--- a/internal/controller/agentstate.go
+++ b/internal/controller/agentstate.go
@@ -199,16 +199,16 @@
 
 // decommissionDecision is the decision to delete a machine in the cloud. It is never revoked.
 type decommissionDecision struct {
-	reason string // empty: no decision
-	atOnce bool   // the machine is deleted before the decision is stored
+	reason             string // empty: no decision
+	deleteBeforeStored bool   // the machine is deleted before the decision is stored
 }
 
 // decideDecommission decides to delete the machine; it returns false if that was already decided.
-func (s *agentState) decideDecommission(reason string, atOnce bool) bool {
+func (s *agentState) decideDecommission(reason string, deleteBeforeStored bool) bool {
 	if s.decommission.decided() {
 		return false
 	}
-	s.decommission = decommissionDecision{reason: reason, atOnce: atOnce}
+	s.decommission = decommissionDecision{reason: reason, deleteBeforeStored: deleteBeforeStored}
 	return true
 }
 
--- a/internal/controller/capacity.go
+++ b/internal/controller/capacity.go
@@ -57,7 +57,7 @@
 func (c *machineCapacity) freeCapacity(m *machine, t *cloud.MachineType) *resources {
 	free := &resources{t.CPUs, t.GPUs, t.MemGB}
 	for _, task := range m.doc.Tasks {
-		if j := c.replica.unfinishedJobOf(task); j != nil {
+		if j := c.replica.jobOfUnfinishedTask(task); j != nil {
 			free.reserve(&j.spec, 1)
 		}
 	}
--- a/internal/controller/commands.go
+++ b/internal/controller/commands.go
@@ -97,7 +97,7 @@
 // stop adds the stop of a task that is entered but should not run. It leaves tasks whose job is over, or
 // whose completion is stored, to clearUnexpected.
 func (l *commandList) stop(task schema.Task) {
-	j := l.replica.unstoredJobOf(task)
+	j := l.replica.jobOfUnstoredTask(task)
 	if j == nil {
 		return
 	}
--- a/internal/controller/decommission.go
+++ b/internal/controller/decommission.go
@@ -37,8 +37,8 @@
 	}
 }
 
-func (d *decommissioner) markOne(m *machine, reason string, atOnce bool) {
-	if m.agent == nil || !m.agent.decideDecommission(reason, atOnce) {
+func (d *decommissioner) markOne(m *machine, reason string, deleteBeforeStored bool) {
+	if m.agent == nil || !m.agent.decideDecommission(reason, deleteBeforeStored) {
 		return
 	}
 	d.planNeeded = true
@@ -49,7 +49,7 @@
 func (d *decommissioner) unfinishedTasks(m *machine) int {
 	count := 0
 	for _, task := range m.doc.Tasks {
-		if d.replica.unfinishedJobOf(task) != nil {
+		if d.replica.jobOfUnfinishedTask(task) != nil {
 			count++
 		}
 	}
@@ -82,7 +82,7 @@
 func (a *autoscaler) deletableMachines() []string {
 	var names []string
 	for _, m := range a.replica.sortedMachines() {
-		decided := m.doc.Decommissioned || m.agent != nil && m.agent.decommission.atOnce
+		decided := m.doc.Decommissioned || m.agent != nil && m.agent.decommission.deleteBeforeStored
 		if decided && !m.deleted && a.leadership.leads(m.shard.partition) && len(names) < maxDeletions {
 			names = append(names, m.name)
 		}
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -77,7 +77,7 @@
 	}
 	free := &freeMachine{m, resources{machineType.CPUs, machineType.GPUs, machineType.MemGB}}
 	for _, task := range m.doc.Tasks {
-		if j := f.replica.unstoredJobOf(task); j != nil {
+		if j := f.replica.jobOfUnstoredTask(task); j != nil {
 			free.reserve(&j.spec, 1)
 		}
 	}
--- a/internal/controller/machine.go
+++ b/internal/controller/machine.go
@@ -59,19 +59,19 @@
 	return nil
 }
 
-// unfinishedJobOf returns the job of an entered task, or nil if the job is not accepted or the task is known
-// to be done.
-func (r *replica) unfinishedJobOf(t schema.Task) *job {
+// jobOfUnfinishedTask returns the job of an entered task, or nil if the job is not accepted or the task is
+// known to be done.
+func (r *replica) jobOfUnfinishedTask(t schema.Task) *job {
 	if j := r.acceptedJob(t.Job); j != nil && !j.isDone(t.Index) {
 		return j
 	}
 	return nil
 }
 
-// unstoredJobOf returns the job of an entered task, or nil if the job is not accepted or the task's
+// jobOfUnstoredTask returns the job of an entered task, or nil if the job is not accepted or the task's
 // completion is stored in the job's progress. It uses only stored documents, so that every controller gets
 // the same result.
-func (r *replica) unstoredJobOf(t schema.Task) *job {
+func (r *replica) jobOfUnstoredTask(t schema.Task) *job {
 	if j := r.acceptedJob(t.Job); j != nil && !j.done.Contains(t.Index) {
 		return j
 	}
--- a/internal/controller/occupancy.go
+++ b/internal/controller/occupancy.go
@@ -40,7 +40,7 @@
 	o := occupancy{validUntil: p.now + occupancyMaxAge}
 	for _, task := range m.doc.Tasks {
 		o.kept = append(o.kept, task)
-		j := p.replica.unstoredJobOf(task)
+		j := p.replica.jobOfUnstoredTask(task)
 		// A task's capacity is free once the controller that commands the machine has recorded its completion.
 		if j != nil && task.DoneTenths == 0 && !j.isDone(task.Index) {
 			o.addActive(&j.spec)
--- a/internal/controller/plan_releases.go
+++ b/internal/controller/plan_releases.go
@@ -30,7 +30,7 @@
 // freeTasks removes the bindings of this partition's unfinished tasks to a machine.
 func (p *plan) freeTasks(m *machine) {
 	for _, task := range m.doc.Tasks {
-		j := p.replica.unfinishedJobOf(task)
+		j := p.replica.jobOfUnfinishedTask(task)
 		if j == nil || j.partition != p.leadership.partition {
 			continue
 		}
@@ -68,7 +68,7 @@
 // awaitsDecommission reports whether the machine's decommissioning is decided and must be stored in its
 // entry before the machine is deleted.
 func (m *machine) awaitsDecommission() bool {
-	return !m.deleted && m.agent != nil && m.agent.decommission.decided() && !m.agent.decommission.atOnce && !m.doc.Decommissioned
+	return !m.deleted && m.agent != nil && m.agent.decommission.decided() && !m.agent.decommission.deleteBeforeStored && !m.doc.Decommissioned
 }
 
 // stageReleases stages shards that must be written to release entries (see mustReleaseEntries), to record
--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -157,7 +157,7 @@
 // isIdle reports whether a machine has no task whose completion is not stored, and no capacity for a
 // starving job. A machine without recent heartbeats may be cut off, so it does not count as idle.
 func (a *autoscaler) isIdle(m *machine, machineType *cloud.MachineType, starving []*job) bool {
-	if slices.ContainsFunc(m.doc.Tasks, func(task schema.Task) bool { return a.replica.unstoredJobOf(task) != nil }) {
+	if slices.ContainsFunc(m.doc.Tasks, func(task schema.Task) bool { return a.replica.jobOfUnstoredTask(task) != nil }) {
 		return false
 	}
 	if a.now-m.agent.heardAt > idleHeartbeatLimit*a.cfg.Settings.HeartbeatPeriod() {
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -134,7 +134,7 @@
 			continue
 		}
 		for _, task := range m.doc.Tasks {
-			if j := a.replica.unstoredJobOf(task); j != nil && j.spec.Spot && !j.spec.Service {
+			if j := a.replica.jobOfUnstoredTask(task); j != nil && j.spec.Spot && !j.spec.Service {
 				sum += j.spec.CPUs
 			}
 		}
--- a/internal/controller/staged_machine.go
+++ b/internal/controller/staged_machine.go
@@ -106,7 +106,7 @@
 func (m *stagedMachine) releasesUnfinished() bool {
 	kept := m.keptKeys()
 	return slices.ContainsFunc(m.machine.doc.Tasks, func(task schema.Task) bool {
-		return !kept[keyOf(task)] && m.shard.planner.replica.unstoredJobOf(task) != nil
+		return !kept[keyOf(task)] && m.shard.planner.replica.jobOfUnstoredTask(task) != nil
 	})
 }
 
