--- a/examples/chain.sh
+++ b/examples/chain.sh
@@ -5,7 +5,7 @@
 set -euo pipefail
 controller=${1:?host:port of a controller}
 
-submit() { # uid grade pieces waitsOn dueS
+submit() { # arguments: uid grade pieces waitsOn dueS
   curl -sS -X POST "http://$controller/submissions" -d '{"uid":"'"$1"'","lot":"chain","crew":"'"${CREW:-red}"'","cut":"array",
     "grade":"'"$2"'","pieces":'"$3"',"cpus":1.0,"cards":0.0,"memoryGb":1.0,"pattern":"img-01","sizeGb":0.5,"stocks":null,"yard":null,
     "samePlace":false,"spread":false,"loaners":true,"sawS":10.0,"stackS":0.0,"stowS":0.0,"dueS":'"$5"',"waitsOn":'"$4"'}'
--- a/examples/policy.star
+++ b/examples/policy.star
@@ -1,8 +1,8 @@
 # An example policy. Every setting is optional; docs/operations.md has the list.
 
-refresh_s = 10          # how often shares start from the waiting order anew
-spare_share = 0.15      # free room kept for work that comes, of what is used
-return_idle_boots = 2.0 # an idle rented machine is kept so many boot times
+refresh_s = 10          # interval, in seconds, at which fair shares are recomputed from scratch
+spare_share = 0.15      # free capacity to keep, as a fraction of the used capacity
+return_idle_boots = 2.0 # how many boot times an idle rented machine is kept
 spot = True
 hire_most = 4
 
