--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -54,7 +54,7 @@
 func New() *Limiter { return &Limiter{limit: initialLimit} }
 
 // TryAcquire reports whether a request may begin. If so, the caller must call
-// Release at its end; otherwise it must refuse the request at once.
+// Release at its end; otherwise it must refuse the request immediately.
 func (l *Limiter) TryAcquire(kind Kind) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/api/feasibility.go
+++ b/internal/api/feasibility.go
@@ -36,7 +36,7 @@
 	return found
 }
 
-// exceedsQuota reports whether the tasks that must run at once need more than the team's quota:
+// exceedsQuota reports whether the tasks that must run at the same time need more than the team's quota:
 // all tasks of a service, but only one of an array.
 func exceedsQuota(job *schema.Job, team *config.Team) bool {
 	tasksAtOnce := 1.0
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -224,7 +224,7 @@
 // ErrUnknownTeam is the error for a team that is not in the settings.
 var ErrUnknownTeam = errors.New("unknown team")
 
-// TotalCPUQuota returns how many CPUs all teams together may use at once; 0: unlimited, since
+// TotalCPUQuota returns how many CPUs all teams together may use at the same time; 0: unlimited, since
 // some team has no quota.
 func (s *Settings) TotalCPUQuota() float64 {
 	total := 0.0
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -119,7 +119,7 @@
 
 // shardsByUrgency returns the job shards with waiting submissions, the most urgent first: the more
 // submissions wait for a shard, and the longer, the more urgent it is. A fixed order would starve the
-// last shards whenever many submissions arrive at once. For equal urgency each controller begins at a
+// last shards whenever many submissions arrive at the same time. For equal urgency each controller begins at a
 // different shard, so that two controllers seldom write the same one.
 func (q *acceptQueue) shardsByUrgency(pending map[*jobShard][]pendingSubmission) []*jobShard {
 	var shards []*jobShard
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -28,7 +28,7 @@
 	writes  *writeBudget
 }
 
-// demandFitter fits waiting tasks into the free capacity of machines, as far as stored documents show it.
+// demandFitter fits waiting tasks into the free capacity of machines according to stored documents.
 // It changes nothing but its own copy of that capacity.
 type demandFitter struct {
 	*demandFinder
--- a/internal/controller/fakestore_test.go
+++ b/internal/controller/fakestore_test.go
@@ -15,7 +15,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// fakeStore answers a controller's requests at once and without errors, and counts them.
+// fakeStore answers a controller's requests immediately and without errors, and counts them.
 type fakeStore struct {
 	keys              map[string]kv.KeyValue
 	revision          uint64
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -37,7 +37,7 @@
 
 // raise raises the format once every configured member is registered as knowing it and no process is
 // registered with an earlier one. Each of these registrations is a condition of the transaction, which
-// fails if one of them has expired or been replaced meanwhile. A process of the previous version may
+// fails if one of them has since expired or been replaced. A process of the previous version may
 // still have writes in flight when it is killed: each of them is conditional on the revisions of the
 // documents that it replaces, and fails if a later write was applied first.
 func (g *formatGate) raise() {
--- a/internal/controller/guarantees.go
+++ b/internal/controller/guarantees.go
@@ -7,7 +7,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// A team's quota is the most that its tasks may use at once, and its guarantee is what its jobs may take
+// A team's quota is the most that its tasks may use at the same time, and its guarantee is what its jobs may take
 // back from other teams by preemption. Both count all tasks that may be running. Only the leader of the
 // team's partition places its tasks, so that the quota is enforced in one place.
 
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// TestFailover checks that a process takes over an orphaned partition at once if it is the least loaded,
+// TestFailover checks that a process takes over an orphaned partition immediately if it is the least loaded,
 // and otherwise only once failoverPriorityPeriod has passed.
 func TestFailover(t *testing.T) {
 	for name, tc := range map[string]struct {
--- a/internal/controller/reservations_test.go
+++ b/internal/controller/reservations_test.go
@@ -12,7 +12,7 @@
 		now        units.Micros
 		needed     bool
 		kept       bool
-		pausedTill units.Micros // 0: a new reservation may be made at once
+		pausedTill units.Micros // 0: a new reservation may be made immediately
 	}{
 		"needed":                  {since + reservationPeriod, true, true, 0},
 		"not needed":              {since + units.Second, false, false, 0},
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -85,7 +85,7 @@
 	return append(shard.split(3), c.jobShardSplits.split(c.replica.jobShards[5], 2, "mark")...)
 }
 
-// TestMovedTwice shows a replica two splits of one job shard at once, in every order in which an answer of
+// TestMovedTwice shows a replica two splits of one job shard together, in every order in which an answer of
 // the key-value store may list their documents. A job that moves from the first document to a part, and
 // from there to a part of that, is not over, even if the last two documents come before the first: its
 // absence is no proof of an outcome.
--- a/internal/controller/scalein_test.go
+++ b/internal/controller/scalein_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDrainUnderused checks that only a few machines are drained at once, those with the least use first,
-// and only while enough capacity stays free.
+// TestDrainUnderused checks that only a few machines are drained at the same time, those with the least use
+// first, and only while enough capacity stays free.
 func TestDrainUnderused(t *testing.T) {
 	task := schema.Task{Job: "j", Index: 1}
 	for name, tc := range map[string]struct {
--- a/internal/controller/shard_histories_test.go
+++ b/internal/controller/shard_histories_test.go
@@ -219,7 +219,8 @@
 	}
 }
 
-// show applies one state of a document, advances the replica as far as it is complete, and checks all names.
+// show applies one state of a document, advances the replica to the last revision up to which it was shown
+// every change, and checks all names.
 func (r *historyReplica) show(event historyEvent) {
 	r.steps = append(r.steps, fmt.Sprintf("%s@%d", event.key, event.revision))
 	r.shown[event.key] = event.revision
@@ -583,7 +584,7 @@
 
 // TestProofWaitsForReload has a user wait for a proof while the replica is reloaded. The wait ended once
 // the replica was loaded, not once it was complete, so the proof was taken from the first page though
-// later pages are of later revisions: an entry that moved between two documents meanwhile was in neither,
+// later pages are of later revisions: an entry that moved between two documents during the reload was in neither,
 // and the user got 404.
 func TestProofWaitsForReload(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
--- a/internal/dag/graph.go
+++ b/internal/dag/graph.go
@@ -6,7 +6,7 @@
 // reports every job that is accepted (Add) or has ended (Remove) and every stored outcome
 // (RecordOutcome); Add and RecordOutcome return the resulting changes. A repeated report changes
 // nothing. A Graph never reads or writes the store, has no clock and starts no goroutines, and must
-// not be used by two goroutines at once. Results do not depend on the order of map iteration.
+// not be used by several goroutines concurrently. Results do not depend on the order of map iteration.
 //
 // A stored outcome never changes, so the states derived from outcomes are monotone: a job that is
 // ready stays ready, and one that is cancelled stays cancelled. A job is accepted only after
--- a/internal/fairshare/allocation.go
+++ b/internal/fairshare/allocation.go
@@ -22,7 +22,7 @@
 	ID              string
 	TotalTasks      int
 	UnfinishedTasks int
-	MaxParallel     int          // tasks that run at once when the job is alone; below 1 counts as 1
+	MaxParallel     int          // tasks that run at the same time when the job is alone; below 1 counts as 1
 	AverageTaskTime units.Micros // how long one task runs
 	Age             units.Micros // how long the job has waited or run
 	TaskSize        float64      // capacity that one task takes
--- a/internal/peer/listen.go
+++ b/internal/peer/listen.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxStreams is the most streams that are received at once. Further ones are closed as they are opened.
+	// maxStreams is the most streams that are received concurrently. Further ones are closed as they are opened.
 	maxStreams = 64
 	// acceptRetryDelay keeps the accept loop from spinning while the process is out of sockets.
 	acceptRetryDelay = 50 * time.Millisecond
--- a/internal/schema/job_shard.go
+++ b/internal/schema/job_shard.go
@@ -39,7 +39,7 @@
 	ID                        string   `json:"i"`
 	Class                     string   `json:"c"` // jobs of one class have similar run times; run times are estimated per class
 	Team                      string   `json:"tm"`
-	Service                   bool     `json:"s,omitempty"` // all tasks run at once until the job is cancelled; false: a job array
+	Service                   bool     `json:"s,omitempty"` // all tasks run at the same time until the job is cancelled; false: a job array
 	Priority                  int      `json:"g"`           // higher preempts lower
 	Tasks                     int      `json:"n"`           // number of tasks; they are numbered from 0
 	CPUs                      float64  `json:"cp"`          // CPUs, GPUs and memory are per task
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -61,7 +61,7 @@
 }
 
 // NewLayout returns the layout of a new store whose values hold up to valueKB, and whose teams together
-// may use maxCPUs at once; 0: unlimited.
+// may use maxCPUs at the same time; 0: unlimited.
 func NewLayout(valueKB, maxCPUs float64) Layout {
 	return Layout{MachineShards: machineShardCount(valueKB, maxCPUs), JobShards: jobShardCount(valueKB)}
 }
@@ -121,7 +121,7 @@
 	// fewer, controllers would contend for the same documents.
 	minMachineShards = 12
 	// minJobShards keeps controllers from contending for the same documents when many jobs are
-	// submitted at once.
+	// submitted at the same time.
 	minJobShards = 24
 	// minShards and maxShards bound the count that is computed from the size of a value alone.
 	minShards = 8
@@ -150,7 +150,7 @@
 }
 
 // jobShardCount returns the number of job shards of a new store: few, so that one transaction
-// accepts many of the jobs that are submitted at once.
+// accepts many of the jobs that are submitted at the same time.
 func jobShardCount(valueKB float64) int { return max(minJobShards, maxShardCount(valueKB)/2) }
 
 // maxShardCount returns the number of shards that hold a large fleet.
--- a/internal/schema/tasks.go
+++ b/internal/schema/tasks.go
@@ -25,7 +25,7 @@
 const (
 	KeepRunning     StopMode = iota
 	StopGracefully           // the task gets time to save a checkpoint, if it can
-	StopImmediately          // its capacity is needed at once
+	StopImmediately          // its capacity is needed immediately
 )
 
 // Tasks is the list of tasks on a machine. It is stored as text: for each job the numbers of its tasks,
--- a/internal/server/outbound_agent.go
+++ b/internal/server/outbound_agent.go
@@ -42,9 +42,9 @@
 
 // agentClients calls the agents: it pushes commands to them and inspects them.
 //
-// After a failover, a thousand machines are inspected at once, while as many send heartbeats and users
-// send requests. All these connections together must stay below the socket limit, so a call waits for a
-// slot before it connects. Commands have slots of their own, since during a partition every inspection of
+// After a failover, a thousand machines are inspected at the same time, while as many send heartbeats and
+// users send requests. All these connections together must stay below the socket limit, so a call waits
+// for a slot before it connects. Commands have slots of their own, since during a partition every inspection of
 // the zone that is cut off lasts until its timeout.
 //
 // A call that cannot be sent before its deadline is not sent at all, and its result says so: by then its
--- a/internal/server/outbound_deadline.go
+++ b/internal/server/outbound_deadline.go
@@ -15,7 +15,7 @@
 type slotWaiter struct {
 	now          func() units.Micros
 	sendDeadline units.Micros
-	waited       units.Micros // 0: all slots were free at once
+	waited       units.Micros // 0: no wait for any slot
 }
 
 // acquire takes a slot of each semaphore, in order, and reports whether it had them all before the deadline.
--- a/internal/server/routes.go
+++ b/internal/server/routes.go
@@ -130,7 +130,7 @@
 }
 
 // handleUserRequest passes a user's request to the controller, unless the limiter reports too many requests
-// in progress: then it refuses the request at once, with a Retry-After.
+// in flight: then it refuses the request immediately, with a Retry-After.
 func (h *httpServer) handleUserRequest(ctx *fasthttp.RequestCtx, request controller.UserRequest) {
 	kind := userOperations[request.Kind]
 	if !h.limiter.TryAcquire(kind.admission) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,7 +19,7 @@
 //
 // The package never decides anything about jobs or machines, keeps no state of the cluster, and never
 // repeats a call: all of that is left to the controller. Its own decisions are about load only: which
-// requests of users are refused at once, and which connections are closed early.
+// requests of users are refused immediately, and which connections are closed early.
 //
 // [Server.Run] waits for the goroutines that it starts: listeners, heartbeat streams, the loop and the
 // latency log. The goroutines of calls belong to no group and are not waited for. Each ends once its
--- a/internal/simulator/agent.go
+++ b/internal/simulator/agent.go
@@ -76,7 +76,7 @@
 // hangs reports whether the machine hangs now.
 func (a *fakeAgent) hangs() bool { return a.world.now < a.hungUntil }
 
-// hang stops the agent and its tasks for a duration: tasks make no progress meanwhile.
+// hang stops the agent and its tasks for a duration, during which tasks make no progress.
 func (a *fakeAgent) hang(duration units.Micros) {
 	a.hungUntil = a.world.now + duration
 	for _, t := range a.tasks {
@@ -94,7 +94,7 @@
 // slowDown makes tasks that start from now on take longer by a factor.
 func (a *fakeAgent) slowDown(factor float64) { a.slowdown = factor }
 
-// reboot restarts the machine at once, without tasks and with epoch, sequence and token reset.
+// reboot restarts the machine immediately, without tasks and with epoch, sequence and token reset.
 func (a *fakeAgent) reboot() {
 	a.dropTasks()
 	a.epoch, a.sequence, a.token = firstEpoch, 0, 0
--- a/internal/simulator/agent_tasks.go
+++ b/internal/simulator/agent_tasks.go
@@ -111,7 +111,7 @@
 	t.startedAt = now
 	switch {
 	case a.world.checker.isCompleted(t.jobID, t.number):
-		t.endsAt = now // the result of the first run is kept: this one ends at once
+		t.endsAt = now // the result of the first run is kept: this one ends immediately
 	case a.failsTasks || job.failsEverywhere:
 		t.endsAt = now + failAfter
 	default:
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -190,7 +190,7 @@
 	c.world.addWorker(name, booted.listed, c.machineType(booted.listed.Type))
 }
 
-// remove deletes a machine and all its tasks at once.
+// remove deletes a machine and all its tasks immediately.
 func (c *fakeCloud) remove(name string) {
 	if removed := c.machines[name]; removed != nil {
 		c.available[offer{removed.listed.Type, removed.listed.Zone, removed.listed.Spot}]++
--- a/internal/simulator/large_fleet_days_test.go
+++ b/internal/simulator/large_fleet_days_test.go
@@ -9,7 +9,7 @@
 func TestFleets(t *testing.T) { runSeeds(t, largeFleetScenario, "FLEETS", 4) }
 
 // largeFleetScenario generates a scenario with a fleet in two zones that fills many documents. Its faults
-// affect many machines or all controllers at once, and up to three occur within seconds of each other.
+// affect many machines or all controllers at the same time, and up to three occur within seconds of each other.
 func largeFleetScenario(seed uint64) string {
 	g := newScenarioGenerator(seed, 11)
 	writeLargeFleet(g, seed)
--- a/internal/simulator/machine_faults.go
+++ b/internal/simulator/machine_faults.go
@@ -57,7 +57,7 @@
 
 func (f slowTasks) applyTo(_ *World, worker *fakeAgent) { worker.slowDown(f.factor) }
 
-// rebootMachine restarts a machine: it is back at once, without tasks and with its counters reset.
+// rebootMachine restarts a machine immediately, without tasks and with its counters reset; it keeps its images.
 type rebootMachine struct{}
 
 func (rebootMachine) applyTo(_ *World, worker *fakeAgent) { worker.reboot() }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -102,8 +102,8 @@
 }
 
 // Run runs the scenario. It returns a description of each broken rule and then of each expectation that
-// was not met. The error tells of the first step that could not be applied, after which the run goes on,
-// and of an expectation that could not be checked.
+// was not met. The error reports the first step that could not be applied, after which the run goes on,
+// and an expectation that could not be checked.
 func (s *Scenario) Run(log io.Writer) ([]string, error) {
 	w := newWorld(&s.options, log, s.Trace)
 	for i := range s.options.controllers {
--- a/internal/simulator/steps.go
+++ b/internal/simulator/steps.go
@@ -27,7 +27,7 @@
 	firstNumber, count  int
 	spec                schema.Job
 	failsEverywhere     bool // their program has a bug: their tasks fail on every machine
-	ignoresDependencies bool // they are submitted at once, before their dependencies are known to be accepted
+	ignoresDependencies bool // they are submitted immediately, before their dependencies are known to be accepted
 }
 
 func (s submitJobs) apply(w *World) error {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// cancelRunning makes users cancel running arrays with a long run time, within a fifth of a second; some
-// of their machines hang for a duration.
+// cancelRunning makes users cancel jobs that have tasks on machines and a long run time, within a fifth of a
+// second; some of their machines hang for a duration.
 type cancelRunning struct {
 	count int
 	hang  units.Micros
--- a/internal/simulator/store.go
+++ b/internal/simulator/store.go
@@ -176,7 +176,7 @@
 	})
 }
 
-// receive serves a request at once or, under a fault, later.
+// receive serves a request immediately or, under a fault, later.
 func (s *fakeStore) receive(caller string, request *kv.Request, answer func(kv.Response)) {
 	w := s.world
 	switch {
--- a/internal/simulator/upgrade_days_test.go
+++ b/internal/simulator/upgrade_days_test.go
@@ -55,7 +55,7 @@
 }
 
 // writePipeline writes jobs that depend on each other. Each is submitted as soon as its dependencies are
-// accepted, the last one sometimes later; in some pipelines one of the jobs is cancelled meanwhile.
+// accepted, the last one sometimes later; in some pipelines one of the first four jobs is cancelled.
 func writePipeline(g *scenarioGenerator, firstNumber int, at float64) {
 	id := func(stage int) string { return fmt.Sprintf("j-%06d", firstNumber+stage) }
 	submit := func(at float64, stage, tasks, seconds int, grade string, needs ...string) {
--- a/internal/simulator/users.go
+++ b/internal/simulator/users.go
@@ -150,7 +150,7 @@
 }
 
 // submit submits a job and retries until it is accepted or permanently rejected. It waits until the
-// job's dependencies are accepted; a job that ignores them is submitted at once.
+// job's dependencies are accepted; a job that ignores them is submitted immediately.
 func (u *fakeUsers) submit(job *userJob) {
 	u.jobs[job.spec.ID] = job
 	u.world.checker.submitted(&job.spec)
--- a/internal/soak/agent.go
+++ b/internal/soak/agent.go
@@ -126,7 +126,7 @@
 	})
 }
 
-// reboot restarts the machine at once, without tasks and with its epoch, sequence and token reset.
+// reboot restarts the machine immediately, without tasks and with its epoch, sequence and token reset.
 func (a *fakeAgent) reboot() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/soak/agent_tasks.go
+++ b/internal/soak/agent_tasks.go
@@ -57,7 +57,7 @@
 }
 
 // beginTask runs a task whose image is pulled. If an earlier attempt has completed, the task finds
-// the stored result and completes at once.
+// the stored result and completes immediately.
 func (a *fakeAgent) beginTask(task *agentTask, now time.Time, runTime time.Duration) {
 	task.state, a.changed = agent.Running, true
 	a.world.checker.TaskStarted(a.listed.Name, a.listed.Zone, a.listed.Spot, task.jobID, task.index)
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Checker checks a history against the protocol's rules. It is told what agents, users and the
+// Checker checks a history against the protocol's rules. It receives what agents, users and the
 // cloud observe, and knows nothing about how the service works. Its times count from NewChecker on
 // the monotonic clock.
 type Checker struct {
--- a/internal/soak/faults_controllers.go
+++ b/internal/soak/faults_controllers.go
@@ -4,7 +4,7 @@
 
 func (w *world) randomController() *controllerProcess { return pick(w.rng, w.controllers...) }
 
-// shortDowntimeShare is the share of restarts that follow almost at once.
+// shortDowntimeShare is the share of restarts that follow almost immediately.
 const shortDowntimeShare = 0.5
 
 // downtime draws the time until a process is restarted: almost none, or some seconds.
