--- a/internal/controller/cloudclient.go
+++ b/internal/controller/cloudclient.go
@@ -4,7 +4,7 @@
 // stores no answers: the caller decides whether a request may be sent again.
 type cloudClient struct {
 	*environment
-	calls map[uint64]func(CloudResult) // continuations of unanswered requests, by call ID
+	calls map[uint64]func(CloudResult) // continuations of requests in flight, by call ID
 }
 
 func newCloudClient(env *environment) *cloudClient {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -89,7 +89,7 @@
 	j.dependency = nil
 }
 
-// eligibleSince returns the time of day since which a job may wait for capacity: when it was accepted, or
+// eligibleSince returns the Unix time since which a job may wait for capacity: when it was accepted, or
 // when the last of its dependencies was done, whichever is later.
 func (j *job) eligibleSince() units.Micros {
 	return max(units.Micros(j.spec.AcceptedAt), j.dependency.ReadyAt())
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -18,8 +18,8 @@
 	log    *slog.Logger
 
 	now       units.Micros // monotonic clock
-	timeOfDay units.Micros
-	effects   []Effect // of this step, in order
+	timeOfDay units.Micros // Unix time
+	effects   []Effect     // of this step, in order
 
 	planNeeded bool // something changed that a plan may act on
 	lastCallID uint64
--- a/internal/controller/gateway.go
+++ b/internal/controller/gateway.go
@@ -8,9 +8,9 @@
 )
 
 // agentGateway exchanges messages with worker agents: it answers their heartbeats, sends them direct
-// commands and probes, and starts the registration of unregistered machines. It owns the unanswered calls to
-// agents, the heartbeats and changed machines of a step, the time at which this controller last heard each
-// machine, and the registrations in progress.
+// commands and probes, and starts the registration of unregistered machines. It owns the calls to agents
+// that are in flight, the heartbeats and changed machines of a step, the time at which this controller last
+// heard each machine, and the registrations in progress.
 //
 // Agents receive responses and commands only after a step has read all of its messages (see
 // answerHeartbeats and pushCommands), and no command is sent that the audit has not allowed. The gateway
@@ -25,7 +25,7 @@
 	reconciler *reconciler
 	audit      *audit
 
-	calls         map[uint64]pendingAgentCall // by call ID; calls without an answer yet
+	calls         map[uint64]pendingAgentCall // by call ID; calls in flight
 	callWaits     callWaits
 	heartbeats    []HeartbeatRequest       // received in this step
 	changed       []*machine               // machines whose entries changed in this step
@@ -33,7 +33,7 @@
 	registrations map[string]*registration // by machine
 }
 
-// pendingAgentCall is a call to an agent without an answer yet.
+// pendingAgentCall is a call to an agent that is in flight.
 type pendingAgentCall interface {
 	// done handles the agent's heartbeat; nil if there was no answer.
 	done(heartbeat *agent.Heartbeat)
--- a/internal/controller/jobstatus.go
+++ b/internal/controller/jobstatus.go
@@ -109,7 +109,7 @@
 	dependencyRetry = 50 * units.Millisecond
 )
 
-// statusQuery is an unanswered query for a job's current status.
+// statusQuery is a query for a job's current status that is in flight.
 type statusQuery struct {
 	reader   *statusReader
 	jobID    string
--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -43,7 +43,7 @@
 	revision        uint64 // mod revision of the partition's document, a condition of every write
 	term            uint64
 	since           units.Micros
-	commitsInFlight int // commits of this partition that are not answered yet
+	commitsInFlight int // commits of this partition that are in flight
 	planning        planningState
 }
 
--- a/internal/controller/push.go
+++ b/internal/controller/push.go
@@ -40,7 +40,7 @@
 	g.call(m.doc.Addr, request, &pushCall{gateway: g, machine: m, state: state})
 }
 
-// pushCall is a direct command without an answer yet.
+// pushCall is a direct command in flight.
 type pushCall struct {
 	gateway *agentGateway
 	machine *machine
@@ -95,7 +95,7 @@
 	g.call(m.doc.Addr, nil, &probeCall{gateway: g, machine: m, state: state, epoch: state.epoch, sequence: state.sequence})
 }
 
-// probeCall is a probe without an answer yet.
+// probeCall is a probe in flight.
 type probeCall struct {
 	gateway         *agentGateway
 	machine         *machine
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -11,7 +11,7 @@
 type storeClient struct {
 	*environment
 
-	calls map[uint64]func(kv.Response) // callbacks of requests that are not answered yet
+	calls map[uint64]func(kv.Response) // callbacks of requests in flight
 
 	answeredAt   units.Micros // when the store last answered
 	failing      bool         // since then, the store has refused or not answered a request
--- a/internal/controller/userrequests.go
+++ b/internal/controller/userrequests.go
@@ -8,7 +8,7 @@
 	"frostdock.example/frostdock/internal/units"
 )
 
-// userRequests owns the user requests that are not answered yet. It guarantees that each of them is
+// userRequests owns the user requests in flight. It guarantees that each of them is
 // answered exactly once: with the result or, after a timeout, with 503 and a Retry-After time.
 // Each status passes the audit before it is sent. Other components decide the contents of the answers.
 type userRequests struct {
@@ -56,7 +56,7 @@
 	return open
 }
 
-// openCount returns the number of unanswered requests.
+// openCount returns the number of requests in flight.
 func (u *userRequests) openCount() int { return len(u.deadlines) }
 
 // answerStatus answers a request with a job's status.
--- a/internal/dag/node.go
+++ b/internal/dag/node.go
@@ -21,7 +21,7 @@
 // Outcome is the stored outcome of a job.
 type Outcome struct {
 	State State
-	At    units.Micros // time of day at which it was stored; 0: unknown
+	At    units.Micros // Unix time at which it was stored; 0: unknown
 }
 
 // Job describes an accepted job to the graph.
@@ -29,7 +29,7 @@
 	ID       string
 	Needs    []string // jobs that must be done before it starts
 	Priority int
-	DueAt    units.Micros // deadline as a time of day; 0: none
+	DueAt    units.Micros // deadline as a Unix time; 0: none
 }
 
 // Node is one job of a graph. Methods that allow a nil Node treat it as a job without dependencies
@@ -43,7 +43,7 @@
 	outcome     Outcome
 	cancelledBy string       // the needed job whose cancellation cancelled this one; empty: none
 	unmet       int          // number of needs that are not known to be done
-	readyAt     units.Micros // time of day at which the latest of needs was done
+	readyAt     units.Micros // Unix time at which the latest of needs was done
 	priority    int          // highest of its own and those of its pending dependents
 	dueAt       units.Micros // earliest of its own and those of its pending dependents; 0: none
 }
@@ -65,7 +65,7 @@
 	return n.cancelledBy
 }
 
-// ReadyAt returns the time of day at which the last needed job was done; 0 if none was needed. The
+// ReadyAt returns the Unix time at which the last needed job was done; 0 if none was needed. The
 // Node may be nil.
 func (n *Node) ReadyAt() units.Micros {
 	if n == nil {
@@ -78,7 +78,7 @@
 // nil.
 func (n *Node) Priority() int { return n.priority }
 
-// DueAt returns the earliest deadline, as a time of day, of the job and its pending dependents; 0 if
+// DueAt returns the earliest deadline, as a Unix time, of the job and its pending dependents; 0 if
 // there is none. The Node may be nil.
 func (n *Node) DueAt() units.Micros {
 	if n == nil {
--- a/internal/server/http.go
+++ b/internal/server/http.go
@@ -84,7 +84,7 @@
 func (discardLogger) Printf(string, ...any) {}
 
 // serve accepts connections until ctx ends or the listener fails. When ctx ends, serve does not wait for
-// requests in progress: the loop stops as well, so none of them would get a reply.
+// requests in flight: the loop stops as well, so none of them would get a reply.
 func (h *httpServer) serve(ctx context.Context, addr string) error {
 	var listenConfig net.ListenConfig
 	listener, err := listenConfig.Listen(ctx, "tcp4", addr)
--- a/internal/server/outbound_agent.go
+++ b/internal/server/outbound_agent.go
@@ -55,8 +55,8 @@
 type agentClients struct {
 	post         postFunc
 	now          func() units.Micros
-	inspectSlots chan struct{} // has an element for each inspection in progress
-	commandSlots chan struct{} // has an element for each command in progress
+	inspectSlots chan struct{} // has an element for each inspection in flight
+	commandSlots chan struct{} // has an element for each command in flight
 	// A call to an agent that did not answer its last call takes a slot of two channels: one of these, and
 	// the channel above for the same kind of call.
 	silentInspectSlots chan struct{}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -24,7 +24,7 @@
 // [Server.Run] waits for the goroutines that it starts: listeners, heartbeat streams, the loop and the
 // latency log. The goroutines of calls belong to no group and are not waited for. Each ends once its
 // call has ended, which a timeout bounds, and the queue has accepted the message; a call to an agent
-// first waits for a slot, which is bounded as well (see agentClients). Calls still in progress at
+// first waits for a slot, which is bounded as well (see agentClients). Calls still in flight at
 // shutdown end with the process. A controller is prepared for that: any call may have been carried out
 // without its response arriving.
 package server
--- a/internal/simulator/coinciding_faults_test.go
+++ b/internal/simulator/coinciding_faults_test.go
@@ -25,7 +25,7 @@
 func TestFewSockets(t *testing.T) { runSeeds(t, fewSocketsScenario, "SOCKETS", 6) }
 
 // fewSocketsScenario generates a scenario of coinciding faults, or for every third seed one of a large
-// fleet, in which a controller may have eight calls of each kind to agents in progress.
+// fleet, in which a controller may have eight calls of each kind to agents in flight.
 func fewSocketsScenario(seed uint64) string {
 	scenario := coincidingFaultsScenario(seed)
 	if seed%3 == 0 {
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -16,7 +16,7 @@
 const (
 	tickPeriod = 25 * units.Millisecond
 	stepDelay  = units.Micros(200)  // messages that arrive within this time are handled by one step
-	wallOffset = units.Micros(1e15) // wall-clock time minus simulated time
+	wallOffset = units.Micros(1e15) // Unix time minus simulated time
 
 	// Health checks of controllers by the load balancer.
 	probePeriod        = units.Second
--- a/internal/soak/httpserver.go
+++ b/internal/soak/httpserver.go
@@ -12,7 +12,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// shutdownTimeout is how long closing a server waits for open requests: longer than the longest delay
+// shutdownTimeout is how long closing a server waits for requests in flight: longer than the longest delay
 // that a fault adds to them.
 const shutdownTimeout = 30 * time.Second
 
@@ -37,7 +37,7 @@
 	return s, nil
 }
 
-// close stops accepting connections and waits until the open requests are handled.
+// close stops accepting connections and waits until the requests in flight are handled.
 func (s *httpServer) close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
