--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -28,7 +28,7 @@
 	writes  *writeBudget
 }
 
-// demandFitter fits waiting tasks into the free capacity of machines, as far as stored documents show it.
+// demandFitter fits waiting tasks into the free capacity of machines according to stored documents.
 // It changes nothing but its own copy of that capacity.
 type demandFitter struct {
 	*demandFinder
@@ -77,7 +77,7 @@
 	}
 	free := &freeMachine{m, resources{machineType.CPUs, machineType.GPUs, machineType.MemGB}}
 	for _, task := range m.doc.Tasks {
-		if j := f.replica.unstoredJobOf(task); j != nil {
+		if j := f.replica.jobOfUnstoredTask(task); j != nil {
 			free.reserve(&j.spec, 1)
 		}
 	}
