--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -65,7 +65,7 @@
 // enqueue sets the acceptance time of a validated submission, queues it and, if possible, stores it
 // immediately.
 func (q *acceptQueue) enqueue(request UserRequest) {
-	request.Job.AcceptedAt = int64(q.timeOfDay)
+	request.Job.AcceptedAt = int64(q.unixTime)
 	q.pending = append(q.pending, pendingSubmission{job: request.Job, requestID: request.RequestID, requestedAt: q.now})
 	q.storePending()
 }
--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -117,7 +117,7 @@
 	return fairshare.Job{
 		ID: j.id, TotalTasks: j.spec.Tasks, UnfinishedTasks: j.spec.Tasks - j.doneCount(), AverageTaskTime: average,
 		MaxParallel: maxParallel,
-		Age:         max(0, p.timeOfDay-j.eligibleSince()), TaskSize: j.spec.CPUs, Share: j.fairShareCPUs, Weight: p.weight(j),
+		Age:         max(0, p.unixTime-j.eligibleSince()), TaskSize: j.spec.CPUs, Share: j.fairShareCPUs, Weight: p.weight(j),
 	}
 }
 
@@ -139,7 +139,7 @@
 // If the task cannot be placed, a machine is reserved for the job.
 func (p *plan) placeFirstTasks(order []*job) {
 	for _, j := range order {
-		if j.begun() || p.timeOfDay-j.eligibleSince() <= maxFirstTaskWait/2 {
+		if j.begun() || p.unixTime-j.eligibleSince() <= maxFirstTaskWait/2 {
 			continue
 		}
 		p.placeUpTo(j, 1)
@@ -296,10 +296,10 @@
 
 // weight returns the weight that the operators' policy gives a job; 1 if the policy fails.
 func (p *plan) weight(j *job) float64 {
-	age := max(0, p.timeOfDay-j.eligibleSince())
+	age := max(0, p.unixTime-j.eligibleSince())
 	dueInSeconds := 0.0
 	if dueAt := j.dependency.DueAt(); dueAt > 0 { // the earliest deadline of the job and its dependents
-		dueInSeconds = (dueAt - p.timeOfDay).Seconds()
+		dueInSeconds = (dueAt - p.unixTime).Seconds()
 	}
 	weight, err := p.policy.Weight(policy.Job{
 		Class: j.spec.Class, Grade: priorityNames[j.priority()], Tasks: j.spec.Tasks, AgeS: age.Seconds(), DueInS: dueInSeconds,
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -48,9 +48,9 @@
 	*environment
 	autoscalerDependencies
 
-	machineList machineList
-	orphans     orphans
-	rentals     *rentals
+	machineList          machineList
+	unregisteredMachines unregisteredMachines
+	rentals              *rentals
 
 	scalingPeriod     period
 	deletePeriod      period
@@ -135,7 +135,7 @@
 }
 
 func newAutoscaler(env *environment, dependencies autoscalerDependencies) *autoscaler {
-	a := &autoscaler{environment: env, autoscalerDependencies: dependencies, orphans: orphans{}}
+	a := &autoscaler{environment: env, autoscalerDependencies: dependencies, unregisteredMachines: unregisteredMachines{}}
 	a.rentals = newRentals(env, dependencies.cloud, a.recordFirstRented)
 	return a
 }
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -43,7 +43,7 @@
 		return
 	}
 	writeTag := p.commits.newWriteTag()
-	p.outcome = schema.Outcome{State: StageCancelled, RecordedAt: int64(p.timeOfDay), WriteTag: writeTag}
+	p.outcome = schema.Outcome{State: StageCancelled, RecordedAt: int64(p.unixTime), WriteTag: writeTag}
 	txn := outcomeTransaction(id, p.outcome)
 	txn.Operations = append(txn.Operations, kv.Operation{
 		Set: schema.CancellationPrefix + id, Value: encode(cancellationDocument{WriteTag: writeTag}),
@@ -78,7 +78,7 @@
 func (c *cancellations) acceptCancelled(request UserRequest, cancelledBy string) {
 	writeTag := c.commits.newWriteTag()
 	submission := &cancelledSubmission{cancellations: c, request: request, outcome: schema.Outcome{
-		State: StageCancelled, RecordedAt: int64(c.timeOfDay), CancelledBy: cancelledBy, WriteTag: writeTag,
+		State: StageCancelled, RecordedAt: int64(c.unixTime), CancelledBy: cancelledBy, WriteTag: writeTag,
 	}}
 	c.commits.commit(outcomeTransaction(request.JobID, submission.outcome), writeTag, submission.settle)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,10 +80,10 @@
 }
 
 // Step handles the messages that arrived since the last step and returns the effects to carry out. now
-// is the monotonic time, timeOfDay the Unix time.
-func (c *Controller) Step(now, timeOfDay units.Micros, messages []Message) []Effect {
+// is the monotonic time, unixTime the Unix time.
+func (c *Controller) Step(now, unixTime units.Micros, messages []Message) []Effect {
 	first := c.now == 0
-	c.now, c.timeOfDay, c.effects = now, timeOfDay, nil
+	c.now, c.unixTime, c.effects = now, unixTime, nil
 	if first {
 		c.budget.start()
 		c.membership.register()
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -17,9 +17,9 @@
 	policy *policy.Policy
 	log    *slog.Logger
 
-	now       units.Micros // monotonic clock
-	timeOfDay units.Micros // Unix time
-	effects   []Effect     // of this step, in order
+	now      units.Micros // monotonic clock
+	unixTime units.Micros
+	effects  []Effect // of this step, in order
 
 	planNeeded bool // something changed that a plan may act on
 	lastCallID uint64
--- a/internal/controller/machinelist.go
+++ b/internal/controller/machinelist.go
@@ -76,14 +76,14 @@
 	for _, name := range a.machineList.names {
 		listed := a.machineList.machines[name]
 		if m := a.replica.machines[name]; m != nil {
-			a.orphans.clear(name)
+			a.unregisteredMachines.clear(name)
 			a.decommissionIfFailed(m, listed)
-		} else if a.rentsSince > 0 && a.orphanOverdue(listed) {
+		} else if a.rentsSince > 0 && a.unregisteredOverdue(listed) {
 			overdue = append(overdue, name)
 		}
 	}
-	a.orphans.keepListed(a.machineList.machines)
-	a.deleteOrphans(overdue)
+	a.unregisteredMachines.keepListed(a.machineList.machines)
+	a.deleteUnregistered(overdue)
 }
 
 // decommissionUnlisted decommissions silent machines that are missing from a complete list although they
@@ -116,57 +116,58 @@
 	}
 }
 
-// orphans maps the name of each orphan to the time since when it has been one. An orphan is a listed
-// machine without an entry that has failed, or has been silent for too long.
-type orphans map[string]units.Micros
+// unregisteredMachines maps the name of each unregistered machine to the time since when it has been one.
+// An unregistered machine is a listed machine without an entry that has failed, or has been silent for too
+// long.
+type unregisteredMachines map[string]units.Micros
 
-// add records a machine as an orphan, unless it is one already, and returns since when it has been one.
-func (o orphans) add(name string, now units.Micros) units.Micros {
-	if _, ok := o[name]; !ok {
-		o[name] = now
+// add records a machine as unregistered, unless it is recorded already, and returns since when it has been.
+func (u unregisteredMachines) add(name string, now units.Micros) units.Micros {
+	if _, ok := u[name]; !ok {
+		u[name] = now
 	}
-	return o[name]
+	return u[name]
 }
 
-func (o orphans) clear(name string) { delete(o, name) }
+func (u unregisteredMachines) clear(name string) { delete(u, name) }
 
-func (o orphans) has(name string) bool {
-	_, ok := o[name]
+func (u unregisteredMachines) has(name string) bool {
+	_, ok := u[name]
 	return ok
 }
 
-// keepListed removes the orphans that are no longer listed.
-func (o orphans) keepListed(listed map[string]cloud.ListedMachine) {
-	for name := range o {
+// keepListed removes the unregistered machines that are no longer listed.
+func (u unregisteredMachines) keepListed(listed map[string]cloud.ListedMachine) {
+	for name := range u {
 		if _, ok := listed[name]; !ok {
-			delete(o, name)
+			delete(u, name)
 		}
 	}
 }
 
-// A machine without an entry is an orphan when its age exceeds this multiple of its boot time plus a
-// margin.
+// A machine without an entry is an unregistered machine when its age exceeds this multiple of its boot
+// time plus a margin.
 const (
-	orphanBootFactor       = 3
-	orphanMarginSeconds    = 15
-	unknownTypeBootSeconds = 60 // boot time assumed for a type that is not in the catalog
-	orphanListLagFactor    = 2  // an orphan that has not failed is deleted after this multiple of the list's lag
+	unregisteredBootFactor    = 3
+	unregisteredMarginSeconds = 15
+	unknownTypeBootSeconds    = 60 // boot time assumed for a type that is not in the catalog
+	unregisteredListLagFactor = 2  // one that has not failed is deleted after this multiple of the list's lag
 )
 
-// orphanOverdue reports whether a listed machine without an entry should be deleted: it has failed, or
-// never came up, or is up and silent. Because the list lags, a machine that has not failed must be found
-// orphaned twice.
-func (a *autoscaler) orphanOverdue(listed cloud.ListedMachine) bool {
+// unregisteredOverdue reports whether a listed machine without an entry should be deleted: it has failed,
+// or never came up, or is up and silent. Because the list lags, a machine that has not failed must be
+// found unregistered twice.
+func (a *autoscaler) unregisteredOverdue(listed cloud.ListedMachine) bool {
 	boot := float64(unknownTypeBootSeconds)
 	if machineType := a.catalog.machineType(listed.Type); machineType != nil {
 		boot = machineType.BootSeconds
 	}
 	failed := listed.State == cloud.Failed
-	if !failed && (listed.AgeSeconds <= orphanBootFactor*boot+orphanMarginSeconds || a.heardRecently(listed.Name)) {
+	if !failed && (listed.AgeSeconds <= unregisteredBootFactor*boot+unregisteredMarginSeconds || a.heardRecently(listed.Name)) {
 		return false
 	}
-	since := a.orphans.add(listed.Name, a.now)
-	return failed || a.now-since > units.FromSeconds(orphanListLagFactor*a.cfg.Settings.Cloud.ListLagS)
+	since := a.unregisteredMachines.add(listed.Name, a.now)
+	return failed || a.now-since > units.FromSeconds(unregisteredListLagFactor*a.cfg.Settings.Cloud.ListLagS)
 }
 
 // heardWithinPeriods is the number of heartbeat periods after its last heartbeat in which a machine does
@@ -182,9 +183,9 @@
 	return a.agents.heardWithin(name, recent) || a.peers.anyHeardWithin(name, recent)
 }
 
-// deleteOrphans deletes machines that have no entry. A failed deletion is not retried here: the cloud's
-// list still shows the machine, and the next list that is read leads to another deletion.
-func (a *autoscaler) deleteOrphans(names []string) {
+// deleteUnregistered deletes machines that have no entry. A failed deletion is not retried here: the
+// cloud's list still shows the machine, and the next list that is read leads to another deletion.
+func (a *autoscaler) deleteUnregistered(names []string) {
 	if len(names) == 0 {
 		return
 	}
--- a/internal/controller/machinelist_test.go
+++ b/internal/controller/machinelist_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestOrphans checks which listed machines without an entry are deleted when the list shows them now and
-// again after a while.
-func TestOrphans(t *testing.T) {
+// TestUnregisteredMachines checks which listed machines without an entry are deleted when the list shows
+// them now and again after a while.
+func TestUnregisteredMachines(t *testing.T) {
 	const overdue = 106 // seconds: three boot times of 30 s, plus 15 s, plus one
 	for name, tc := range map[string]struct {
 		listed      cloud.ListedMachine
--- a/internal/controller/plan_outcomes.go
+++ b/internal/controller/plan_outcomes.go
@@ -57,7 +57,7 @@
 // storeCompletion stores the outcome of a job whose tasks are all done, and removes the job. The outcome
 // is written only if there is none, so the first write decides between done and cancelled.
 func (p *plan) storeCompletion(j *job) {
-	outcome := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(p.timeOfDay), WriteTag: p.writeTag}
+	outcome := schema.Outcome{State: StageDone, TasksDone: j.spec.Tasks, RecordedAt: int64(p.unixTime), WriteTag: p.writeTag}
 	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
 	p.removeJob(j)
 }
@@ -70,7 +70,7 @@
 		return // another controller has also accepted the job, as cancelled, and stored its outcome
 	}
 	outcome := schema.Outcome{
-		State: StageCancelled, RecordedAt: int64(p.timeOfDay), CancelledBy: j.dependency.CancelledBy(), WriteTag: p.writeTag,
+		State: StageCancelled, RecordedAt: int64(p.unixTime), CancelledBy: j.dependency.CancelledBy(), WriteTag: p.writeTag,
 	}
 	p.addJoint(kv.Operation{Set: schema.OutcomePrefix + j.id, Value: encode(outcome)}, 0)
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -111,7 +111,7 @@
 	}
 	state.runningSince[key] = runStart{at: r.now, exact: listed}
 	if j != nil {
-		sinceAccept := r.timeOfDay - units.Micros(j.spec.AcceptedAt)
+		sinceAccept := r.unixTime - units.Micros(j.spec.AcceptedAt)
 		r.log.Debug("task running", "task", key.task(), "machine", m.name, "type", m.doc.Type, "service", j.spec.Service, "since_accept_s", sinceAccept.Seconds())
 	}
 }
--- a/internal/controller/reservations.go
+++ b/internal/controller/reservations.go
@@ -99,7 +99,7 @@
 
 // mayReserve reports whether one more machine may be reserved, for this job.
 func (p *plan) mayReserve(j *job, reservations *reservationTable) bool {
-	return j.failures == 0 && p.now >= reservations.notBefore && p.timeOfDay-j.eligibleSince() >= maxFirstTaskWait &&
+	return j.failures == 0 && p.now >= reservations.notBefore && p.unixTime-j.eligibleSince() >= maxFirstTaskWait &&
 		len(reservations.byMachine) <= len(p.machines)/machinesPerReservation && p.underQuota(j)
 }
 
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -178,7 +178,7 @@
 	}
 	for _, name := range a.machineList.names { // rented by a predecessor, or present from the start
 		listed, ok := a.machineList.machines[name]
-		if ok && listed.State != cloud.Failed && !a.orphans.has(name) && !a.replica.everSeen[name] && !a.rentals.pending(name) {
+		if ok && listed.State != cloud.Failed && !a.unregisteredMachines.has(name) && !a.replica.everSeen[name] && !a.rentals.pending(name) {
 			add(listed.Type, listed.Spot, 1)
 		}
 	}
--- a/internal/controller/silentpartitions.go
+++ b/internal/controller/silentpartitions.go
@@ -2,10 +2,10 @@
 
 import "frostdock.example/frostdock/internal/units"
 
-// silentPartitions hands over a partition while this controller hears none of the machines that it commands,
-// if another controller hears most of the partition's machines. The network of this controller is then at
-// fault, and while it leads the partition, the leases of the partition's machines run out. silentPartitions
-// decides nothing else, and writes only through leadershipManager.
+// silentPartitions transfers a partition to another controller while this controller hears none of the
+// machines that it commands, if the other one hears most of the partition's machines. The network of this
+// controller is then at fault, and while it leads the partition, the leases of the partition's machines
+// run out. silentPartitions decides nothing else, and writes only through leadershipManager.
 type silentPartitions struct {
 	*environment
 	store       *storeClient
@@ -17,10 +17,11 @@
 }
 
 // minPeriodsLed is the number of heartbeat periods for which this controller must have led a partition
-// before it may hand it over because no machine is heard.
+// before it may transfer it because no machine is heard.
 const minPeriodsLed = 3
 
-// transfer hands over at most one partition. The caller ensures that this controller hears no machine.
+// transfer transfers at most one partition to another controller. The caller ensures that this controller
+// hears no machine.
 func (s *silentPartitions) transfer() {
 	for _, partition := range s.partitions.ledPartitions() {
 		led := s.partitions.led[partition]
