--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -114,14 +114,15 @@
 	v.require(l.TxnOps >= minTxnOps, path+".txn_ops", fmt.Sprintf("must be at least %d, got %d", minTxnOps, l.TxnOps))
 }
 
-// Settings holds the settings of the deployment.
+// Settings holds the settings of the deployment. Errors of the TOML decoder contain the Go names of this
+// package's types and fields, so a renamed field changes the error for a value of the wrong type.
 type Settings struct {
-	ControllerCount int         `toml:"size"`
-	Zones           []string    `toml:"zones"`
-	ClockOffMs      float64     `toml:"clock_off_ms"`
-	Teams           []Team      `toml:"teams"`
-	Objectives      []Objective `toml:"objectives"`
-	Workers         struct {
+	Size       int         `toml:"size"`
+	Zones      []string    `toml:"zones"`
+	ClockOffMs float64     `toml:"clock_off_ms"`
+	Teams      []Team      `toml:"teams"`
+	Objectives []Objective `toml:"objectives"`
+	Workers    struct {
 		HeartbeatS float64 `toml:"report_s"`
 		LeaseS     float64 `toml:"lease_s"`
 		CancelS    float64 `toml:"cancel_s"`
@@ -188,7 +189,7 @@
 }
 
 func (s *Settings) validate(v *validator) {
-	v.require(s.ControllerCount >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.ControllerCount))
+	v.require(s.Size >= 1, "settings.size", fmt.Sprintf("must be at least 1, got %d", s.Size))
 	s.validateTeams(v)
 	s.validateWorkers(v)
 	s.KVStore.validate("settings.state", v)
--- a/internal/controller/accepts.go
+++ b/internal/controller/accepts.go
@@ -125,7 +125,7 @@
 	var shards []*jobShard
 	urgency := map[*jobShard]units.Micros{}
 	all := q.replica.jobShards
-	first := q.memberRank() * len(all) / q.cfg.Settings.ControllerCount
+	first := q.memberRank() * len(all) / q.cfg.Settings.Size
 	for i := range all {
 		shard := all[(first+i)%len(all)]
 		if len(pending[shard]) == 0 {
--- a/internal/controller/accepts_test.go
+++ b/internal/controller/accepts_test.go
@@ -42,7 +42,7 @@
 // newTestAccepts returns a controller whose accept queue writes to a fake, and that fake.
 func newTestAccepts() (*Controller, *fakeShardWriter) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
+	cfg.Settings.Size, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
 	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	c := newTestController(cfg)
 	c.now = units.Second
--- a/internal/controller/authority_test.go
+++ b/internal/controller/authority_test.go
@@ -13,7 +13,7 @@
 // tasks.
 func newPartitionLeader() *Controller {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	cfg.Settings.Workers.HeartbeatS, cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS = 6, 31, 56
 	c := newTestController(cfg)
 	c.now = 100 * units.Second
@@ -109,7 +109,7 @@
 // was registered.
 func TestRegistrationUnclear(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	members := store.c.membership
 	first := members.incarnation
--- a/internal/controller/autoscaler_test.go
+++ b/internal/controller/autoscaler_test.go
@@ -67,7 +67,7 @@
 func newAutoscalerRig(t *testing.T) *autoscalerRig {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
+	cfg.Settings.Size, cfg.Settings.Teams = 1, []config.Team{{Name: "red"}}
 	cfg.Settings.Workers.HeartbeatS = 2
 	cfg.Settings.Cloud.RPS, cfg.Settings.Cloud.ListLagS = 10, 8
 	env := &environment{cfg: cfg, policy: policy.Default(), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: units.Second}
--- a/internal/controller/commands_test.go
+++ b/internal/controller/commands_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}}}
 	s := &cfg.Settings
-	s.ControllerCount, s.Teams = 2, []config.Team{{Name: "red"}, {Name: "blue"}}
+	s.Size, s.Teams = 2, []config.Team{{Name: "red"}, {Name: "blue"}}
 	s.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	c := newTestController(cfg)
--- a/internal/controller/commit_test.go
+++ b/internal/controller/commit_test.go
@@ -92,7 +92,7 @@
 func (tc *commitCase) run(t *testing.T, txn *kv.Txn) {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	calls := 0
 	store.c.commits.commit(txn, commitTag, func(result commitResult) {
@@ -124,7 +124,7 @@
 // there is no value to look up.
 func TestCommitOfDeletions(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	store := &scriptedStore{t: t, c: newTestController(cfg)}
 	key := schema.RegistrationKey("a", "a.0")
 	var outcomes []commitOutcome
--- a/internal/controller/dependencies_test.go
+++ b/internal/controller/dependencies_test.go
@@ -14,7 +14,7 @@
 func storeWithDependencies(outcome schema.Outcome) (*Controller, *fakeStore) {
 	cfg := &config.Config{Member: "a"}
 	settings := &cfg.Settings
-	settings.ControllerCount, settings.Teams = 1, []config.Team{{Name: "red"}}
+	settings.Size, settings.Teams = 1, []config.Team{{Name: "red"}}
 	settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
 	c := newTestController(cfg)
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -79,7 +79,7 @@
 func (e *environment) partitionOf(team string) int {
 	for i, t := range e.cfg.Settings.Teams {
 		if t.Name == team {
-			return i % e.cfg.Settings.ControllerCount
+			return i % e.cfg.Settings.Size
 		}
 	}
 	return 0
--- a/internal/controller/estimates_test.go
+++ b/internal/controller/estimates_test.go
@@ -11,7 +11,7 @@
 // TestAssumedTaskTime guards against an average over jobs of all kinds, under which new
 // jobs of short tasks would wait behind jobs of long ones.
 func TestAssumedTaskTime(t *testing.T) {
-	c := newTestController(&config.Config{Member: "a", Settings: config.Settings{ControllerCount: 1, Teams: []config.Team{{Name: "red"}}}})
+	c := newTestController(&config.Config{Member: "a", Settings: config.Settings{Size: 1, Teams: []config.Team{{Name: "red"}}}})
 	c.now = units.Second
 	add := func(id, class string, estimateS float64, averageS float64) *job {
 		j := c.replica.job(id)
--- a/internal/controller/featuregate.go
+++ b/internal/controller/featuregate.go
@@ -78,7 +78,7 @@
 		conditions = append(conditions, kv.Condition{Key: key, ModRevision: g.replica.revisions[key]})
 	}
 	missing := slices.ContainsFunc(g.cfg.Peers, func(p config.Peer) bool { return !members[p.Member] })
-	if missing || !members[g.cfg.Member] || len(members) < g.cfg.Settings.ControllerCount {
+	if missing || !members[g.cfg.Member] || len(members) < g.cfg.Settings.Size {
 		return nil, false
 	}
 	slices.SortFunc(conditions, func(a, b kv.Condition) int { return strings.Compare(a.Key, b.Key) })
--- a/internal/controller/featuregate_test.go
+++ b/internal/controller/featuregate_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := &config.Config{Member: "a", Peers: []config.Peer{{Member: "b"}, {Member: "c"}}}
-			cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB, cfg.Settings.KVStore.TxnOps = 3, 4, 12
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB, cfg.Settings.KVStore.TxnOps = 3, 4, 12
 			c := newTestController(cfg)
 			revision := uint64(10)
 			for process, format := range tc.formats {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -46,7 +46,7 @@
 func fleetConfig() *config.Config {
 	cfg := &config.Config{Member: "a"}
 	s := &cfg.Settings
-	s.ControllerCount, s.Teams = 1, []config.Team{{Name: "red"}}
+	s.Size, s.Teams = 1, []config.Team{{Name: "red"}}
 	s.Workers.HeartbeatS, s.Workers.LeaseS, s.Workers.CancelS = 6, 31, 56
 	s.Cloud.RPS, s.Cloud.ListLagS = 10, 8
 	return cfg
--- a/internal/controller/leadership.go
+++ b/internal/controller/leadership.go
@@ -98,7 +98,7 @@
 	for _, process := range processes {
 		load[process] = 0
 	}
-	for n := range l.cfg.Settings.ControllerCount {
+	for n := range l.cfg.Settings.Size {
 		if p := l.replica.partitions[n]; p != nil && l.replica.leaderRegistered(p) {
 			load[newProcessID(p.doc.Member, p.doc.Incarnation)] += l.partitions.withTeams.load(n)
 		} else {
--- a/internal/controller/plan_test.go
+++ b/internal/controller/plan_test.go
@@ -13,7 +13,7 @@
 func newTestPlan(t *testing.T) (*Controller, *plan) {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount = 1
+	cfg.Settings.Size = 1
 	cfg.Settings.Teams = []config.Team{{Name: "red", QuotaCPUs: 16, GuaranteedCPUs: 8}, {Name: "blue"}}
 	cfg.Settings.KVStore.KVLimits = config.KVLimits{RPS: 350, WriteRPS: 35, ValueKB: 4, TxnOps: 12}
 	c := newTestController(cfg)
--- a/internal/controller/replica_test.go
+++ b/internal/controller/replica_test.go
@@ -13,7 +13,7 @@
 // shows after it. The task must stay bound where it is.
 func TestLoadBesideChanges(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 4
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 4
 	c := newTestController(cfg)
 	showMachineShard := func(revision uint64, machine string, tasks ...schema.Task) {
 		t.Helper()
--- a/internal/controller/replication_test.go
+++ b/internal/controller/replication_test.go
@@ -57,7 +57,7 @@
 func layoutConfig(teams []config.Team, valueKB float64) *config.Config {
 	cfg := &config.Config{Member: "a"}
 	settings := &cfg.Settings
-	settings.ControllerCount, settings.Teams = 1, teams
+	settings.Size, settings.Teams = 1, teams
 	settings.KVStore.ValueKB, settings.KVStore.TxnOps, settings.KVStore.RPS, settings.KVStore.WriteRPS = valueKB, 12, 350, 35
 	settings.Workers.HeartbeatS, settings.Workers.LeaseS, settings.Workers.CancelS = 6, 31, 56
 	return cfg
--- a/internal/controller/resharding_test.go
+++ b/internal/controller/resharding_test.go
@@ -62,7 +62,7 @@
 func newSplitTestController(t *testing.T) (*Controller, []schema.Job) {
 	t.Helper()
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	c := newTestController(cfg)
 	machines, jobs := schema.MachineShard{}, schema.JobShard{}
 	for i := range 6 {
@@ -100,7 +100,7 @@
 	for _, order := range [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
 			cfg := &config.Config{Member: "a"}
-			cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+			cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 			c := newTestController(cfg)
 			shardCount := len(c.replica.jobShards)
 			job := func(n int) schema.Job { return schema.Job{ID: fmt.Sprintf("j-%06d", n), Tasks: 1} }
--- a/internal/controller/shard_histories_test.go
+++ b/internal/controller/shard_histories_test.go
@@ -210,7 +210,7 @@
 
 func newHistoryReplica(t *testing.T, name string, store *historyStore) *historyReplica {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	c := newTestController(cfg)
 	c.partitions.led[0] = &leadership{} // so that it commands the machines
 	return &historyReplica{
@@ -588,7 +588,7 @@
 // and the user got 404.
 func TestProofWaitsForReload(t *testing.T) {
 	cfg := &config.Config{Member: "a"}
-	cfg.Settings.ControllerCount, cfg.Settings.KVStore.ValueKB = 1, 100
+	cfg.Settings.Size, cfg.Settings.KVStore.ValueKB = 1, 100
 	c := newTestController(cfg)
 	proven := false
 	c.freshness.awaitingRevision = []revisionWaiter{{revision: 12, done: func(current bool) { proven = current }}}
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -65,7 +65,7 @@
 // requestInterval returns the time that must pass between requests of one kind, so that they use no more
 // than the given share of this controller's part of the permitted requests.
 func (s *storeClient) requestInterval(share float64) units.Micros {
-	return units.FromSeconds(float64(s.cfg.Settings.ControllerCount) / (s.limits.RPS * share))
+	return units.FromSeconds(float64(s.cfg.Settings.Size) / (s.limits.RPS * share))
 }
 
 // noteThrottled records that the store refused a request for exceeding its rate.
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -15,7 +15,7 @@
 func newConfig(sockets int) *config.Config {
 	cfg := &config.Config{Member: "a"}
 	cfg.Endpoints.KVStore, cfg.Endpoints.Cloud = "127.0.0.1:1", "127.0.0.1:1"
-	cfg.Settings.ControllerCount, cfg.Settings.ProcessLimits.Sockets = 1, sockets
+	cfg.Settings.Size, cfg.Settings.ProcessLimits.Sockets = 1, sockets
 	cfg.Settings.Workers.LeaseS, cfg.Settings.Workers.CancelS, cfg.Settings.Workers.HeartbeatS = 22, 47, 3
 	return cfg
 }
--- a/internal/simulator/scenario.go
+++ b/internal/simulator/scenario.go
@@ -89,7 +89,7 @@
 
 // controllerSettings returns the settings of all controllers.
 func (o *worldOptions) controllerSettings() config.Settings {
-	settings := config.Settings{ControllerCount: o.controllers, Teams: o.teams, Zones: []string{"a", "b"}}
+	settings := config.Settings{Size: o.controllers, Teams: o.teams, Zones: []string{"a", "b"}}
 	settings.Workers.HeartbeatS = o.heartbeatSeconds
 	settings.Workers.LeaseS = o.leaseSeconds
 	settings.Workers.CancelS = o.cancelSeconds
