--- a/internal/controller/arrays.go
+++ b/internal/controller/arrays.go
@@ -136,7 +136,7 @@
 
 // placeFirstTasks places one task of each job that has waited long for its first, whatever the job's size:
 // that task shows how long the job's tasks take, and a flood of smaller jobs cannot keep the job waiting.
-// If the task cannot be placed, a machine is reserved for the job.
+// If the task cannot be placed, a machine is reserved for the job once mayReserve permits it.
 func (p *plan) placeFirstTasks(order []*job) {
 	for _, j := range order {
 		if j.begun() || p.unixTime-j.eligibleSince() <= maxFirstTaskWait/2 {
--- a/internal/controller/audit.go
+++ b/internal/controller/audit.go
@@ -244,8 +244,9 @@
 	return slices.ContainsFunc(p.joint.operations, func(op kv.Operation) bool { return op.Set == schema.OutcomePrefix+id })
 }
 
-// checkAnswer checks an answer to a user and returns the answer to send. An answer that differs from the
-// job's stored outcome is replaced by the outcome, which another controller may already have sent to a user.
+// checkAnswer checks an answer to a user and returns the answer to send. An answer that was determined before
+// the replica showed the job's outcome may differ from that outcome. It is then replaced by the outcome,
+// which another controller may already have sent to a user.
 func (a *audit) checkAnswer(answer *JobStatus) *JobStatus {
 	outcome, stored := a.replica.outcomes.get(answer.ID)
 	facts := answer.facts(outcome, stored)
--- a/internal/controller/autoscaler.go
+++ b/internal/controller/autoscaler.go
@@ -16,7 +16,7 @@
 // scalingPartition is the partition whose leader rents machines for all partitions.
 const scalingPartition = 0
 
-// silenceListPeriod is the time after machines fell silent in which a process that does not rent also
+// silenceListPeriod is how long after many machines were found silent a process that does not rent also
 // reads the machine list, which may show whether they still exist.
 const silenceListPeriod = 10 * units.Second
 
@@ -111,8 +111,7 @@
 
 // fleetView reports the health of machines and zones.
 type fleetView interface {
-	// silenceSuspectedWithin reports whether many machines were silent at the same time, less than length
-	// ago.
+	// silenceSuspectedWithin reports whether many machines were found silent together less than length ago.
 	silenceSuspectedWithin(length units.Micros) bool
 	// suspects reports whether a zone may be partitioned from the controllers.
 	suspects(zone string) bool
--- a/internal/controller/cancellation.go
+++ b/internal/controller/cancellation.go
@@ -9,8 +9,8 @@
 
 // cancellations writes the outcome "cancelled" of jobs at the request of users. It guarantees that a job has
 // one outcome, written once: each transaction fails if an outcome exists already, and the user then gets
-// the stored one. It never stops tasks: the leader of the job's partition does so when it sees the
-// cancellation.
+// the stored one. It never stops tasks: the controllers that command the machines on which the job's tasks
+// run do so when they see the cancellation.
 type cancellations struct {
 	*environment
 	replica  *replica
--- a/internal/controller/commit.go
+++ b/internal/controller/commit.go
@@ -28,7 +28,7 @@
 	failedKeys []string // conflict: keys whose conditions failed, as far as known
 }
 
-// Delays before the repeat of a transaction whose answer did not settle the outcome.
+// Delays before the repeat of a transaction or lookup whose answer did not settle the outcome.
 const (
 	unknownOutcomeRetryDelay = 150 * units.Millisecond // the store may have carried it out
 	refusedRetryDelay        = 200 * units.Millisecond // this copy was refused, but an earlier one may have been carried out
--- a/internal/controller/dependencycheck.go
+++ b/internal/controller/dependencycheck.go
@@ -30,7 +30,7 @@
 // the submission, since users may name a job as soon as another controller has accepted it. A job that
 // such a replica does not list as accepted either has ended, with a stored outcome, or was never accepted.
 // The check owns only its result and never writes. The outcomes that it reads are kept by the replica, so
-// a repeated submission continues where one that timed out stopped.
+// a repeated submission continues where one that was given up stopped.
 type dependencyCheck struct {
 	replica       *replica
 	outcomes      *outcomeReads
