--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -8,7 +8,8 @@
 )
 
 // placementAllowed reports whether the job's constraints on machine type, spot instances and zone allow
-// one more task on the machine. For the zone, all of the job's tasks that may be running count.
+// one more task on the machine. For OneZone and Spread, all of the job's tasks that may be running or be
+// started again count: those that have a binding, until their completion is stored.
 func placementAllowed(j *job, m *machine) bool {
 	spec := &j.spec
 	if !api.AllowsType(spec, m.doc.Type) || m.doc.Spot && !spec.Spot || spec.Zone != "" && spec.Zone != m.doc.Zone {
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -49,7 +49,7 @@
 type preemption struct {
 	machine *stagedMachine
 	victims []taskKey
-	cost    float64 // lost work in seconds, weighted by priority and CPUs, plus the extra costs above
+	cost    float64 // seconds of lost work plus priorityCost for each priority level, times CPUs; plus the extra costs above
 }
 
 // preempt places a task of j by stopping other tasks. The task is entered on the machine with the least
@@ -138,8 +138,9 @@
 }
 
 // workLost returns how many seconds of work are lost when a task is stopped. Only the controller that
-// commands a machine knows how long its tasks have run; on another controller's machine, a task counts as
-// running since this controller first saw its entry.
+// commands a machine knows how long its tasks have run. On another controller's machine, a task counts as
+// running since this controller first saw its entry, as a task can't have run for longer than it has been
+// entered.
 func (p *plan) workLost(m *machine, j *job, key taskKey) float64 {
 	var began units.Micros
 	if m.agent == nil {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -154,7 +154,7 @@
 	Cancelled             bool
 	CancellationShown     bool // the replica shows its cancellation document, which is deleted with the job
 	CancelledByDependency bool // it is cancelled because of a job that it depends on
-	HasEntries            bool // some of its tasks have entries on machines
+	HasEntries            bool // some of its tasks may be on machines: they have entries, stored or about to be stored
 	Completed             bool // all of its tasks have completed
 }
 
