--- a/internal/controller/scalein.go
+++ b/internal/controller/scalein.go
@@ -23,7 +23,7 @@
 	maxDrainableUse    = 0.6               // a machine is drained only while less than this fraction of its CPUs is used
 	steadyBeforeDrain  = 30 * units.Second // how long a machine must have been reachable without interruption
 	minSpareCPUs       = 8                 // CPUs that must stay free on other machines, however small the fleet is
-	minIdlePeriod      = 30 * units.Second // shortest idle time before a machine is decommissioned
+	minIdlePeriod      = 30 * units.Second // lower bound of idlePeriod; drained machines need not be idle this long
 	idleHeartbeatLimit = 2                 // heartbeat periods without a heartbeat after which a machine may be cut off
 )
 
--- a/internal/controller/scaleout.go
+++ b/internal/controller/scaleout.go
@@ -27,7 +27,7 @@
 	handoverMargin    = 2 * units.Second
 )
 
-// firstLeaderWithin is how soon after the start of its process a leader must begin to rent to count as
+// firstLeaderWithin is how soon after the start of its process a leader must take over renting to count as
 // the first leader ever, which has no predecessor that may have rented machines.
 const firstLeaderWithin = 3 * units.Second
 
@@ -104,7 +104,7 @@
 		}
 	}
 	// Tasks that may use spot instances but run on on-demand machines give way to tasks that may not. What
-	// is missing then is capacity for the displaced tasks, which may be spot instances.
+	// is missing then is capacity for the displaced tasks, which spot instances can provide.
 	displaced := 0.0
 	if a.policy.UseSpot {
 		displaced = min(shortfall.onDemandOnly, a.displaceableCPUs())
--- a/internal/controller/staging.go
+++ b/internal/controller/staging.go
@@ -1,6 +1,7 @@
 package controller
 
-// stageShards stages the present state of every machine shard that has no commit in flight. A partition
+// stageShards stages the present state of the machine shards that have no commit in flight: all shards of
+// this partition, and those of other partitions that have a machine that accepts tasks. A partition
 // places tasks of its own teams on any machine by writing them into the machine's shard; the leader of
 // the machine's partition sees that and commands the agent. So a team's quota is enforced in one place,
 // and each machine is commanded by one controller only.
--- a/internal/dag/graph_test.go
+++ b/internal/dag/graph_test.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestWork checks that a change visits only as many nodes as it concerns edges, in long chains and wide
-// fan-in and fan-out, beside many unrelated jobs.
+// TestWork checks that the number of edges that a change concerns bounds the number of nodes that it
+// visits, in long chains and wide fan-in and fan-out, beside many unrelated jobs.
 func TestWork(t *testing.T) {
 	const n = 3000
 	g := New()
--- a/internal/dag/node.go
+++ b/internal/dag/node.go
@@ -74,12 +74,12 @@
 	return n.readyAt
 }
 
-// Priority returns the highest priority of the job and its pending dependents. The Node must not be
-// nil.
+// Priority returns the highest priority of the job and its direct and transitive pending dependents.
+// The Node must not be nil.
 func (n *Node) Priority() int { return n.priority }
 
-// DueAt returns the earliest deadline, as a Unix time, of the job and its pending dependents; 0 if
-// there is none. The Node may be nil.
+// DueAt returns the earliest deadline, as a Unix time, of the job and its direct and transitive
+// pending dependents; 0 if there is none. The Node may be nil.
 func (n *Node) DueAt() units.Micros {
 	if n == nil {
 		return 0
