--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -67,7 +67,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// ApplyTo returns current with the announced limits replaced; a nil override changes nothing.
+// ApplyTo returns current with each announced limit in place of the present one; a nil override changes
+// nothing.
 func (o *KVLimitsOverride) ApplyTo(current KVLimits) KVLimits {
 	limits := current
 	if o == nil {
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -171,8 +171,8 @@
 //
 // A shard n with modulus m holds the names whose number modulo m is n. To split it into k parts, it is
 // rewritten and k-1 new shards are written, each with modulus m*k: n becomes n, n+m, n+2m and so on.
-// The parts may later be split differently, so every shard stores its own modulus (ShardCount), and
-// holds a name only if the name's number modulo that is the number of the shard.
+// The parts may later be split differently, so every shard that was split stores its own modulus
+// (ShardCount), and holds a name only if the name's number modulo that is the number of the shard.
 //
 // initialCount is the number of shards in the layout, the modulus of all shards that were never split.
 // splitCounts are the other moduli that shards have stored, the largest first. splitCountOf returns the
--- a/internal/server/outbound.go
+++ b/internal/server/outbound.go
@@ -86,7 +86,7 @@
 		return noResponse
 	}
 	if result != nil && len(resp.Body()) > 0 {
-		// With any other status the body may be plain text; the status is returned all the same.
+		// With a status other than 200 the body may be plain text; the status is returned all the same.
 		if err := json.Unmarshal(resp.Body(), result); err != nil && resp.StatusCode() == http.StatusOK {
 			return noResponse
 		}
--- a/internal/server/outbound_agent.go
+++ b/internal/server/outbound_agent.go
@@ -57,8 +57,8 @@
 	now          func() units.Micros
 	inspectSlots chan struct{} // has an element for each inspection in flight
 	commandSlots chan struct{} // has an element for each command in flight
-	// A call to an agent that did not answer its last call takes a slot of two channels: one of these, and
-	// the channel above for the same kind of call.
+	// A call to an agent that did not answer its last call takes a slot of each of two channels: one of
+	// these, and the channel above for the same kind of call.
 	silentInspectSlots chan struct{}
 	silentCommandSlots chan struct{}
 	// maxKeptConns is the number of open connections above which a connection is closed after its call. The
--- a/internal/soak/agent_heartbeats.go
+++ b/internal/soak/agent_heartbeats.go
@@ -10,7 +10,7 @@
 const (
 	heartbeatPath    = "/v1/report"
 	heartbeatTimeout = 4 * time.Second
-	// lostHeartbeatTime is how long an agent waits for a heartbeat that reaches no controller.
+	// lostHeartbeatTime is how long an agent takes to give up on a heartbeat that reaches no controller.
 	lostHeartbeatTime = 200 * time.Millisecond
 	// minHeartbeatInterval is the shortest time from a heartbeat to one that reports a change.
 	minHeartbeatInterval = 250 * time.Millisecond
--- a/internal/soak/background.go
+++ b/internal/soak/background.go
@@ -20,9 +20,9 @@
 	return b
 }
 
-// spawn runs an action in a goroutine. The action must end soon after the run is stopped. Nothing may
-// call spawn after wait has returned: the callers are Run itself, other actions, and the stand-ins'
-// handlers, which end before wait is called.
+// spawn runs an action in a goroutine. The action must end soon after the run is stopped. Only
+// these may call spawn: other actions, for which wait waits, and code that has ended before wait is
+// called, which is Run itself and the stand-ins' handlers.
 func (b *background) spawn(action func()) { b.running.Go(action) }
 
 // sleep waits for the duration or the end of the run, and reports whether the run continues.
--- a/internal/soak/checker.go
+++ b/internal/soak/checker.go
@@ -29,7 +29,7 @@
 	RuleInvented     Rule = "invented"      // a job exists that nobody submitted
 	RuleForgotten    Rule = "forgotten"     // the service no longer knows an accepted job
 	RuleAcceptedBad  Rule = "accepted_bad"  // a job that must be rejected is accepted
-	RuleWentBack     Rule = "went_back"     // a job's outcome changes, or is cancelled although no user asked for it
+	RuleWentBack     Rule = "went_back"     // a job's outcome changes, or a job is cancelled although no user cancelled it or a dependency
 	RuleNotDone      Rule = "not_done"      // a job is reported as done before all its tasks completed
 	RuleOrphaned     Rule = "orphaned"      // a job outlives one that it depends on, or its tasks outlive the job
 	RuleMalformed    Rule = "malformed"     // a response has an unknown stage
--- a/internal/soak/store_http.go
+++ b/internal/soak/store_http.go
@@ -101,8 +101,8 @@
 	return true
 }
 
-// commitLate applies a transaction that its sender has given up on, unless the store refuses the
-// sender by then.
+// commitLate applies a transaction that its sender has given up on, if the store still accepts it: the
+// store must not refuse the sender, and the limits and conditions must hold at that time.
 func (s *fakeStore) commitLate(body []byte, client int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
