--- a/internal/simulator/checker_service.go
+++ b/internal/simulator/checker_service.go
@@ -56,8 +56,9 @@
 	}
 }
 
-// shouldHaveStarted reports whether a job must have started by now: it is accepted and not cancelled, and
-// its dependencies were done more than startDeadline ago.
+// shouldHaveStarted reports whether a job must have started by now: its cancellation has not been requested,
+// and it has been accepted and its dependencies done for more than startDeadline. If a job was submitted late
+// or given up by its user, controllers are not to blame that it has not started.
 func (c *Checker) shouldHaveStarted(job *jobHistory) bool {
 	readyAt, ready := c.readyAt(job)
 	return job.accepted && !c.mayBeCancelled(job) && ready && c.now-readyAt > startDeadline
--- a/internal/simulator/cloud.go
+++ b/internal/simulator/cloud.go
@@ -16,7 +16,7 @@
 	keptSnapshots         = 60
 	listLag               = 8 * units.Second  // age of the list of machines that is returned
 	staleListRate         = 0.1               // probability that the list is twice as old
-	failureDetectionDelay = 30 * units.Second // from a crash until the list shows it
+	failureDetectionDelay = 30 * units.Second // from a crash until the machine counts as failed
 	maxRentalCount        = 50                // machines in one rental
 )
 
@@ -199,7 +199,8 @@
 	c.world.removeWorker(name)
 }
 
-// crash stops a machine; the list shows it as running for another failureDetectionDelay.
+// crash stops a machine. Its state becomes failed after failureDetectionDelay, and the list, which lags
+// behind, shows that later still.
 func (c *fakeCloud) crash(name string) {
 	c.world.removeWorker(name)
 	c.world.after(failureDetectionDelay, func() {
--- a/internal/simulator/expectations.go
+++ b/internal/simulator/expectations.go
@@ -12,7 +12,7 @@
 // expectation is a condition that must hold at the end of a run.
 type expectation interface {
 	// check describes how the expectation is not met; empty: it is met. It returns an error if the
-	// expectation names a job that was never submitted.
+	// expectation can't be evaluated, such as the stage of a job that was never submitted.
 	check(w *World) (unmet string, err error)
 }
 
--- a/internal/simulator/waiting_check.go
+++ b/internal/simulator/waiting_check.go
@@ -54,9 +54,9 @@
 	return ""
 }
 
-// mayStart reports whether a task of the job may start on some machine: the job is accepted and not
-// cancelled, its tasks don't fail everywhere, its dependencies are done, and its team's quota allows one
-// more task.
+// mayStart reports whether a task of the job may start on some machine: the job is accepted and its
+// cancellation has not been requested, its tasks don't fail everywhere, its dependencies are done, and its
+// team's quota allows one more task.
 func (w *World) mayStart(job *userJob) bool {
 	if job.acceptedAt == 0 || job.cancelRequested || job.failsEverywhere || job.rejectedStatus > 0 {
 		return false
